--- a/coord/grant/acquirer.go
+++ b/coord/grant/acquirer.go
@@ -6,42 +6,43 @@
 	"time"
 )
 
-// Acquirer reserves for requests: from what is at hand, else from each Granter in
-// order within the request's deadline. It refuses the moment the last one failed.
+// Acquirer reserves tokens for requests: from what the holder has, else from each
+// Granter in order within the request's deadline. It refuses as soon as the last one
+// has failed.
 type Acquirer struct {
 	Holder *Holder
 	Chain  []Granter
-	// Exposer is needed by holders whose exposure is limited.
+	// Exposer is required for holders with exposure limits.
 	Exposer Exposer
 	Now     func() time.Time
 }
 
 // Acquire reserves n tokens of the budget. Its errors are ErrExhausted,
-// ErrUnreachable, ErrNoBudget and ErrFenced; after each of them nothing is reserved.
+// ErrUnreachable, ErrNoBudget and ErrFenced; with each of them nothing is reserved.
 func (q *Acquirer) Acquire(ctx context.Context, budget string, n int64) (Reservation, error) {
 	r, err := q.Holder.Reserve(q.Now(), budget, n)
 	if err == nil || !errors.Is(err, ErrShort) {
 		return r, err
 	}
-	defer q.Holder.wait(budget, n)()
+	defer q.Holder.addWaiting(budget, n)()
 	return q.obtain(ctx, budget, n)
 }
 
-// Lend reserves a lot for a peer like Holder.Lend, and first brings what lacks for need.
-// It lends need or nothing: a peer that got a part would have to ask on, and the part
-// would be missing here meanwhile.
+// Lend reserves a lot for a peer like Holder.Lend, but first obtains what is missing for
+// need. It lends at least need or nothing: a peer that got less would have to ask other
+// peers, and the tokens would be missing here meanwhile.
 func (q *Acquirer) Lend(ctx context.Context, budget, id, borrower string, need, want int64) (Lot, error) {
-	for fills := 0; ; {
+	for fetches := 0; ; {
 		l, err := q.Holder.lend(q.Now(), budget, id, borrower, need, need, want)
 		switch {
 		case errors.Is(err, ErrUnexposed):
-			// Lots that came meanwhile may take a raise; this one waits for the next as long
-			// as its request does.
+			// Other lots may use up a raised limit first; this one then waits for the next
+			// raise until its request's deadline.
 			err = q.Exposer.Expose(ctx, budget, borrower, need)
-		case errors.Is(err, ErrShort) && fills < mostFills:
-			fills++
-			done := q.Holder.wait(budget, need)
-			err = q.fill(ctx, budget, need)
+		case errors.Is(err, ErrShort) && fetches < maxFetches:
+			fetches++
+			done := q.Holder.addWaiting(budget, need)
+			err = q.fetch(ctx, budget, need)
 			done()
 		default:
 			return l, err
@@ -52,54 +53,55 @@
 	}
 }
 
-// reserveAfter obtains what lacks and reserves, and does so again if the tokens came and
-// another request took them.
-func (q *Acquirer) reserveAfter(ctx context.Context, g Granter, budget string, n, lack int64) (Reservation, error) {
+// obtainAndReserve obtains the shortfall and reserves, and repeats it if another request took
+// the obtained tokens.
+func (q *Acquirer) obtainAndReserve(ctx context.Context, g Granter, budget string, n, shortfall int64) (Reservation, error) {
 	for try := 1; ; try++ {
-		obtained := g.Obtain(ctx, budget, lack)
+		obtainErr := g.Obtain(ctx, budget, shortfall)
 		r, err := q.Holder.Reserve(q.Now(), budget, n)
 		if err == nil || !errors.Is(err, ErrShort) {
 			return r, err
 		}
-		if obtained != nil {
-			return Reservation{}, obtained
+		if obtainErr != nil {
+			return Reservation{}, obtainErr
 		}
-		if try == mostFills {
+		if try == maxFetches {
 			return Reservation{}, err
 		}
-		lack = q.Holder.shortage(q.Now(), budget, n).lack
+		shortfall = q.Holder.shortage(q.Now(), budget, n).shortfall
 	}
 }
 
-// mostFills bounds how often tokens are fetched for one request: others that come meanwhile
-// may take what was fetched for it.
-const mostFills = 4
+// maxFetches bounds how often tokens are fetched for one request: later requests may take what
+// was fetched for it.
+const maxFetches = 4
 
-// fill asks along the chain until one way brought what the own row lacks for need.
-func (q *Acquirer) fill(ctx context.Context, budget string, need int64) error {
-	verdict := Error.Wrap(ErrShort)
+// fetch calls the granters in order until the own row has need tokens available or one
+// succeeds.
+func (q *Acquirer) fetch(ctx context.Context, budget string, need int64) error {
+	lastErr := Error.Wrap(ErrShort)
 	for _, g := range q.Chain {
-		err := g.Obtain(ctx, budget, q.Holder.ownShortage(budget, need))
-		if err == nil || q.Holder.ownShortage(budget, need) <= 0 {
+		err := g.Obtain(ctx, budget, q.Holder.ownShortfall(budget, need))
+		if err == nil || q.Holder.ownShortfall(budget, need) <= 0 {
 			return nil
 		}
-		verdict = err
+		lastErr = err
 	}
-	return verdict
+	return lastErr
 }
 
-// obtain asks along the chain. A budget counts as exhausted only when a way has looked at
-// the whole of it and found too little left anywhere. What others hold at this moment may
-// come back unused, and a caller told that its budget is used up would not return.
+// obtain calls the granters in order. A budget counts as exhausted only if a granter checked
+// all of it and found too little left. What other holders have reserved may come back unused,
+// and a caller would not retry after the error for an exhausted budget.
 func (q *Acquirer) obtain(ctx context.Context, budget string, n int64) (Reservation, error) {
-	verdict := Error.Wrap(ErrUnreachable)
+	refusal := Error.Wrap(ErrUnreachable)
 	for _, g := range q.Chain {
 		s := q.Holder.shortage(q.Now(), budget, n)
-		if s.empty {
-			verdict = Error.Wrap(ErrExhausted)
+		if s.exhausted {
+			refusal = Error.Wrap(ErrExhausted)
 			break
 		}
-		r, err := q.reserveAfter(ctx, g, budget, n, s.lack)
+		r, err := q.obtainAndReserve(ctx, g, budget, n, s.shortfall)
 		if errors.Is(err, ErrNoBudget) || errors.Is(err, ErrFenced) {
 			return Reservation{}, err
 		}
@@ -107,13 +109,13 @@
 			return r, nil
 		}
 		if errors.Is(err, ErrExhausted) {
-			verdict = err
+			refusal = err
 			break
 		}
 		if errors.Is(err, ErrHeld) {
 			break
 		}
 	}
-	q.Holder.syncSoon(budget)
-	return Reservation{}, verdict
+	q.Holder.scheduleSync(budget)
+	return Reservation{}, refusal
 }
--- a/coord/grant/borrowed.go
+++ b/coord/grant/borrowed.go
@@ -1,58 +1,58 @@
 package grant
 
-// lenderUse is what a borrower used of one lender, over the borrower's whole life.
+// lenderUse is what a borrower used of one lender's tokens since the borrower started.
 type lenderUse struct {
-	// closed is the use of lots that were closed, by budget.
-	closed map[string]int64
+	// closedUsed is the use of closed lots by budget.
+	closedUsed map[string]int64
 }
 
-// mostLenders bounds the lenders whose use is remembered. A fleet has a few hundred lives a
-// day; beyond the bound a borrower says that it does not know.
-const mostLenders = 4096
+// maxLenders bounds the lenders whose use is recorded. A fleet starts a few hundred
+// incarnations a day; beyond the bound a borrower reports that its record is incomplete.
+const maxLenders = 4096
 
-// Borrowed is what a holder used of all that it ever borrowed from one lender.
+// Borrowed is what a holder used of all that it borrowed from one lender.
 type Borrowed struct {
-	// Known says that the holder remembers all of it.
+	// Known says that the record is complete.
 	Known bool `json:"known"`
-	// Used maps budgets to tokens. What requests that still run have set aside counts in
-	// full, and Open says that there are such.
+	// Used maps budgets to tokens. Open reservations of running requests count in full;
+	// Open says that there are some.
 	Used map[string]int64 `json:"used,omitempty"`
 	Open bool             `json:"open,omitempty"`
 }
 
-// noteClosedLocked adds a closed lot to what was used of its lender.
-func (h *Holder) noteClosedLocked(budget string, l *lot) {
+// recordClosedLocked adds a closed lot to the use of its lender.
+func (h *Holder) recordClosedLocked(budget string, l *lot) {
 	u := h.lenders[l.Holder]
 	if u == nil {
-		if len(h.lenders) == mostLenders {
-			h.forgotLenders = true
+		if len(h.lenders) == maxLenders {
+			h.lendersIncomplete = true
 			return
 		}
-		u = &lenderUse{closed: map[string]int64{}}
+		u = &lenderUse{closedUsed: map[string]int64{}}
 		h.lenders[l.Holder] = u
 	}
-	u.closed[budget] += l.used
+	u.closedUsed[budget] += l.used
 }
 
-// BorrowedFrom tells what was used of a lender that is gone, and takes nothing more of it
-// from then on. The guard is against a lender that only seemed to be gone: what it lends
-// after this word is used by nobody, so that the word stays true.
+// BorrowedFrom returns what was used of a lender that was declared dead, and excludes the
+// lender from then on. The exclusion guards against a lender that is alive after all: what it
+// lends after this report is not used, so the report stays valid.
 func (h *Holder) BorrowedFrom(lender string) Borrowed {
 	h.ShutOut(lender)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	out := Borrowed{Known: !h.forgotLenders, Used: map[string]int64{}}
+	out := Borrowed{Known: !h.lendersIncomplete, Used: map[string]int64{}}
 	if u := h.lenders[lender]; u != nil {
-		for budget, n := range u.closed {
+		for budget, n := range u.closedUsed {
 			out.Used[budget] = n
 		}
 	}
-	for _, b := range h.books {
+	for _, b := range h.budgets {
 		for _, l := range b.lots {
 			if l.Holder != lender {
 				continue
 			}
-			out.Used[b.budget] += l.used + l.reserved
+			out.Used[b.name] += l.used + l.reserved
 			out.Open = out.Open || l.reserved > 0
 		}
 	}
--- a/coord/grant/bounded.go
+++ b/coord/grant/bounded.go
@@ -8,42 +8,41 @@
 	"github.com/arbutusmill/arbutusmill/coord/store"
 )
 
-// mostFailures bounds the calls of one sync that fail. A store that refuses connections
-// fails within a millisecond, and calls are paid for also when they fail.
-const mostFailures = 3
+// maxFailures bounds the failed calls of one sync. A store that refuses connections fails
+// within a millisecond, and failed calls are billed too.
+const maxFailures = 3
 
-// boundedStore bounds the calls of one sync: the time of each, and how many may fail.
+// boundedStore bounds the calls of one sync: the time of each, and the number of failures.
 type boundedStore struct {
 	store.Store
-	each time.Duration
-	// end ends the sync.
-	end      context.CancelFunc
-	failures int
+	callTimeout time.Duration
+	cancelSync  context.CancelFunc
+	failures    int
 }
 
 // Get implements store.Store.
 func (s *boundedStore) Get(ctx context.Context, key string) (store.Item, error) {
-	ctx, cancel := context.WithTimeout(ctx, s.each)
+	ctx, cancel := context.WithTimeout(ctx, s.callTimeout)
 	defer cancel()
 	item, err := s.Store.Get(ctx, key)
-	s.note(err)
+	s.countFailure(err)
 	return item, err
 }
 
 // CompareAndSwap implements store.Store.
 func (s *boundedStore) CompareAndSwap(ctx context.Context, key string, expect store.Revision, value []byte, lease store.LeaseID) (store.Revision, error) {
-	ctx, cancel := context.WithTimeout(ctx, s.each)
+	ctx, cancel := context.WithTimeout(ctx, s.callTimeout)
 	defer cancel()
 	rev, err := s.Store.CompareAndSwap(ctx, key, expect, value, lease)
-	s.note(err)
+	s.countFailure(err)
 	return rev, err
 }
 
-func (s *boundedStore) note(err error) {
+func (s *boundedStore) countFailure(err error) {
 	if !errors.Is(err, store.ErrUnknown) {
 		return
 	}
-	if s.failures++; s.failures == mostFailures {
-		s.end()
+	if s.failures++; s.failures == maxFailures {
+		s.cancelSync()
 	}
 }
--- a/coord/grant/concurrent_test.go
+++ b/coord/grant/concurrent_test.go
@@ -11,11 +11,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against lots and limits of exposure that are changed outside the holder's lock; the race
-// detector finds it.
+// Guards against lots and exposure limits that are changed without the holder's lock. Run with the
+// race detector.
 func TestLotsAreSafeForConcurrentUse(t *testing.T) {
 	const rounds, lot = 500, 5
-	h := newHome(t, 100_000)
+	h := newStoreHolder(t, 100_000)
 	_, err := h.acquirer().Acquire(t.Context(), "team", lot)
 	require.NoError(t, err)
 	borrower := grant.NewHolder("borrower", account.Layout{Prefix: "p/", Pages: 1}, grant.HorizonPolicy{})
@@ -34,7 +34,7 @@
 			lender.RaiseExposure(lender.ExposureFor(time.Now(), "team", "borrower", lot, time.Second))
 			l, err := lender.Lend(time.Now(), "team", fmt.Sprint(g, "/", n), "borrower", lot, lot)
 			if err != nil {
-				return // others took what was left, or up to the limit
+				return // concurrent lots used up the tokens or the limit
 			}
 			borrower.Borrow(time.Now(), "team", l)
 		})
@@ -57,8 +57,9 @@
 	require.Empty(t, lender.LentLots())
 }
 
-// Guards against a final word that is read while requests on the lender's lots end.
-func TestWordIsSafeForConcurrentUse(t *testing.T) {
+// Guards against a BorrowedFrom report that misses tokens because requests on the lender's lots
+// settle at the same time.
+func TestBorrowedFromIsSafeForConcurrentUse(t *testing.T) {
 	const lots, tokens = 200, 5
 	borrower := grant.NewHolder("borrower", account.Layout{Prefix: "p/", Pages: 1}, grant.HorizonPolicy{})
 	var open []grant.Reservation
@@ -76,8 +77,8 @@
 		}
 	})
 	for range lots {
-		word := borrower.BorrowedFrom("lender")
-		require.EqualValues(t, lots*tokens, word.Used["team"], "used, or set aside")
+		report := borrower.BorrowedFrom("lender")
+		require.EqualValues(t, lots*tokens, report.Used["team"], "used or reserved")
 	}
 	wg.Wait()
 	require.False(t, borrower.BorrowedFrom("lender").Open)
--- a/coord/grant/exposure.go
+++ b/coord/grant/exposure.go
@@ -9,15 +9,16 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrUnexposed says that a row has the tokens, but may not lend them to this borrower before its
-// limit is raised.
-var ErrUnexposed = errs.New("beyond the limit of exposure")
+// ErrUnexposed says that a row has the tokens, but must not lend them to this borrower before
+// the borrower's exposure limit is raised.
+var ErrUnexposed = errs.New("exposure limit reached")
 
-// ExposureLimits bound what each borrower used and may still use of a holder's present rows, by
-// budget and borrower in tokens. They may count earlier rows too, and never fall with them.
+// ExposureLimits bound what each borrower has used and may still use of a holder's current rows,
+// in tokens by budget and borrower. They may include use of earlier rows, and do not fall when
+// those are removed.
 type ExposureLimits map[string]map[string]int64
 
-// Merge raises the limits that are lower than other's.
+// Merge raises limits that are lower than in other.
 func (l ExposureLimits) Merge(other ExposureLimits) {
 	for budget, limits := range other {
 		if l[budget] == nil {
@@ -45,23 +46,23 @@
 	l[budget][borrower] = limit
 }
 
-// exposure is what one borrower has of one budget.
+// exposure is one borrower's use and limit of one budget.
 type exposure struct {
-	// used is what came back of closed lots as used, reserved what open lots hold.
+	// used is what closed lots returned as used, reserved what open lots hold.
 	used, reserved int64
-	// limit bounds the sum of both while limits are in force.
+	// limit bounds the sum of both while limits are enforced.
 	limit int64
-	// lentRate is the average of what was lent in tokens a second, as of lentAt.
+	// lentRate is the average of lent tokens a second, as of lentAt.
 	lentRate float64
 	lentAt   time.Time
 }
 
-// lentWindow is the time constant of a borrower's lentRate: limits follow a router whose callers
-// come and go within seconds.
+// lentWindow is the time constant of lentRate. It is short since limits must follow a router
+// whose callers come and go within seconds.
 const lentWindow = 2 * time.Second
 
-// lend notes a lot.
-func (e *exposure) lend(now time.Time, tokens int64) {
+// addLot adds a lot that was lent.
+func (e *exposure) addLot(now time.Time, tokens int64) {
 	e.reserved += tokens
 	e.lentRate = e.rate(now) + float64(tokens)/lentWindow.Seconds()
 	e.lentAt = now
@@ -71,24 +72,24 @@
 	return e.lentRate * math.Exp(-max(0, now.Sub(e.lentAt).Seconds())/lentWindow.Seconds())
 }
 
-// step is how far ahead of need the limit is raised, in tokens.
-func (e *exposure) step(now time.Time, ahead time.Duration) int64 {
+// raiseStep returns how far ahead of need the limit is raised, in tokens.
+func (e *exposure) raiseStep(now time.Time, ahead time.Duration) int64 {
 	return int64(e.rate(now) * ahead.Seconds())
 }
 
 func (e *exposure) total() int64 { return e.used + e.reserved }
 
-func (e *exposure) room() int64 { return e.limit - e.total() }
+func (e *exposure) headroom() int64 { return e.limit - e.total() }
 
-// close notes what was used of a lot.
-func (e *exposure) close(tokens, used int64) {
+// closeLot moves a lot's used tokens from reserved to used.
+func (e *exposure) closeLot(tokens, used int64) {
 	e.reserved -= tokens
 	e.used += max(0, min(used, tokens))
 }
 
-// LimitExposure makes the holder lend each borrower no more than what RaiseExposure allows. Limits
-// that others know bound what a dead holder's borrowers can have used, although one of them died
-// with it. What is lent already is within the first limits.
+// LimitExposure makes the holder lend each borrower no more than RaiseExposure allows. Limits that
+// are stored elsewhere bound what a dead holder's borrowers can have used, even if one of them died
+// with it. The first limits cover what is already lent.
 func (h *Holder) LimitExposure() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -96,21 +97,21 @@
 		return
 	}
 	h.exposureLimited = true
-	for _, b := range h.books {
+	for _, b := range h.budgets {
 		for _, e := range b.exposures {
 			e.limit = e.total()
 		}
 	}
 }
 
-// ExposureLimits returns all limits.
+// ExposureLimits returns the limits of all budgets and borrowers.
 func (h *Holder) ExposureLimits() ExposureLimits {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	out := ExposureLimits{}
-	for _, b := range h.books {
+	for _, b := range h.budgets {
 		for borrower, e := range b.exposures {
-			out.set(b.budget, borrower, e.limit)
+			out.set(b.name, borrower, e.limit)
 		}
 	}
 	return out
@@ -121,9 +122,9 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for budget, byBorrower := range limits {
-		b := h.books[budget]
+		b := h.budgets[budget]
 		if b == nil {
-			continue // given up meanwhile; the limits begin anew with the next lot
+			continue // removed meanwhile; limits start again with the next lot
 		}
 		for borrower, limit := range byBorrower {
 			e := b.exposureOf(borrower)
@@ -132,8 +133,8 @@
 	}
 }
 
-// ExposureWanted returns the limits that should be raised now: those whose room for new lots is
-// below what the borrower is lent in the given time.
+// ExposureWanted returns the limits to raise now: those whose headroom is below what the borrower
+// is lent within ahead.
 func (h *Holder) ExposureWanted(now time.Time, ahead time.Duration) ExposureLimits {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -141,28 +142,28 @@
 	if !h.exposureLimited {
 		return out
 	}
-	for _, b := range h.books {
+	for _, b := range h.budgets {
 		for borrower, e := range b.exposures {
-			step := e.step(now, ahead)
-			if room := e.room(); room < step && room < b.available() {
-				out.set(b.budget, borrower, e.total()+min(b.available(), 2*step))
+			step := e.raiseStep(now, ahead)
+			if headroom := e.headroom(); headroom < step && headroom < b.available() {
+				out.set(b.name, borrower, e.total()+min(b.available(), 2*step))
 			}
 		}
 	}
 	return out
 }
 
-// ExposureFor returns the limit under which a lot of n tokens can be lent.
+// ExposureFor returns the limit that a lot of n tokens needs, plus what is lent within ahead.
 func (h *Holder) ExposureFor(now time.Time, budget, borrower string, n int64, ahead time.Duration) ExposureLimits {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	e := h.bookLocked(budget).exposureOf(borrower)
+	e := h.budgetLocked(budget).exposureOf(borrower)
 	out := ExposureLimits{}
-	out.set(budget, borrower, e.total()+n+e.step(now, ahead))
+	out.set(budget, borrower, e.total()+n+e.raiseStep(now, ahead))
 	return out
 }
 
-func (b *book) exposureOf(borrower string) *exposure {
+func (b *localBudget) exposureOf(borrower string) *exposure {
 	e := b.exposures[borrower]
 	if e == nil {
 		e = &exposure{}
@@ -174,16 +175,16 @@
 	return e
 }
 
-// lendableLocked is what may be lent to a borrower out of the own row.
-func (h *Holder) lendableLocked(b *book, borrower string) int64 {
+// lendableLocked returns what may be lent to a borrower from the own row.
+func (h *Holder) lendableLocked(b *localBudget, borrower string) int64 {
 	if !h.exposureLimited {
 		return b.available()
 	}
-	return min(b.available(), b.exposureOf(borrower).room())
+	return min(b.available(), b.exposureOf(borrower).headroom())
 }
 
-// Exposer raises a borrower's limit of exposure where a lot needs it.
+// Exposer raises a borrower's exposure limit when a lot needs it.
 type Exposer interface {
-	// Expose returns nil when n more tokens of the budget may be lent to the borrower.
+	// Expose returns nil once n more tokens of the budget may be lent to the borrower.
 	Expose(ctx context.Context, budget, borrower string, n int64) error
 }
--- a/coord/grant/fleet_test.go
+++ b/coord/grant/fleet_test.go
@@ -36,8 +36,8 @@
 	return f, nodes[0], nodes[1]
 }
 
-// drain serves requests of one token until the node refuses, and returns how many.
-func drain(ctx context.Context, f *lab.Fleet, n *lab.Node) int64 {
+// spendAll serves requests of one token until the node refuses, and returns their number.
+func spendAll(ctx context.Context, f *lab.Fleet, n *lab.Node) int64 {
 	before := f.Served(budget)
 	for i := 0; ; i++ {
 		r, err := n.Serve(ctx, n.Holder.ID()+time.Duration(f.Served(budget)).String(), budget, 1)
@@ -48,36 +48,35 @@
 	}
 }
 
-// Two data centres lose each other for an hour, and the team tops up on either
-// side: one top-up reaches the store, the other cannot and is not acknowledged. Both
-// sides go on serving. If either spent what it does not hold, the sum of both would
-// pass the budget when they meet again.
+// Guards against overspend when two data centres are partitioned for an hour and both
+// keep serving. A top-up during the partition reaches the store; a holder that spent
+// tokens it does not hold would make the sum of both exceed the budget.
 func TestHourOfPartitionWithTopUps(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		f, near, far := newFleet(t, 1000)
 		ctx := t.Context()
 		f.Cut("detroit")
-		farServed := drain(ctx, f, far)
-		require.Positive(t, farServed, "tokens were placed there before the cut")
+		farServed := spendAll(ctx, f, far)
+		require.Positive(t, farServed, "tokens must be placed there before the partition")
 		require.NoError(t, f.Book().TopUp(ctx, budget, "second", 500))
 		for range 60 {
 			f.Now = f.Now.Add(time.Minute)
 			near.Sync(ctx)
 			far.Sync(ctx)
-			drain(ctx, f, near)
-			drain(ctx, f, far)
+			spendAll(ctx, f, near)
+			spendAll(ctx, f, far)
 		}
 		require.LessOrEqual(t, f.Served(budget), int64(1500))
 		f.Heal()
 		f.Now = f.Now.Add(time.Minute)
-		drain(ctx, f, far)
-		drain(ctx, f, near)
-		require.Equal(t, int64(1500), f.Served(budget), "nothing is lost either")
+		spendAll(ctx, f, far)
+		spendAll(ctx, f, near)
+		require.Equal(t, int64(1500), f.Served(budget), "no tokens may be lost")
 	})
 }
 
-// The store is down for ten minutes. Callers must be served from what routers hold,
-// and the store must agree with what was served when it is back.
+// Guards against refusals while the store is down for ten minutes and routers hold tokens,
+// and against a store that does not match the served tokens after it is back.
 func TestStoreDownTenMinutes(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		f, near, far := newFleet(t, 1000)
@@ -102,8 +101,9 @@
 	})
 }
 
-// Each call to the store takes 400 ms. Requests that find tokens at hand must not
-// wait for it, and a refill must come through before its request's deadline.
+// Guards against requests that wait for a slow store although the router holds enough
+// tokens, and against a refill that misses its request's deadline. Each store call is
+// delayed by 100 ms.
 func TestSlowStore(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		f, near, _ := newFleet(t, 1000)
@@ -122,9 +122,9 @@
 	})
 }
 
-// The answer to a write is lost after the write took effect. The holder must neither
-// count the tokens twice nor forget them, whichever write it was: a grant, a
-// settlement's report, a give-back, or the removal of an idle row.
+// Guards against tokens that are counted twice or lost when a write takes effect but its
+// answer is lost: a grant, a report of settlements, a return, or the removal of an idle
+// row.
 func TestLostAnswers(t *testing.T) {
 	steps := map[string]func(ctx context.Context, f *lab.Fleet, n *lab.Node){
 		"grant": func(ctx context.Context, _ *lab.Fleet, n *lab.Node) {
@@ -157,29 +157,29 @@
 				step(ctx, f, near)
 				require.False(t, near.Holder.Fenced())
 				f.Now = f.Now.Add(time.Minute)
-				drain(ctx, f, near)
+				spendAll(ctx, f, near)
 				f.Now = f.Now.Add(time.Minute)
-				drain(ctx, f, far)
+				spendAll(ctx, f, far)
 				if name == "return" {
-					return // the node that stopped has nothing, and far got all
+					return // the stopped node has no tokens; far got all of them
 				}
 				f.Now = f.Now.Add(time.Minute)
-				drain(ctx, f, near)
+				spendAll(ctx, f, near)
 				require.Equal(t, int64(1000), f.Served(budget))
 			})
 		})
 	}
 }
 
-// A peer lends a lot and its answer is lost; the borrower asks again and gets
-// another. The first one must come back, or its tokens are out of reach for ever,
-// and an answer that arrives after all must not revive it.
-func TestLostLotComesBack(t *testing.T) {
+// Guards against stranded tokens when a lender's answer with a lot is lost and the borrower
+// gets another lot: the first one must be taken back, and a late answer must not add it
+// again.
+func TestLostLotIsReturned(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		f, near, far := newFleet(t, 1000)
 		ctx := t.Context()
 		f.Store.SetFaults(memstore.Faults{Down: true})
-		drainOwn(ctx, f, near)
+		spendOwn(ctx, f, near)
 		f.DropLots = 1
 		_, err := near.Serve(ctx, "lost", budget, 50)
 		require.ErrorIs(t, err, grant.ErrUnreachable)
@@ -187,30 +187,30 @@
 		require.Len(t, lots, 1)
 		far.Audit()
 		require.Empty(t, far.Holder.LentLots())
-		near.Holder.Borrow(f.Now, budget, grant.Lot{Part: lots[0]}) // late
+		near.Holder.Borrow(f.Now, budget, grant.Lot{Part: lots[0]}) // the late answer
 		require.Equal(t, int64(0), near.Holder.State(f.Now)[0].AtHand)
-		total := drain(ctx, f, near)
+		total := spendAll(ctx, f, near)
 		f.Now = f.Now.Add(time.Minute)
 		near.ReturnLots(time.Second)
-		total += drain(ctx, f, far)
+		total += spendAll(ctx, f, far)
 		require.Equal(t, int64(1000), f.Served(budget), "served %d after the loss", total)
 	})
 }
 
-// drainOwn spends the node's own grant.
-func drainOwn(ctx context.Context, f *lab.Fleet, n *lab.Node) {
+// spendOwn spends the node's own grant.
+func spendOwn(ctx context.Context, f *lab.Fleet, n *lab.Node) {
 	own := n.Holder.State(f.Now)[0].Available
 	if r, err := n.Serve(ctx, "own", budget, own); err == nil {
 		r.Finish(own)
 	}
 }
 
-// The messages about a lot arrive twice and out of order: a repeated request must get
-// the same lot, a repeated return must count once, and a return that arrives before
-// its own repeat must not open the lot again.
+// Guards against lot messages that are not idempotent when they are repeated or reordered:
+// a repeated request must get the same lot, a repeated return must count once, and must
+// not open the lot again.
 func TestLotMessagesRepeatedAndReordered(t *testing.T) {
 	f, near, far := newFleet(t, 1000)
-	// An open reservation before the lot keeps the lot's settlement in the books.
+	// An open reservation before the lot keeps the lot's settlement in the queue.
 	_, err := far.Serve(t.Context(), "open", budget, 10)
 	require.NoError(t, err)
 	available := far.Holder.State(f.Now)[0].Available
@@ -228,8 +228,8 @@
 	require.Equal(t, available-30, far.Holder.State(f.Now)[0].Available)
 }
 
-// An operator's top-up takes effect and its answer is lost; the operator repeats it,
-// and a second operator enters the same invoice. The team must be credited once.
+// Guards against a top-up that is credited twice: its answer is lost after it took effect,
+// the operator repeats it, and a second operator enters the same invoice.
 func TestTopUpCountsOnce(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		f, _, _ := newFleet(t, 0)
@@ -249,15 +249,15 @@
 	})
 }
 
-// A recovery is begun for a router that is only frozen, and stays incomplete. Its peer
-// had used a lot of it. When the router wakes it must learn what was used: if the peer
-// had forgotten the lot, the router would take it back as unused and spend it again.
-func TestShutOutLenderIsStillSettled(t *testing.T) {
+// Guards against overspend after an incomplete recovery of a router that is only frozen. A
+// peer had used a lot of it; if the peer dropped the lot, the resumed router would take it
+// back as unused and spend it again.
+func TestExcludedLenderIsStillSettled(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		f, near, far := newFleet(t, 1000)
 		ctx := t.Context()
 		f.Store.SetFaults(memstore.Faults{Down: true})
-		drainOwn(ctx, f, near)
+		spendOwn(ctx, f, near)
 		r, err := near.Serve(ctx, "lot", budget, 50)
 		require.NoError(t, err)
 		r.Finish(50)
@@ -278,23 +278,23 @@
 	})
 }
 
-// The store is cut off and a peer has tokens. A request must not spend its whole time
-// on the store, or it is refused although it could be served.
+// Guards against a request that spends its whole time on an unreachable store and is
+// refused although a peer has tokens.
 func TestStoreOutageLeavesTimeForPeers(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		f, near, far := newFleet(t, 1000)
 		ctx := t.Context()
 		f.Cut("cleveland", "detroit")
-		drainOwn(ctx, f, near)
+		spendOwn(ctx, f, near)
 		r, err := near.Serve(ctx, "peer", budget, 50)
 		require.NoError(t, err)
 		require.Equal(t, far.Holder.ID(), r.Res.Parts[0].Holder)
 	})
 }
 
-// Two requests wait for the same look at a page; the caller of the first goes away. The
-// second must not be refused for that.
-func TestFirstCallerGoesAway(t *testing.T) {
+// Guards against a refusal of a request that waits for a sync which another request started,
+// when that request is canceled.
+func TestSyncOutlivesItsFirstCaller(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		f, near, far := newFleet(t, 1000)
 		far.Dead = true
@@ -314,13 +314,13 @@
 	})
 }
 
-// Three requests wait for the store at once. Together they want more than the budget
-// has, but each alone would fit: the first must be served.
-func TestWaitingTogetherIsNotExhausted(t *testing.T) {
+// Guards against refusing all of three concurrent requests that together need more than the
+// budget has, although each alone would fit: one must be served.
+func TestConcurrentWaitersAreNotExhausted(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		f, near, _ := newFleet(t, 1000)
 		ctx := t.Context()
-		f.Store.SetFaults(memstore.Faults{Delay: 50 * time.Millisecond}) // so that all wait
+		f.Store.SetFaults(memstore.Faults{Delay: 50 * time.Millisecond}) // makes all requests wait
 		errs := make(chan error, 3)
 		for i := range 3 {
 			go func() {
@@ -341,10 +341,10 @@
 	})
 }
 
-// A router restarts and still finds its earlier life among the peers to ask for tokens, at
-// the same address: it asks itself. A lot of its own would be settled with the first of
-// the requests that share it, and all that the others use would be spent twice.
-func TestNobodyBorrowsFromItself(t *testing.T) {
+// Guards against a restarted router that borrows from itself, since its earlier incarnation is
+// still listed as a peer at the same address. A lot of its own would be settled with the first
+// of the requests that share it, and what the others use would be spent twice.
+func TestHolderDoesNotBorrowFromItself(t *testing.T) {
 	now := time.Unix(1000, 0)
 	layout := account.Layout{Prefix: "b/", Pages: 1}
 	st := memstore.New()
--- a/coord/grant/granter.go
+++ b/coord/grant/granter.go
@@ -11,75 +11,74 @@
 	"github.com/arbutusmill/arbutusmill/coord/store"
 )
 
-// Granter brings a holder more tokens of a budget.
+// Granter obtains more tokens of a budget for a holder.
 type Granter interface {
-	// Obtain tries to bring at least lack tokens more. A nil error says that
+	// Obtain tries to obtain at least shortfall more tokens. A nil error says that
 	// the holder may have more now. ErrExhausted and ErrNoBudget are final
-	// answers about the whole budget; any other error says that this way is
-	// closed now.
-	Obtain(ctx context.Context, budget string, lack int64) error
+	// answers about the whole budget; any other error says that this granter
+	// cannot provide them now.
+	Obtain(ctx context.Context, budget string, shortfall int64) error
 }
 
 // StoreGranter takes grants from the account pages in the store. At most one
-// call is in flight for a page; requests that wait for the same page share it.
+// sync is in flight for a page; requests that wait for the same page share it.
 type StoreGranter struct {
 	Holder *Holder
 	Store  store.Store
 	Layout account.Layout
 	Timing Timing
-	// Timeout bounds what one request waits for the store. It
-	// must leave time for peers: a store that is cut off is tried until the bound, and a request
-	// that had spent all its time there would be refused although a peer has
-	// tokens.
+	// Timeout bounds how long one request waits for the store. It must leave time for
+	// peers: an unreachable store is tried until the bound, and a request that spent all
+	// its time there would be refused although a peer has tokens.
 	Timeout time.Duration
 	// CallTimeout bounds one call of the store; after it the page is read again, since
-	// the answer may be lost. SyncTimeout bounds all calls of one sync, whoever waits. A
-	// store that is slow answers within them although requests no longer wait. 0 stands
-	// for Timeout.
+	// the answer may be lost. SyncTimeout bounds all calls of one sync, independent of
+	// waiting requests. A slow store may answer within them after requests stopped
+	// waiting. 0 stands for Timeout.
 	CallTimeout, SyncTimeout time.Duration
-	// Prepare, if set, brings a page's accounts up to date with what operators
-	// decided elsewhere, before the holder plans on it; it reports whether it
-	// changed the page. It must be idempotent.
+	// Prepare, if set, updates a page's accounts to the operators' configuration
+	// before the holder plans on it; it reports whether it changed the page. It must
+	// be idempotent.
 	Prepare func(key string, p *account.Page) bool
-	// Moved, if set, is told of tokens that were taken or given back, once that is
-	// durable, and of what decided it.
+	// Moved, if set, is called for tokens that were taken or given back, once that is
+	// durable, with the view that the decision is based on.
 	Moved func(d Decision, v View)
-	// UsedUp, if set, is told when a page has too little left for a request that waits.
+	// UsedUp, if set, is called when a budget has too little left for any waiting request.
 	UsedUp func(v View)
-	// Ended, if set, is told how each sync ended and how long it took, whoever waited for it.
+	// Ended, if set, is called with the duration and the error of each sync.
 	Ended func(took time.Duration, err error)
-	// KeepPages is how long a page that was read or written is used again without
-	// reading it; 0 reads each time. It suits pages that one process writes: a write
-	// on a page that others changed meanwhile only fails and is tried again on a
-	// fresh read.
+	// KeepPages is how long a page that was read or written is cached; 0 disables the
+	// cache. It suits pages that one process writes: a write based on a page that other
+	// processes changed meanwhile only fails and is retried after a read.
 	KeepPages time.Duration
-	// Fresh is how old a kept page may be to tell that tokens lack. It bounds the
-	// reads of a budget near its end, of which each request would make one else.
+	// Fresh is how old a cached page may be to decide that tokens are insufficient. It
+	// bounds the reads of a budget near its end; otherwise each request would cause one.
 	Fresh time.Duration
-	// Now is the clock.
+	// Now returns the current time.
 	Now func() time.Time
 
-	flying  sync.WaitGroup
-	mu      sync.Mutex
-	flights map[string]*flight
-	kept    map[string]keptPage
+	inFlight  sync.WaitGroup
+	mu        sync.Mutex
+	syncCalls map[string]*syncCall
+	pageCache map[string]cachedPage
 }
 
-// keptPage is a page as it was last read or written.
-type keptPage struct {
-	item store.Item
-	at   time.Time
+// cachedPage is a page as last read or written.
+type cachedPage struct {
+	item   store.Item
+	readAt time.Time
 }
 
-type flight struct {
+// syncCall is a sync in flight, shared by its waiters.
+type syncCall struct {
 	done  chan struct{}
 	began time.Time
 	err   error
 }
 
 // Obtain implements Granter.
-func (g *StoreGranter) Obtain(ctx context.Context, budget string, lack int64) error {
-	if g.isLate(g.Layout.Key(budget)) {
+func (g *StoreGranter) Obtain(ctx context.Context, budget string, shortfall int64) error {
+	if g.isOverdue(g.Layout.Key(budget)) {
 		return Error.Wrap(ErrUnreachable)
 	}
 	ctx, cancel := context.WithTimeout(ctx, g.Timeout)
@@ -88,69 +87,69 @@
 		if err := g.Sync(ctx, g.Layout.Key(budget)); err != nil {
 			return err
 		}
-		again, err := g.verdict(budget, lack)
-		if !again || try == mostFills {
+		again, err := g.syncOutcome(budget, shortfall)
+		if !again || try == maxFetches {
 			return err
 		}
 	}
 }
 
-// verdict reads what the last sync found out about the budget. It says that another one may
-// help if the page had enough for all who waited: then requests that came later took it.
-func (g *StoreGranter) verdict(budget string, lack int64) (again bool, err error) {
+// syncOutcome returns the result of the last sync for the budget. again is true if the page had
+// enough for all waiting requests: later requests then took it, and another sync may help.
+func (g *StoreGranter) syncOutcome(budget string, shortfall int64) (again bool, err error) {
 	s := g.Holder.shortage(g.Now(), budget, 0)
-	have := -s.lack
+	spendable := -s.shortfall
 	switch {
 	case s.absent:
 		return false, Error.Wrap(ErrNoBudget)
-	case have >= lack:
+	case spendable >= shortfall:
 		return false, nil
-	case s.empty:
+	case s.exhausted:
 		return false, Error.Wrap(ErrExhausted)
 	}
-	return !s.lacking, Error.Wrap(ErrShort)
+	return !s.insufficient, Error.Wrap(ErrShort)
 }
 
-// Sync reports to the page, takes and gives back. A caller that comes while a
-// sync of the page runs waits for it, because that one may have planned without
-// the caller's need, and then shares or makes the next.
+// Sync reports to the page, takes and gives back. A caller that arrives during a
+// sync of the page waits for it and then shares or starts the next, since the running
+// one may have planned without the caller's need.
 func (g *StoreGranter) Sync(ctx context.Context, key string) error {
-	f, mine := g.join(key)
-	if !mine {
+	f, started := g.joinSync(key)
+	if !started {
 		if err := f.wait(ctx); err != nil {
 			return err
 		}
-		if f, mine = g.join(key); !mine {
+		if f, started = g.joinSync(key); !started {
 			return f.wait(ctx)
 		}
 	}
-	g.flying.Go(func() { g.fly(ctx, key, f) })
+	g.inFlight.Go(func() { g.runSync(ctx, key, f) })
 	return f.wait(ctx)
 }
 
-// Changed makes the next sync of a page read it: somebody else wrote it.
-func (g *StoreGranter) Changed(key string) { g.forget(key) }
+// Changed makes the next sync of a page read it, after another process wrote it.
+func (g *StoreGranter) Changed(key string) { g.dropPage(key) }
 
-// Wait waits for the calls that are on their way; call it when no more are begun.
-func (g *StoreGranter) Wait() { g.flying.Wait() }
+// Wait waits for the syncs in flight. Call it when no more are started.
+func (g *StoreGranter) Wait() { g.inFlight.Wait() }
 
-// fly makes the calls. Others wait for them too, so they must not end because the request
-// that began them was given up by its caller, or had little time left.
-func (g *StoreGranter) fly(ctx context.Context, key string, f *flight) {
-	own, cancel := context.WithTimeout(context.WithoutCancel(ctx), cmp.Or(g.SyncTimeout, g.Timeout))
+// runSync runs a sync. Other requests wait for it too, so it must not end when the request that
+// started it is canceled or reaches its deadline.
+func (g *StoreGranter) runSync(ctx context.Context, key string, f *syncCall) {
+	syncCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), cmp.Or(g.SyncTimeout, g.Timeout))
 	defer cancel()
-	f.err = g.sync(own, key)
+	f.err = g.sync(syncCtx, key)
 	if g.Ended != nil {
 		g.Ended(g.Now().Sub(f.began), f.err)
 	}
-	g.leave(key, f)
+	g.finishSync(key, f)
 }
 
-// Lagging reports whether a sync that has not ended began so long ago.
+// Lagging reports whether a sync has been in flight for d or longer.
 func (g *StoreGranter) Lagging(d time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, f := range g.flights {
+	for _, f := range g.syncCalls {
 		if g.Now().Sub(f.began) >= d {
 			return true
 		}
@@ -158,16 +157,16 @@
 	return false
 }
 
-// isLate reports whether calls for a page are on their way that others have waited for in
-// vain: to wait for them as well would cost the request the time that it has for peers.
-func (g *StoreGranter) isLate(key string) bool {
+// isOverdue reports whether a sync of the page has been in flight for Timeout. Waiting for it
+// would use up the time that a request has for peers.
+func (g *StoreGranter) isOverdue(key string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	f := g.flights[key]
+	f := g.syncCalls[key]
 	return f != nil && g.Now().Sub(f.began) >= g.Timeout
 }
 
-func (f *flight) wait(ctx context.Context) error {
+func (f *syncCall) wait(ctx context.Context) error {
 	select {
 	case <-f.done:
 		return f.err
@@ -176,49 +175,49 @@
 	}
 }
 
-func (g *StoreGranter) join(key string) (f *flight, mine bool) {
+func (g *StoreGranter) joinSync(key string) (f *syncCall, started bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.flights == nil {
-		g.flights = map[string]*flight{}
+	if g.syncCalls == nil {
+		g.syncCalls = map[string]*syncCall{}
 	}
-	if f := g.flights[key]; f != nil {
+	if f := g.syncCalls[key]; f != nil {
 		return f, false
 	}
-	f = &flight{done: make(chan struct{}), began: g.Now()}
-	g.flights[key] = f
+	f = &syncCall{done: make(chan struct{}), began: g.Now()}
+	g.syncCalls[key] = f
 	return f, true
 }
 
-func (g *StoreGranter) leave(key string, f *flight) {
+func (g *StoreGranter) finishSync(key string, f *syncCall) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.flights, key)
+	delete(g.syncCalls, key)
 	close(f.done)
 }
 
-// sync plans on a kept page first. A page that others changed since may have free tokens
-// that it does not show, so nothing is called lacking without a fresh read.
+// sync plans on a cached page first. Other processes may have changed the page and freed
+// tokens, so insufficiency is decided only on a fresh page.
 func (g *StoreGranter) sync(ctx context.Context, key string) error {
-	if kept, fresh := g.keptPage(key); kept.Revision != 0 {
-		lacking, err := g.apply(ctx, key, kept, fresh)
-		if err == nil && (!lacking || fresh) || errors.Is(err, ErrFenced) {
+	if cached, fresh := g.lookupPage(key); cached.Revision != 0 {
+		insufficient, err := g.apply(ctx, key, cached, fresh)
+		if err == nil && (!insufficient || fresh) || errors.Is(err, ErrFenced) {
 			return err
 		}
-		g.forget(key)
+		g.dropPage(key)
 	}
 	_, err := g.apply(ctx, key, store.Item{}, true)
 	return err
 }
 
-// apply plans on a page, and writes it if needed; a known item stands for the first read.
-// What a page that is not fresh seems to lack is no verdict: the caller reads it again.
-func (g *StoreGranter) apply(ctx context.Context, key string, known store.Item, fresh bool) (lacking bool, err error) {
+// apply plans on a page, and writes it if needed; a known item replaces the first read. If
+// insufficient is true for a page that is not fresh, the caller must read it again.
+func (g *StoreGranter) apply(ctx context.Context, key string, known store.Item, fresh bool) (insufficient bool, err error) {
 	var commits []commit
 	var write bool
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	bounded := &boundedStore{Store: g.Store, each: cmp.Or(g.CallTimeout, g.Timeout), end: cancel}
+	bounded := &boundedStore{Store: g.Store, callTimeout: cmp.Or(g.CallTimeout, g.Timeout), cancelSync: cancel}
 	item, err := store.UpdateFrom(ctx, bounded, key, known, func(old store.Item) ([]byte, error) {
 		page, err := account.Decode(old.Value)
 		if err != nil {
@@ -237,10 +236,10 @@
 	if err != nil {
 		return false, err
 	}
-	g.keep(key, item, known.Revision == item.Revision)
+	g.cachePage(key, item, known.Revision == item.Revision)
 	for _, c := range commits {
-		lacking = lacking || c.lacking
-		if c.empty && fresh && g.UsedUp != nil {
+		insufficient = insufficient || c.insufficient
+		if c.exhausted && fresh && g.UsedUp != nil {
 			g.UsedUp(c.view)
 		}
 	}
@@ -251,40 +250,40 @@
 			}
 		}
 	}
-	if fresh || !lacking || write {
+	if fresh || !insufficient || write {
 		g.Holder.commit(g.Now(), g.Timing, item.Revision, commits, write)
 	}
-	return lacking, nil
+	return insufficient, nil
 }
 
-// keptPage returns a page that may be planned on, revision 0 if there is none, and whether
-// it is fresh.
-func (g *StoreGranter) keptPage(key string) (item store.Item, fresh bool) {
+// lookupPage returns the cached page, with revision 0 if there is none, and whether it is
+// fresh.
+func (g *StoreGranter) lookupPage(key string) (item store.Item, fresh bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	k := g.kept[key]
-	age := g.Now().Sub(k.at)
+	k := g.pageCache[key]
+	age := g.Now().Sub(k.readAt)
 	if age >= g.KeepPages {
 		return store.Item{}, false
 	}
 	return k.item, age < g.Fresh
 }
 
-// keep notes a page; one that was neither read nor written goes on ageing.
-func (g *StoreGranter) keep(key string, item store.Item, untouched bool) {
+// cachePage caches a page; one that was neither read nor written keeps its age.
+func (g *StoreGranter) cachePage(key string, item store.Item, untouched bool) {
 	if g.KeepPages == 0 || untouched {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.kept == nil {
-		g.kept = map[string]keptPage{}
+	if g.pageCache == nil {
+		g.pageCache = map[string]cachedPage{}
 	}
-	g.kept[key] = keptPage{item: item, at: g.Now()}
+	g.pageCache[key] = cachedPage{item: item, readAt: g.Now()}
 }
 
-func (g *StoreGranter) forget(key string) {
+func (g *StoreGranter) dropPage(key string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.kept, key)
+	delete(g.pageCache, key)
 }
--- a/coord/grant/holder.go
+++ b/coord/grant/holder.go
@@ -10,8 +10,8 @@
 	"github.com/arbutusmill/arbutusmill/coord/store"
 )
 
-// Holder keeps one incarnation's side of all its budgets. It makes no calls and
-// reads no clock: callers pass the time. It is safe for concurrent use.
+// Holder keeps one incarnation's local state of all its budgets. It makes no calls
+// and reads no clock: callers pass the time. It is safe for concurrent use.
 type Holder struct {
 	id     string
 	policy Policy
@@ -21,30 +21,31 @@
 	// revision is the newest store revision seen.
 	revision int64
 	fenced   bool
-	books    map[string]*book
+	budgets  map[string]*localBudget
 	// returns are closed lots that their lenders have not acknowledged.
 	returns  map[Part]LotReturn
 	disowned map[Part]struct{}
-	// shutOut are holders that were found dead.
-	shutOut map[string]struct{}
-	// lenders is what was used of each lender; forgotLenders says that it lacks some.
-	lenders       map[string]*lenderUse
-	forgotLenders bool
-	// others are the holders with rows on the pages seen.
-	others map[string]struct{}
-	// expected is how many holders the fleet has, whether they have rows or not.
-	expected int
-	// window is the time constant of the average of demand.
-	window time.Duration
-	// lean holders have rows only for what they were granted; see Lean.
-	lean bool
-	dead func(holder string) bool
-	// stopping folds every row as soon as nothing is open on it.
+	// excluded are holders that were declared dead; see ShutOut.
+	excluded map[string]struct{}
+	// lenders is the use of closed lots by lender; lendersIncomplete says that some lenders
+	// are missing in it.
+	lenders           map[string]*lenderUse
+	lendersIncomplete bool
+	// otherHolders have rows on the synced pages.
+	otherHolders map[string]struct{}
+	// expectedHolders is the fleet's number of holders, with or without rows.
+	expectedHolders int
+	// demandWindow is the time constant of the demand average.
+	demandWindow time.Duration
+	// minimalRows limits rows to what was granted; see Lean.
+	minimalRows bool
+	isDead      func(holder string) bool
+	// stopping removes each row as soon as nothing is open on it.
 	stopping bool
-	// exposureLimited says that books' limits of exposure are in force.
+	// exposureLimited says that exposure limits are enforced.
 	exposureLimited bool
-	byPage          func(budget string) string
-	pages           map[string]map[string]*book
+	pageOf          func(budget string) string
+	pages           map[string]map[string]*localBudget
 }
 
 // LotReturn settles a borrowed lot with its lender.
@@ -53,116 +54,116 @@
 	Budget string `json:"budget"`
 	Seq    int64  `json:"seq"`
 	Used   int64  `json:"used"`
-	// Since is a store revision from before the lot was made.
+	// Since is a store revision from before the lot was lent.
 	Since int64 `json:"since,omitempty"`
 }
 
-// Lot is a lender's answer: tokens out of its own row, and its durable watermark.
+// Lot is a lender's answer: tokens from its own row, and its durable watermark.
 type Lot struct {
 	Part    Part  `json:"part"`
 	Through int64 `json:"through"`
 }
 
-// NewHolder returns an empty holder. The id must be unique for the incarnation.
+// NewHolder returns an empty holder. The id must be unique to the incarnation.
 func NewHolder(id string, layout account.Layout, policy Policy) *Holder {
 	return &Holder{
-		id:       id,
-		policy:   policy,
-		books:    map[string]*book{},
-		returns:  map[Part]LotReturn{},
-		disowned: map[Part]struct{}{},
-		shutOut:  map[string]struct{}{},
-		lenders:  map[string]*lenderUse{},
-		others:   map[string]struct{}{},
-		window:   defaultDemandWindow,
-		byPage:   layout.Key,
-		pages:    map[string]map[string]*book{},
+		id:           id,
+		policy:       policy,
+		budgets:      map[string]*localBudget{},
+		returns:      map[Part]LotReturn{},
+		disowned:     map[Part]struct{}{},
+		excluded:     map[string]struct{}{},
+		lenders:      map[string]*lenderUse{},
+		otherHolders: map[string]struct{}{},
+		demandWindow: defaultDemandWindow,
+		pageOf:       layout.Key,
+		pages:        map[string]map[string]*localBudget{},
 	}
 }
 
 // ID returns the holder's id.
 func (h *Holder) ID() string { return h.id }
 
-// Expect tells how many holders the fleet has. Without it the first holder that
-// comes to a new budget would take all of it, and every other one would have to
-// borrow until the next rebalance.
+// Expect sets the fleet's number of holders. Without it the first holder of a new
+// budget would take all of it, and every other one would have to borrow until the
+// next rebalance.
 func (h *Holder) Expect(holders int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.expected = holders
+	h.expectedHolders = holders
 }
 
-// AverageDemand sets the time constant of the average of demand, before the first
-// request. A short one follows a team whose traffic jumps, a long one spares calls.
+// AverageDemand sets the time constant of the demand average. Call it before the first
+// request. A short one follows bursty traffic of a team, a long one saves store calls.
 func (h *Holder) AverageDemand(window time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.window = window
+	h.demandWindow = window
 }
 
-// Lean makes rows as small as they can be, for fleets that take a dead life's rest as
-// spent instead of recovering it by evidence. A row is made with the first grant and not
-// before. Reports count every settled reservation, also those numbered after one that is
-// still open; that keeps small what a dead life leaves unreported, but such a row does
-// not say which reservations it covers. Demand is counted when tokens are set aside: a
-// cut may come before the first long streams have ended. What rows of dead holders have
-// left counts as spent; dead reports whether a holder is known to be so.
+// Lean keeps rows minimal, for fleets that count a dead incarnation's balance as spent
+// instead of recovering it by evidence. A row is created with the first grant. Reports
+// include every settled reservation, also those numbered after an open one; that
+// minimizes what a dead incarnation leaves unreported, but such a row does not tell
+// which reservations it covers. Demand is counted when tokens are reserved, since a
+// partition may begin before the first long streams end. The balance of dead holders'
+// rows counts as spent; dead reports whether a holder is known to be dead.
 func (h *Holder) Lean(dead func(holder string) bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.lean, h.dead = true, dead
+	h.minimalRows, h.isDead = true, dead
 }
 
-// Revision returns the newest store revision that the holder has seen.
+// Revision returns the newest store revision seen by the holder.
 func (h *Holder) Revision() store.Revision {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return store.Revision(h.revision)
 }
 
-// Fenced reports whether the holder may spend nothing more.
+// Fenced reports whether the holder is fenced and must not spend any more.
 func (h *Holder) Fenced() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.fenced
 }
 
-// Fence makes the holder spend nothing more.
+// Fence stops all further spending by the holder.
 func (h *Holder) Fence() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.fenced = true
 }
 
-// worstDecay is the part of the largest recent request that is forgotten with each
-// smaller one: it halves in some 44 requests.
-const worstDecay = 64
+// largestRecentDecay is the divisor of the decay of the largest recent request with each
+// smaller one: it halves in about 44 requests.
+const largestRecentDecay = 64
 
-// Reserve sets n tokens aside for one request, from the own row first and from
-// lots after it. With too few at hand it takes nothing and returns ErrShort.
+// Reserve reserves n tokens for one request, from the own row first and then from
+// lots. If too few are spendable it reserves nothing and returns ErrShort.
 func (h *Holder) Reserve(now time.Time, budget string, n int64) (Reservation, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.fenced {
 		return Reservation{}, Error.Wrap(ErrFenced)
 	}
-	b := h.bookLocked(budget)
+	b := h.budgetLocked(budget)
 	b.lastUse = now
-	b.worst = max(n, b.worst-b.worst/worstDecay)
-	if n <= 0 || b.atHand() < n {
+	b.largestRecent = max(n, b.largestRecent-b.largestRecent/largestRecentDecay)
+	if n <= 0 || b.spendable() < n {
 		return Reservation{}, Error.Wrap(ErrShort)
 	}
-	if h.lean {
-		b.spend(now, n)
+	if h.minimalRows {
+		b.recordUse(now, n)
 	}
-	return Reservation{Budget: budget, Parts: h.takeLocked(now, b, n)}, nil
+	return Reservation{Budget: budget, Parts: h.reserveLocked(now, b, n)}, nil
 }
 
-func (h *Holder) takeLocked(now time.Time, b *book, n int64) []Part {
+func (h *Holder) reserveLocked(now time.Time, b *localBudget, n int64) []Part {
 	var parts []Part
 	if own := min(n, b.available()); own > 0 {
 		h.seq++
-		b.issue(h.seq, own, h.revision)
+		b.reserve(h.seq, own, h.revision)
 		parts = append(parts, Part{Holder: h.id, Seq: h.seq, Tokens: own})
 		n -= own
 	}
@@ -177,11 +178,11 @@
 	return parts
 }
 
-// Settle closes a reservation: used tokens are spent, the rest is available again.
+// Settle closes a reservation: used tokens are spent, the rest becomes available again.
 func (h *Holder) Settle(now time.Time, r Reservation, used int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	b := h.bookLocked(r.Budget)
+	b := h.budgetLocked(r.Budget)
 	split := r.Split(used)
 	for i, p := range r.Parts {
 		if p.Holder == h.id {
@@ -190,13 +191,13 @@
 		}
 		b.settleLot(p, split[i].Tokens)
 	}
-	if !h.lean {
-		b.spend(now, min(used, r.Tokens()))
+	if !h.minimalRows {
+		b.recordUse(now, min(used, r.Tokens()))
 	}
 }
 
-// settleLot settles a part of a borrowed lot.
-func (b *book) settleLot(p Part, used int64) {
+// settleLot settles a reservation's part from a borrowed lot.
+func (b *localBudget) settleLot(p Part, used int64) {
 	for _, l := range b.lots {
 		if l.Holder == p.Holder && l.Seq == p.Seq {
 			l.reserved -= p.Tokens
@@ -206,14 +207,14 @@
 	}
 }
 
-// Watermarks returns, for each source that reservations on the budget may draw
-// on, the watermark that is durable in the store: the outcomes of reservations up
-// to it need not be kept by anyone.
+// Watermarks returns the watermark that is durable in the store, for each holder whose
+// row backs reservations on the budget. Outcomes of reservations up to it need not be
+// kept.
 func (h *Holder) Watermarks(budget string) map[string]int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	out := map[string]int64{}
-	b := h.books[budget]
+	b := h.budgets[budget]
 	if b == nil {
 		return out
 	}
@@ -224,83 +225,83 @@
 	return out
 }
 
-func (h *Holder) bookLocked(budget string) *book {
-	b := h.books[budget]
+func (h *Holder) budgetLocked(budget string) *localBudget {
+	b := h.budgets[budget]
 	if b == nil {
-		b = &book{budget: budget, through: h.seq, durableThrough: h.seq, window: h.window, lean: h.lean}
-		h.books[budget] = b
-		page := h.byPage(budget)
+		b = &localBudget{name: budget, through: h.seq, durableThrough: h.seq, demandWindow: h.demandWindow, minimalRows: h.minimalRows}
+		h.budgets[budget] = b
+		page := h.pageOf(budget)
 		if h.pages[page] == nil {
-			h.pages[page] = map[string]*book{}
+			h.pages[page] = map[string]*localBudget{}
 		}
 		h.pages[page][budget] = b
 	}
 	return b
 }
 
-func (h *Holder) forgetLocked(b *book) {
-	delete(h.books, b.budget)
-	page := h.byPage(b.budget)
-	delete(h.pages[page], b.budget)
+func (h *Holder) removeBudgetLocked(b *localBudget) {
+	delete(h.budgets, b.name)
+	page := h.pageOf(b.name)
+	delete(h.pages[page], b.name)
 	if len(h.pages[page]) == 0 {
 		delete(h.pages, page)
 	}
 }
 
-// Pages lists the pages of the budgets that the holder has books of.
+// Pages lists the pages of the budgets that the holder has state of.
 func (h *Holder) Pages() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Sorted(maps.Keys(h.pages))
 }
 
-// Empty reports whether the holder has nothing that it would have to give back.
+// Empty reports whether the holder has nothing to give back.
 func (h *Holder) Empty() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return len(h.returns) == 0 && !slices.ContainsFunc(slices.Collect(maps.Values(h.books)), func(b *book) bool {
+	return len(h.returns) == 0 && !slices.ContainsFunc(slices.Collect(maps.Values(h.budgets)), func(b *localBudget) bool {
 		return b.granted > 0 || !b.idle()
 	})
 }
 
-// Others lists the other holders that had rows on the pages seen lately.
+// Others lists the other holders seen with rows on the synced pages.
 func (h *Holder) Others() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return slices.Sorted(maps.Keys(h.others))
+	return slices.Sorted(maps.Keys(h.otherHolders))
 }
 
-// Recovered forgets a holder whose recovery is complete.
+// Recovered removes a holder whose recovery is complete from Others.
 func (h *Holder) Recovered(holder string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	delete(h.others, holder)
+	delete(h.otherHolders, holder)
 }
 
-// postpone is the pause after a failed sync.
-const postpone = time.Second
+// syncRetryDelay is the delay after a failed sync.
+const syncRetryDelay = time.Second
 
-// Postpone puts the next sync of a page off, after one that failed.
+// Postpone delays the next sync of a page after a failed one.
 func (h *Holder) Postpone(now time.Time, page string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, b := range h.pages[page] {
-		b.lastSync, b.nextSync = now, now.Add(postpone)
+		b.lastSync, b.nextSync = now, now.Add(syncRetryDelay)
 	}
 }
 
-// ReportNow makes the next sync of the budgets' pages write what is unreported.
+// ReportNow makes the next sync of the budgets' pages write all unreported totals.
 func (h *Holder) ReportNow(budgets []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, id := range budgets {
-		if b := h.books[id]; b != nil {
+		if b := h.budgets[id]; b != nil {
 			b.lastReport = time.Time{}
 		}
 	}
 }
 
-// BudgetState is a book as dumps show it. Amounts are tokens.
+// BudgetState is the local state of a budget for dumps. Amounts are tokens.
 type BudgetState struct {
 	Budget    string  `json:"budget"`
 	Granted   int64   `json:"granted"`
@@ -315,16 +316,16 @@
 	Demand    float64 `json:"demand_tokens_per_second"`
 }
 
-// State lists the books.
+// State lists the local state of all budgets.
 func (h *Holder) State(now time.Time) []BudgetState {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	out := make([]BudgetState, 0, len(h.books))
-	for _, b := range h.books {
+	out := make([]BudgetState, 0, len(h.budgets))
+	for _, b := range h.budgets {
 		out = append(out, BudgetState{
-			Budget: b.budget, Granted: b.granted, Returned: b.returned, Settled: b.settled,
-			Reserved: b.reserved, Available: b.available(), AtHand: b.atHand(),
-			Lots: len(b.lots), Lent: len(b.lent), Through: b.through, Demand: b.demandNow(now),
+			Budget: b.name, Granted: b.granted, Returned: b.returned, Settled: b.settled,
+			Reserved: b.reserved, Available: b.available(), AtHand: b.spendable(),
+			Lots: len(b.lots), Lent: len(b.lent), Through: b.through, Demand: b.currentDemand(now),
 		})
 	}
 	return out
--- a/coord/grant/horizon.go
+++ b/coord/grant/horizon.go
@@ -5,71 +5,72 @@
 	"time"
 )
 
-// HorizonPolicy holds what recent demand needs for the longest cut to be outlasted, and
-// no more. It is for fleets whose VMs keep nothing and may all lose power at once: what
-// a dead life held and had not reported counts as spent, so to spread all unspent
-// tokens, as DemandPolicy does, would lose the rest of a budget at the first power
-// loss. To hold nothing would turn away everything at the first cut from the store.
+// HorizonPolicy holds only what recent demand needs during the longest partition. It is
+// for fleets whose VMs have no durable storage and may all lose power at once: what a dead
+// incarnation held and had not reported counts as spent, so spreading all unspent tokens,
+// as DemandPolicy does, would lose the rest of a budget at the first power loss. Holding
+// nothing would refuse all requests at the first partition from the store.
 //
-// It is meant for one holder of a budget (its home) from which all others borrow: held
-// by each of many routers, the room for a large request alone would add up to much of
-// a budget.
+// It is meant for one holder of a budget (its primary lender) from which all others
+// borrow: if each of many routers held tokens for a large request, that alone would add
+// up to much of a budget.
 type HorizonPolicy struct {
-	// Horizon is the longest cut that held tokens should outlast.
+	// Horizon is the longest partition that held tokens should cover.
 	Horizon time.Duration
-	// Worsts is how many of the largest recent requests a holder keeps room for
-	// beside that: a single request may need more than many seconds of demand.
+	// Worsts is how many of the largest recent requests a holder additionally holds
+	// tokens for: a single request may need more than many seconds of demand.
 	Worsts float64
-	// Role says what this holder is to a budget; nil stands for HomeOf.
+	// Role returns this holder's role for a budget; nil stands for HomeOf.
 	Role func(budget string) Role
-	// Asking reports whether a request of this holder has turned to the store
-	// itself, its peers being out of reach; nil stands for always. A borrower takes
-	// nothing from the store otherwise: its requests wait for what peers lend.
+	// Asking reports whether a request of this holder calls the store because no peer
+	// is reachable; nil stands for always. Otherwise a borrower takes nothing from the
+	// store: its requests wait for what peers lend.
 	Asking func(budget string) bool
-	// StandIn is the horizon of a holder that stands in for a home: it is asked for
-	// some seconds only, and what it holds is held twice.
+	// StandIn is the horizon of a standby lender. It serves for some seconds only, and
+	// its tokens are held in addition to the primary's.
 	StandIn time.Duration
-	// Share is the most of a full budget that is held beyond what is set aside (0..1):
-	// what one death can cost. The share of the rest shrinks as the budget is used
-	// up: a power loss late in a budget must leave enough to serve those who come
-	// after it. The bound also limits what a few large requests in a holder's first
-	// second make of the demand.
+	// Share is the largest share of a full budget that is held unreserved (0..1), which
+	// is what one death can cost. The share of the rest shrinks as the budget is used
+	// up: a power loss late in a budget must leave enough for later requests. The bound
+	// also limits the effect of a few large requests in a holder's first second on the
+	// demand.
 	Share float64
-	// MostLost is the most that a holder has available while the store answers well, as a
-	// share of what is left of the budget (0..1), and Wary reports that it was slow or silent
-	// lately. What is available is lost with a dead life. Early in a budget the bound leaves
-	// room for an outage without a warning; the less there is left, the more each later
-	// request depends on it, and the less is put at stake. 0 is no such bound.
+	// MostLost is the largest share of what is left of the budget that a holder has available
+	// while the store is healthy (0..1); Wary reports that the store was recently slow or did
+	// not answer. Available tokens are lost when the incarnation dies. Early in a budget the
+	// bound still covers an outage without warning; the less is left, the more later requests
+	// depend on it, and the less is risked. 0 disables the bound.
 	MostLost float64
 	Wary     func() bool
-	// Refill is the demand that one take may add while Recovering reports a cut that
-	// ended lately; 0 takes all at once. After a cut the holder so gets back to its
-	// target over some seconds: a second cut is then less likely than a power loss
-	// that came with the same trouble, which costs most when the holder is full.
+	// Refill is the time whose demand one take may add while Recovering reports a
+	// partition that ended recently; 0 takes all at once. After a partition the holder
+	// thus returns to its target over some seconds: a second partition is then less
+	// likely than a power loss from the same incident, which costs most when the holder
+	// is full.
 	Refill     time.Duration
 	Recovering func() bool
-	// Slack is the deviation from the target that is left alone (0..1), unless the page is
-	// written for another budget: then all of its budgets are brought to their targets.
+	// Slack is the tolerated deviation from the target (0..1). When the page is written for
+	// another budget, all of its budgets are brought to their targets.
 	Slack float64
 }
 
-// Role is what a holder is to a budget.
+// Role is a holder's role for a budget.
 type Role int
 
 // The roles.
 const (
-	// HomeOf a budget lends to all others.
+	// HomeOf is the primary lender, which lends to all other holders.
 	HomeOf Role = iota
-	// StandInFor a home lends to those who do not reach it.
+	// StandInFor is the standby lender, for holders that do not reach the primary.
 	StandInFor
-	// BorrowerOf a budget takes what waits, and gives the rest back at once.
+	// BorrowerOf takes only what its requests wait for and gives the rest back at once.
 	BorrowerOf
 )
 
 // Decide implements Policy.
 func (p HorizonPolicy) Decide(v View) Decision {
 	if p.role(v.Budget) == BorrowerOf {
-		return p.borrower(v)
+		return p.decideBorrower(v)
 	}
 	need := v.Waiting - v.Available
 	target := p.target(v)
@@ -79,36 +80,36 @@
 	}
 	switch {
 	case v.Waiting > 0 && v.Free+v.Available < v.Smallest:
-		// What does not suffice for any waiting request would be missing when a
-		// smaller one comes elsewhere.
+		// An amount that suffices for no waiting request would be missing for a
+		// smaller one elsewhere.
 		return Decision{}
 	case need > 0 || v.Available < target-slack:
-		return Decision{Take: max(0, min(v.Free, max(need, p.refill(v, target))))}
+		return Decision{Take: max(0, min(v.Free, max(need, p.refillAmount(v, target))))}
 	case v.Available > target+slack:
 		return Decision{Give: max(0, min(v.Available-v.Waiting, v.Available-target))}
 	}
 	return Decision{}
 }
 
-// borrower takes what waits for the store, and else gives its row up: each row of a page
-// is looked after with reads and writes.
-func (p HorizonPolicy) borrower(v View) Decision {
+// decideBorrower takes what requests of the store wait for. Without such requests it removes
+// the row, since each row of a page costs reads and writes.
+func (p HorizonPolicy) decideBorrower(v View) Decision {
 	if p.Asking == nil || p.Asking(v.Budget) {
-		return exact(v)
+		return takeExact(v)
 	}
 	return Decision{Give: v.Available, Fold: true}
 }
 
-// refill is how much a holder may take towards its target at once.
-func (p HorizonPolicy) refill(v View, target int64) int64 {
-	lack := target - v.Available
+// refillAmount returns how much a holder may take towards its target at once.
+func (p HorizonPolicy) refillAmount(v View, target int64) int64 {
+	shortfall := target - v.Available
 	if p.Refill == 0 || !p.Recovering() {
-		return lack
+		return shortfall
 	}
-	return min(lack, int64(v.Demand*p.Refill.Seconds()))
+	return min(shortfall, int64(v.Demand*p.Refill.Seconds()))
 }
 
-// target is what a home or its stand-in should have available.
+// target returns what a primary or standby lender should have available.
 func (p HorizonPolicy) target(v View) int64 {
 	if p.role(v.Budget) == StandInFor {
 		return int64(v.Demand * p.StandIn.Seconds())
@@ -129,7 +130,7 @@
 	return p.Role(budget)
 }
 
-// Adopt implements Policy: a holder takes part in a budget once a request asks for it.
+// Adopt implements Policy: a holder holds tokens of a budget only after a request for it.
 func (HorizonPolicy) Adopt(float64, int) bool { return false }
 
 // LowWater implements Policy.
@@ -140,6 +141,6 @@
 	return int64(demand*p.Horizon.Seconds()*(1-p.Slack)) + worst
 }
 
-// Spare implements Policy: a lot is for one request. A larger one would stay open as long
-// as the longest of its requests, and what it holds is missing for all others.
+// Spare implements Policy. Each lot is for one request: a larger one would stay open as long
+// as its longest request, with its tokens unavailable to all other requests.
 func (HorizonPolicy) Spare(float64, int64) int64 { return 0 }
--- a/coord/grant/lean_property_test.go
+++ b/coord/grant/lean_property_test.go
@@ -22,84 +22,86 @@
 // errLost says that a message or its answer was lost.
 var errLost = errors.New("lost")
 
-// leanFleet is two lenders and two routers on one page, whose dead are not recovered: what
+// lenderFleet is two lenders and two routers on one page. Dead processes are not recovered: what
 // they held counts as spent.
-type leanFleet struct {
-	words   settlement.Words
+type lenderFleet struct {
+	reports settlement.Words
 	t       *rapid.T
 	store   *memstore.Store
 	faults  memstore.Faults
 	layout  account.Layout
-	lenders [2]*leanLife
-	routers [2]*leanLife
-	all     []*leanLife // dead ones too
+	lenders [2]*process
+	routers [2]*process
+	all     []*process // including dead ones
 	dead    map[string]bool
-	lives   int
+	started int
 	limit   int64
 	version int64
-	// used is what upstreams delivered, open requests counted with what they will.
+	// used is what upstreams deliver, including the later use of open requests.
 	used int64
-	// usedOf is the part of it that came out of each holder's present row.
+	// usedOf is the part of used that came from each holder's current row.
 	usedOf map[string]int64
-	// loseAnswers makes messages between lives take effect without an answer.
+	// loseAnswers drops the answers to messages between processes; the messages take effect.
 	loseAnswers bool
-	// settles makes lenders that are dead, or taken for dead, be settled by their borrowers.
-	settles bool
-	freed   int64
-	// witnesses keep the lenders' limits of exposure; nil where there are none.
-	witnesses []*leanLife
-	// late are messages to witnesses that arrive again later; guarded by mu.
-	late []func()
-	mu   sync.Mutex
-	// freedByWitnesses is what was freed although a borrower had died with its lender.
+	// settleLenders enables the settlement, by their borrowers, of lenders that are dead or taken
+	// for dead.
+	settleLenders bool
+	freed         int64
+	// witnesses store the lenders' exposure limits; nil disables them.
+	witnesses []*process
+	// delayed are duplicates of messages to witnesses, delivered later; guarded by mu.
+	delayed []func()
+	mu      sync.Mutex
+	// freedByWitnesses is what was freed although a borrower died with its lender.
 	freedByWitnesses int64
 }
 
-// leanLife is one run of a process.
-type leanLife struct {
-	fleet  *leanFleet
-	id     string
-	holder *grant.Holder
-	pages  *grant.StoreGranter
-	ask    *grant.Acquirer
-	// cut lives reach nobody, aside ones are no homes, asking ones turn to the store.
-	cut, aside, asking bool
-	open               []leanRequest
-	register           settlement.Register
-	exposure           settlement.Exposure
-	witness            settlement.Witness
+// process is one run of a process.
+type process struct {
+	fleet    *lenderFleet
+	id       string
+	holder   *grant.Holder
+	pages    *grant.StoreGranter
+	acquirer *grant.Acquirer
+	// partitioned processes reach no other process or the store, demoted lenders act as
+	// borrowers, and usingStore is set during an Obtain call on the store.
+	partitioned, demoted, usingStore bool
+	open                             []openRequest
+	register                         settlement.Register
+	exposure                         settlement.Exposure
+	witness                          settlement.Witness
 }
 
-type leanRequest struct {
+type openRequest struct {
 	reservation grant.Reservation
 	use         int64
 }
 
-// cutStore is the store as a life reaches it.
-type cutStore struct {
+// partitionedStore fails all calls while its process is partitioned.
+type partitionedStore struct {
 	*memstore.Store
-	life *leanLife
+	process *process
 }
 
 // Get implements store.Store.
-func (s cutStore) Get(ctx context.Context, key string) (store.Item, error) {
-	if s.life.cut {
+func (s partitionedStore) Get(ctx context.Context, key string) (store.Item, error) {
+	if s.process.partitioned {
 		return store.Item{}, store.Error.Wrap(store.ErrUnknown)
 	}
 	return s.Store.Get(ctx, key)
 }
 
 // CompareAndSwap implements store.Store.
-func (s cutStore) CompareAndSwap(ctx context.Context, key string, expect store.Revision, value []byte, lease store.LeaseID) (store.Revision, error) {
-	if s.life.cut {
+func (s partitionedStore) CompareAndSwap(ctx context.Context, key string, expect store.Revision, value []byte, lease store.LeaseID) (store.Revision, error) {
+	if s.process.partitioned {
 		return 0, store.Error.Wrap(store.ErrUnknown)
 	}
 	return s.Store.CompareAndSwap(ctx, key, expect, value, lease)
 }
 
-func newLeanFleet(t *rapid.T) *leanFleet {
-	f := &leanFleet{t: t, store: memstore.New(), layout: account.Layout{Prefix: "p/", Pages: 1}, dead: map[string]bool{}, usedOf: map[string]int64{}}
-	f.raise()
+func newLenderFleet(t *rapid.T) *lenderFleet {
+	f := &lenderFleet{t: t, store: memstore.New(), layout: account.Layout{Prefix: "p/", Pages: 1}, dead: map[string]bool{}, usedOf: map[string]int64{}}
+	f.raiseLimit()
 	for i := range f.lenders {
 		f.lenders[i] = f.start("lender")
 		f.routers[i] = f.start("router")
@@ -107,20 +109,20 @@
 	return f
 }
 
-func (f *leanFleet) raise() {
+func (f *lenderFleet) raiseLimit() {
 	f.version++
 	f.limit += rapid.Int64Range(50, 400).Draw(f.t, "limit")
 }
 
-func (f *leanFleet) start(kind string) *leanLife {
-	f.lives++
-	l := &leanLife{fleet: f, id: fmt.Sprint(kind, "/", f.lives)}
+func (f *lenderFleet) start(kind string) *process {
+	f.started++
+	l := &process{fleet: f, id: fmt.Sprint(kind, "/", f.started)}
 	f.all = append(f.all, l)
-	l.register = settlement.Register{Store: cutStore{f.store, l}, Key: listPrefix + l.id}
-	l.exposure = settlement.Exposure{Register: &l.register, Tell: l.tell, Timeout: 100 * time.Millisecond,
+	l.register = settlement.Register{Store: partitionedStore{f.store, l}, Key: listPrefix + l.id}
+	l.exposure = settlement.Exposure{Register: &l.register, Tell: l.sendNotice, Timeout: 100 * time.Millisecond,
 		Ahead: 250 * time.Millisecond, Now: time.Now}
 	role := func(string) grant.Role {
-		if kind == "router" || l.aside {
+		if kind == "router" || l.demoted {
 			return grant.BorrowerOf
 		}
 		if f.lenders[0] == l {
@@ -129,11 +131,11 @@
 		return grant.StandInFor
 	}
 	l.holder = grant.NewHolder(l.id, f.layout, grant.HorizonPolicy{Horizon: 4 * time.Second, StandIn: 2 * time.Second,
-		Worsts: 1, Share: 0.9, Slack: 0.25, Role: role, Asking: func(string) bool { return l.asking }})
+		Worsts: 1, Share: 0.9, Slack: 0.25, Role: role, Asking: func(string) bool { return l.usingStore }})
 	l.exposure.Holder = l.holder
 	l.holder.AverageDemand(10 * time.Second)
 	l.holder.Lean(func(id string) bool { return f.dead[id] })
-	l.pages = &grant.StoreGranter{Holder: l.holder, Store: cutStore{f.store, l}, Layout: f.layout, Now: time.Now,
+	l.pages = &grant.StoreGranter{Holder: l.holder, Store: partitionedStore{f.store, l}, Layout: f.layout, Now: time.Now,
 		Timeout: 100 * time.Millisecond, KeepPages: 10 * time.Second, Fresh: 500 * time.Millisecond,
 		Timing: grant.Timing{Rebalance: time.Second, Report: time.Second, Fold: time.Minute, Empty: 10 * time.Millisecond,
 			LowPause: 300 * time.Millisecond},
@@ -147,24 +149,24 @@
 		}}
 	peers := &grant.PeerGranter{Holder: l.holder, Lender: l, Timeout: 100 * time.Millisecond, Now: time.Now,
 		Peers: func(string) []string { return []string{f.lenders[0].id, f.lenders[1].id} }}
-	l.ask = &grant.Acquirer{Holder: l.holder, Now: time.Now, Chain: []grant.Granter{peers, l}}
+	l.acquirer = &grant.Acquirer{Holder: l.holder, Now: time.Now, Chain: []grant.Granter{peers, l}}
 	return l
 }
 
-// Obtain implements grant.Granter: the store.
-func (l *leanLife) Obtain(ctx context.Context, budget string, lack int64) error {
-	l.asking = true
-	defer func() { l.asking = false }()
+// Obtain implements grant.Granter. It calls the store.
+func (l *process) Obtain(ctx context.Context, budget string, lack int64) error {
+	l.usingStore = true
+	defer func() { l.usingStore = false }()
 	return l.pages.Obtain(ctx, budget, lack)
 }
 
-// Lend implements grant.Lender: it asks a lender.
-func (l *leanLife) Lend(ctx context.Context, peer, budget, id string, need, want int64) (grant.Lot, error) {
+// Lend implements grant.Lender.
+func (l *process) Lend(ctx context.Context, peer, budget, id string, need, want int64) (grant.Lot, error) {
 	for _, lender := range l.fleet.lenders {
-		if lender.id != peer || lender == l || lender.cut || l.cut {
+		if lender.id != peer || lender == l || lender.partitioned || l.partitioned {
 			continue
 		}
-		if l.fleet.settles && lender.register.Admit(ctx, l.id) != nil {
+		if l.fleet.settleLenders && lender.register.Admit(ctx, l.id) != nil {
 			return grant.Lot{}, errLost
 		}
 		own := &grant.Acquirer{Holder: lender.holder, Now: time.Now, Chain: []grant.Granter{lender}, Exposer: &lender.exposure}
@@ -177,18 +179,18 @@
 	return grant.Lot{}, errLost
 }
 
-func (l *leanLife) sync(ctx context.Context) {
+func (l *process) sync(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 	defer cancel()
-	_ = l.pages.Sync(ctx, l.fleet.layout.KeyOf(0)) // failures are part of the world
+	_ = l.pages.Sync(ctx, l.fleet.layout.KeyOf(0)) // failures are part of the test
 }
 
-func (f *leanFleet) router() *leanLife { return rapid.SampledFrom(f.routers[:]).Draw(f.t, "router") }
-func (f *leanFleet) lender() *leanLife { return rapid.SampledFrom(f.lenders[:]).Draw(f.t, "lender") }
+func (f *lenderFleet) router() *process { return rapid.SampledFrom(f.routers[:]).Draw(f.t, "router") }
+func (f *lenderFleet) lender() *process { return rapid.SampledFrom(f.lenders[:]).Draw(f.t, "lender") }
 
-func (f *leanFleet) step(ctx context.Context) {
+func (f *lenderFleet) step(ctx context.Context) {
 	ops := 19
-	if f.settles {
+	if f.settleLenders {
 		ops += 2
 	}
 	if f.witnesses != nil {
@@ -208,11 +210,11 @@
 	case 10:
 		f.kill()
 	case 11:
-		l := rapid.SampledFrom([]*leanLife{f.lenders[0], f.lenders[1], f.routers[0], f.routers[1]}).Draw(f.t, "cut")
-		l.cut = !l.cut
+		l := rapid.SampledFrom([]*process{f.lenders[0], f.lenders[1], f.routers[0], f.routers[1]}).Draw(f.t, "cut")
+		l.partitioned = !l.partitioned
 	case 12:
 		l := f.lender()
-		l.aside = !l.aside
+		l.demoted = !l.demoted
 	case 13:
 		f.loseAnswers = !f.loseAnswers
 	case 14:
@@ -221,30 +223,30 @@
 	case 15:
 		f.audit()
 		if rapid.Bool().Draw(f.t, "raise") {
-			f.raise()
+			f.raiseLimit()
 		}
 	case 20, 21, 22:
 		f.settle(ctx)
 	case 23, 24:
 		f.appoint(ctx)
 	case 25:
-		_ = f.lender().exposure.Keep(ctx) // failures are part of the world
+		_ = f.lender().exposure.Keep(ctx) // failures are part of the test
 	case 26:
-		f.disturbWitness()
+		f.changeWitness()
 	case 27:
-		f.deliverLate()
+		f.deliverDelayed()
 	case 28, 29:
 		f.killPair()
 	}
 	time.Sleep(time.Duration(rapid.IntRange(0, 1500).Draw(f.t, "ms")) * time.Millisecond)
 }
 
-func (f *leanFleet) serve(ctx context.Context) {
+func (f *lenderFleet) serve(ctx context.Context) {
 	l := f.router()
 	n := rapid.Int64Range(1, 60).Draw(f.t, "tokens")
 	ctx, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
 	defer cancel()
-	r, err := l.ask.Acquire(ctx, budget, n)
+	r, err := l.acquirer.Acquire(ctx, budget, n)
 	if err != nil {
 		return
 	}
@@ -253,10 +255,10 @@
 	for _, p := range r.Split(use) {
 		f.usedOf[p.Holder] += p.Tokens
 	}
-	l.open = append(l.open, leanRequest{r, use})
+	l.open = append(l.open, openRequest{r, use})
 }
 
-func (f *leanFleet) finish() {
+func (f *lenderFleet) finish() {
 	l := f.router()
 	if len(l.open) == 0 {
 		return
@@ -265,12 +267,12 @@
 	l.open = l.open[1:]
 }
 
-// returnLots gives lots back; answers may be lost.
-func (f *leanFleet) returnLots() {
+// returnLots returns closed lots; answers may be lost.
+func (f *lenderFleet) returnLots() {
 	l := f.router()
 	for _, r := range l.holder.CloseLots(time.Now()) {
 		for _, lender := range f.lenders {
-			if lender.id != r.Lender || l.cut || lender.cut {
+			if lender.id != r.Lender || l.partitioned || lender.partitioned {
 				continue
 			}
 			lender.holder.TakeBack(time.Now(), r)
@@ -281,12 +283,13 @@
 	}
 }
 
-// audit asks borrowers for lots whose answers were lost, and settles those of dead ones.
-func (f *leanFleet) audit() {
+// audit takes back lots whose answers were lost, and settles lots of dead borrowers as used in
+// full.
+func (f *lenderFleet) audit() {
 	lender := f.lender()
 	for borrower, parts := range lender.holder.LentLots() {
 		for _, r := range f.routers {
-			if r.id != borrower || r.cut || lender.cut {
+			if r.id != borrower || r.partitioned || lender.partitioned {
 				continue
 			}
 			for _, p := range r.holder.Disown(parts) {
@@ -297,7 +300,7 @@
 			continue
 		}
 		for _, lot := range lender.holder.LentTo(borrower) {
-			lot.Used = account.MaxTokens // cut to what was lent
+			lot.Used = account.MaxTokens // capped at what was lent
 			lender.holder.TakeBack(time.Now(), lot)
 		}
 	}
@@ -306,8 +309,8 @@
 // listPrefix begins the keys of lenders' lists of borrowers.
 const listPrefix = "lends/"
 
-// settle settles a lender, which may be alive: then it was only taken for dead.
-func (f *leanFleet) settle(ctx context.Context) {
+// settle settles a lender that is dead, or alive and wrongly taken for dead.
+func (f *lenderFleet) settle(ctx context.Context) {
 	var lenders []string
 	for _, l := range f.all {
 		if strings.HasPrefix(l.id, "lender") && (f.dead[l.id] || rapid.IntRange(0, 9).Draw(f.t, "mistaken") == 0) {
@@ -317,16 +320,16 @@
 	if len(lenders) == 0 {
 		return
 	}
-	s := settlement.Settler{Store: f.store, Prefix: listPrefix, Words: &f.words,
+	s := settlement.Settler{Store: f.store, Prefix: listPrefix, Words: &f.reports,
 		Over: func(borrower string) bool { return f.dead[borrower] },
 		Ask: func(_ context.Context, borrower, lender string) (grant.Borrowed, error) {
 			for _, r := range f.routers {
-				if r.id == borrower && !r.cut {
-					word := r.holder.BorrowedFrom(lender)
+				if r.id == borrower && !r.partitioned {
+					report := r.holder.BorrowedFrom(lender)
 					if f.loseAnswers {
 						return grant.Borrowed{}, errLost
 					}
-					return word, nil
+					return report, nil
 				}
 			}
 			return grant.Borrowed{}, errLost
@@ -335,7 +338,7 @@
 	defer cancel()
 	s.AskWitness = f.askWitness
 	lender := rapid.SampledFrom(lenders).Draw(f.t, "settled")
-	done, _ := s.Settle(ctx, lender, f.layout.KeyOf(0), rapid.Bool().Draw(f.t, "patient")) // failures are part of the world
+	done, _ := s.Settle(ctx, lender, f.layout.KeyOf(0), rapid.Bool().Draw(f.t, "patient")) // failures are part of the test
 	if used, ended := done.Used[budget]; ended {
 		require.GreaterOrEqual(f.t, used, f.usedOf[lender], "tokens of a row count as used")
 	}
@@ -345,8 +348,8 @@
 	}
 }
 
-// kill ends a life and starts the next one in its place.
-func (f *leanFleet) kill() {
+// kill ends a process and starts another in its place.
+func (f *lenderFleet) kill() {
 	i := rapid.IntRange(0, 1).Draw(f.t, "which")
 	if rapid.Bool().Draw(f.t, "a router") {
 		f.killRouter(i)
@@ -356,32 +359,32 @@
 }
 
 // killPair ends a lender and a router at the same moment.
-func (f *leanFleet) killPair() {
+func (f *lenderFleet) killPair() {
 	f.killLender(rapid.IntRange(0, 1).Draw(f.t, "which lender"))
 	f.killRouter(rapid.IntRange(0, 1).Draw(f.t, "which router"))
 }
 
-func (f *leanFleet) killRouter(i int) {
+func (f *lenderFleet) killRouter(i int) {
 	f.dead[f.routers[i].id] = true
 	f.routers[i] = f.start("router")
 }
 
-func (f *leanFleet) killLender(i int) {
+func (f *lenderFleet) killLender(i int) {
 	f.dead[f.lenders[i].id] = true
 	f.lenders[i] = f.start("lender")
 }
 
-// Lenders and routers die, are cut off, step aside and give rows up; writes and messages are
-// lost after they took effect; limits rise. Nobody recovers anything, and never are more
-// tokens delivered than the limit.
+// Guards against overspend while lenders and routers die, are partitioned, change roles and remove
+// rows, answers to writes and messages are lost, and limits rise. Without any recovery, no more
+// tokens may be delivered than the limit.
 func TestNoOverspendWithLenders(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		rapid.Check(noDeadline{t}, func(rt *rapid.T) {
-			f := newLeanFleet(rt)
+			f := newLenderFleet(rt)
 			for range rapid.IntRange(1, 80).Draw(rt, "steps") {
 				f.step(t.Context())
 				for _, l := range f.all {
-					l.pages.Wait() // nothing of a step goes on in the next one
+					l.pages.Wait() // no call continues in the next step
 				}
 				require.LessOrEqual(rt, f.used, f.limit, "overspend")
 			}
@@ -389,19 +392,19 @@
 	})
 }
 
-// As above, and lenders that died are settled by the word of their borrowers; some of them
-// only seemed dead and go on lending, to routers that know and to new ones. What is freed is
-// granted again, and never are more tokens delivered than the limit.
+// Guards against overspend as above when lenders are also settled by the reports of their
+// borrowers. Some of these lenders are alive and go on lending, to routers that reported and to new
+// ones. What is freed is granted again, and no more tokens may be delivered than the limit.
 func TestNoOverspendWithSettlement(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		freed := int64(0)
 		rapid.Check(noDeadline{t}, func(rt *rapid.T) {
-			f := newLeanFleet(rt)
-			f.settles = true
+			f := newLenderFleet(rt)
+			f.settleLenders = true
 			for range rapid.IntRange(1, 80).Draw(rt, "steps") {
 				f.step(t.Context())
 				for _, l := range f.all {
-					l.pages.Wait() // nothing of a step goes on in the next one
+					l.pages.Wait() // no call continues in the next step
 				}
 				require.LessOrEqual(rt, f.used, f.limit, "overspend")
 			}
--- a/coord/grant/lots.go
+++ b/coord/grant/lots.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Lend reserves a lot for a peer out of the own row: at least need tokens, or
-// as many as there are, and up to want when the policy can spare them. The id names
-// the peer's request; a repeated id gets the same lot, so an answer that was lost
-// strands nothing.
+// Lend reserves a lot for a peer in the own row: need tokens, or as many as can be
+// lent if fewer, and up to want if that is at most half of what can be lent. The id
+// identifies the peer's request; a repeated id gets the same lot, so a lost answer
+// strands no tokens.
 func (h *Holder) Lend(now time.Time, budget, id, borrower string, need, want int64) (Lot, error) {
 	return h.lend(now, budget, id, borrower, 1, need, want)
 }
 
-// lend is Lend, but lends nothing if there are fewer tokens than least.
+// lend is Lend with a minimum: it lends nothing if fewer than least tokens can be lent.
 func (h *Holder) lend(now time.Time, budget, id, borrower string, least, need, want int64) (Lot, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -20,13 +20,14 @@
 	if h.stopping {
 		return Lot{}, Error.Wrap(ErrShort)
 	}
-	b := h.books[budget]
-	// Guard against a holder that asks itself, at the address of an earlier life: a
-	// lot of its own row would be settled whole with the first request on it.
-	if _, dead := h.shutOut[borrower]; dead || b == nil || borrower == h.id {
+	b := h.budgets[budget]
+	// Guards against a holder that asks itself, at the address of an earlier
+	// incarnation: a lot of its own row would be settled in full with the first
+	// request on it.
+	if _, dead := h.excluded[borrower]; dead || b == nil || borrower == h.id {
 		return Lot{}, Error.Wrap(ErrShort)
 	}
-	b.worst = max(need, b.worst-b.worst/worstDecay)
+	b.largestRecent = max(need, b.largestRecent-b.largestRecent/largestRecentDecay)
 	b.lastUse = now
 	if have := b.lent[id]; have != nil {
 		return Lot{Part: have.part, Through: b.durableThrough}, nil
@@ -39,40 +40,40 @@
 	case n < least:
 		return Lot{}, Error.Wrap(ErrShort)
 	}
-	if h.lean {
-		b.spend(now, n)
+	if h.minimalRows {
+		b.recordUse(now, n)
 	}
-	b.exposureOf(borrower).lend(now, n)
+	b.exposureOf(borrower).addLot(now, n)
 	return h.lendLocked(b, id, borrower, n), nil
 }
 
-func (h *Holder) lendLocked(b *book, id, borrower string, n int64) Lot {
+func (h *Holder) lendLocked(b *localBudget, id, borrower string, n int64) Lot {
 	h.seq++
-	b.issue(h.seq, n, h.revision)
+	b.reserve(h.seq, n, h.revision)
 	if b.lent == nil {
-		b.lent = map[string]*lent{}
+		b.lent = map[string]*lentLot{}
 	}
 	p := Part{Holder: h.id, Seq: h.seq, Tokens: n}
-	b.lent[id] = &lent{part: p, borrower: borrower, since: h.revision}
+	b.lent[id] = &lentLot{part: p, borrower: borrower, sinceRevision: h.revision}
 	return Lot{Part: p, Through: b.durableThrough}
 }
 
-// Borrow adds a peer's lot. A lot that is already there is not added again.
+// Borrow adds a peer's lot. A lot that the holder already has is not added again.
 func (h *Holder) Borrow(now time.Time, budget string, l Lot) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if _, closed := h.returns[l.Part]; closed || l.Part.Holder == h.id {
 		return
 	}
-	// An answer that comes after the lender was told that this lot is not
-	// here must not bring it back: the lender spends it again.
+	// An answer that arrives after Disown reported the lot as missing must not
+	// add it: the lender may already have spent it again.
 	if _, gone := h.disowned[l.Part]; gone {
 		return
 	}
-	if _, dead := h.shutOut[l.Part.Holder]; dead {
+	if _, dead := h.excluded[l.Part.Holder]; dead {
 		return
 	}
-	b := h.bookLocked(budget)
+	b := h.budgetLocked(budget)
 	for _, have := range b.lots {
 		if have.Holder == l.Part.Holder && have.Seq == l.Part.Seq {
 			return
@@ -85,67 +86,67 @@
 func (h *Holder) TakeBack(now time.Time, r LotReturn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	b := h.books[r.Budget]
+	b := h.budgets[r.Budget]
 	if b == nil {
 		return
 	}
 	lentTokens := b.tokensOf(r.Seq)
 	if b.settle(r.Seq, r.Used) {
-		b.spendLent(now, lentTokens, r.Used)
+		b.recordLotUse(now, lentTokens, r.Used)
 	}
 	for id, l := range b.lent {
 		if l.part.Seq == r.Seq {
-			b.exposureOf(l.borrower).close(l.part.Tokens, r.Used)
+			b.exposureOf(l.borrower).closeLot(l.part.Tokens, r.Used)
 			delete(b.lent, id)
 		}
 	}
 }
 
-// TakeBackLost settles a lot whose borrower never got it.
+// TakeBackLost settles a lot, as unused, that its borrower never received.
 func (h *Holder) TakeBackLost(now time.Time, p Part) {
 	h.mu.Lock()
 	budget := ""
-	for _, b := range h.books {
+	for _, b := range h.budgets {
 		if b.find(p.Seq) >= 0 {
-			budget = b.budget
+			budget = b.name
 		}
 	}
 	h.mu.Unlock()
 	h.TakeBack(now, LotReturn{Lender: h.id, Budget: budget, Seq: p.Seq})
 }
 
-// LentTo lists the open lots that a borrower has, for recovery after its death.
+// LentTo lists a borrower's open lots, for recovery after its death.
 func (h *Holder) LentTo(borrower string) []LotReturn {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []LotReturn
-	for _, b := range h.books {
+	for _, b := range h.budgets {
 		for _, l := range b.lent {
 			if l.borrower == borrower {
-				out = append(out, LotReturn{Lender: h.id, Budget: b.budget, Seq: l.part.Seq, Since: l.since})
+				out = append(out, LotReturn{Lender: h.id, Budget: b.name, Seq: l.part.Seq, Since: l.sinceRevision})
 			}
 		}
 	}
 	return out
 }
 
-// ReleaseLots makes the unused lots of a budget go back with the next returns.
+// ReleaseLots makes the idle lots of a budget go back with the next CloseLots.
 func (h *Holder) ReleaseLots(budget string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, l := range h.bookLocked(budget).lots {
+	for _, l := range h.budgetLocked(budget).lots {
 		l.lastUse = time.Time{}
 	}
 }
 
-// CloseLots closes borrowed lots without open reservations that were not used
-// since idleSince, and returns all closed lots that lenders have yet to
-// acknowledge. Send each until Acknowledge.
+// CloseLots closes borrowed lots without open reservations that are used up or were
+// not used since idleSince. It returns all closed lots that lenders have yet to
+// acknowledge; send each of them until Acknowledge is called for it.
 func (h *Holder) CloseLots(idleSince time.Time) []LotReturn {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, b := range h.books {
-		b.lots = h.closeLocked(b, idleSince)
+	for _, b := range h.budgets {
+		b.lots = h.closeLotsLocked(b, idleSince)
 	}
 	out := make([]LotReturn, 0, len(h.returns))
 	for _, r := range h.returns {
@@ -154,7 +155,7 @@
 	return out
 }
 
-func (h *Holder) closeLocked(b *book, idleSince time.Time) []*lot {
+func (h *Holder) closeLotsLocked(b *localBudget, idleSince time.Time) []*lot {
 	kept := b.lots[:0]
 	for _, l := range b.lots {
 		spent := l.left() == 0
@@ -162,20 +163,20 @@
 			kept = append(kept, l)
 			continue
 		}
-		h.noteClosedLocked(b.budget, l)
-		h.returns[l.Part] = LotReturn{Lender: l.Holder, Budget: b.budget, Seq: l.Seq, Used: l.used}
+		h.recordClosedLocked(b.name, l)
+		h.returns[l.Part] = LotReturn{Lender: l.Holder, Budget: b.name, Seq: l.Seq, Used: l.used}
 	}
 	return kept
 }
 
-// Disown lists which of the given lots this holder does not have, and makes sure
-// that it never will: a lender takes those back whose answers were lost.
+// Disown returns those of the given lots that this holder does not have, and rejects
+// them from then on: their answers were lost, and the lender takes them back.
 func (h *Holder) Disown(parts []Part) []Part {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var none []Part
 	for _, p := range parts {
-		if !h.hasLocked(p) {
+		if !h.hasLotLocked(p) {
 			h.disowned[p] = struct{}{}
 			none = append(none, p)
 		}
@@ -183,11 +184,11 @@
 	return none
 }
 
-func (h *Holder) hasLocked(p Part) bool {
+func (h *Holder) hasLotLocked(p Part) bool {
 	if _, ok := h.returns[p]; ok {
 		return true
 	}
-	for _, b := range h.books {
+	for _, b := range h.budgets {
 		for _, l := range b.lots {
 			if l.Holder == p.Holder && l.Seq == p.Seq {
 				return true
@@ -197,12 +198,12 @@
 	return false
 }
 
-// LentLots lists the open lots by borrower.
+// LentLots lists the open lent lots by borrower.
 func (h *Holder) LentLots() map[string][]Part {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	out := map[string][]Part{}
-	for _, b := range h.books {
+	for _, b := range h.budgets {
 		for _, l := range b.lent {
 			out[l.borrower] = append(out[l.borrower], l.part)
 		}
@@ -210,7 +211,7 @@
 	return out
 }
 
-// Acknowledge forgets a closed lot that its lender has taken back.
+// Acknowledge removes a closed lot that its lender has taken back.
 func (h *Holder) Acknowledge(r LotReturn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -221,17 +222,17 @@
 	}
 }
 
-// ShutOut uses the lots of a holder that was found dead no more, since agents refuse
-// them now, and lends it nothing: what is lent to it at this moment is what its
-// recovery settles. Its lots are still settled with it, for it may be alive after
-// all: forgetting them would let it take them back as unused and spend them again.
+// ShutOut excludes a holder that was declared dead. Its lots are not used any more,
+// since agents now refuse them, and nothing more is lent to it: recovery settles what
+// is lent to it at this moment. Its lots are still returned to it, since it may be
+// alive: if they were dropped, it would take them back as unused and spend them again.
 func (h *Holder) ShutOut(lender string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.shutOut[lender] = struct{}{}
-	for _, b := range h.books {
+	h.excluded[lender] = struct{}{}
+	for _, b := range h.budgets {
 		for _, l := range b.lots {
-			l.barred = l.barred || l.Holder == lender
+			l.blocked = l.blocked || l.Holder == lender
 		}
 	}
 }
--- a/coord/grant/main_test.go
+++ b/coord/grant/main_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// seed makes each run of the properties the same. -rapid.seed=N looks elsewhere.
+// seed makes property tests reproducible; -rapid.seed=N overrides it.
 const seed = "20261202"
 
-// checks is the number of interleavings; fewer miss the faults that were found.
+// checks is the number of interleavings per property; fewer missed known faults.
 const checks = "1500"
 
 func TestMain(m *testing.M) {
--- a/coord/grant/pages_test.go
+++ b/coord/grant/pages_test.go
@@ -14,16 +14,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// home is a holder that takes grants of one budget from a store.
-type home struct {
+// storeHolder is a holder that takes grants of one budget from a store.
+type storeHolder struct {
 	store *memstore.Store
 	pages *grant.StoreGranter
-	// asking is what HorizonPolicy.Asking reports, borrows makes it a borrower.
-	asking, borrows bool
+	// usingStore is the result of HorizonPolicy.Asking; borrows selects the borrower role.
+	usingStore, borrows bool
 }
 
-func newHome(t *testing.T, credit int64) *home {
-	h := &home{store: memstore.New()}
+func newStoreHolder(t *testing.T, credit int64) *storeHolder {
+	h := &storeHolder{store: memstore.New()}
 	layout := account.Layout{Prefix: "p/", Pages: 1}
 	role := func(string) grant.Role {
 		if h.borrows {
@@ -32,7 +32,7 @@
 		return grant.HomeOf
 	}
 	holder := grant.NewHolder("home/1", layout, grant.HorizonPolicy{Horizon: time.Second, Worsts: 1, Share: 1, Slack: 0.25,
-		Role: role, Asking: func(string) bool { return h.asking }})
+		Role: role, Asking: func(string) bool { return h.usingStore }})
 	holder.Lean(func(string) bool { return false })
 	h.pages = &grant.StoreGranter{Holder: holder, Store: h.store, Layout: layout, Timeout: 400 * time.Millisecond,
 		KeepPages: 10 * time.Second, Fresh: 500 * time.Millisecond, Now: time.Now,
@@ -47,15 +47,15 @@
 	return h
 }
 
-func (h *home) acquirer() *grant.Acquirer {
+func (h *storeHolder) acquirer() *grant.Acquirer {
 	return &grant.Acquirer{Holder: h.pages.Holder, Now: time.Now, Chain: []grant.Granter{h.pages}}
 }
 
-// Callers of a team go on asking when its budget is nearly used up. Each request that lacks
-// tokens made a read of the page; the store's rate and its price are shared by the fleet.
+// Guards against a store read per refused request when a team's budget is nearly used up and its
+// callers keep sending requests. The store's rate limit and cost are shared by the fleet.
 func TestReadsNearTheEndOfABudgetAreBounded(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		h := newHome(t, 100)
+		h := newStoreHolder(t, 100)
 		a := h.acquirer()
 		_, err := a.Acquire(t.Context(), "team", 90)
 		require.NoError(t, err)
@@ -67,16 +67,16 @@
 		}
 		reads := h.store.Calls().Reads - before
 		require.LessOrEqual(t, reads, int64(5), "in two seconds")
-		require.GreaterOrEqual(t, reads, int64(3), "what others give back must be seen")
+		require.GreaterOrEqual(t, reads, int64(3), "what other holders give back must be found")
 	})
 }
 
-// A request with little time left begins a call of a slow store, and others wait for the
-// same call. It must not end with the first one's time: all would be refused, and the store
-// would count as lost.
-func TestCallHasItsOwnTime(t *testing.T) {
+// Guards against a sync of a slow store that ends with the short deadline of the request that
+// started it: all requests that wait for it would be refused, and the store would count as
+// unreachable.
+func TestSyncHasItsOwnTimeout(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		h := newHome(t, 100)
+		h := newStoreHolder(t, 100)
 		var ended []error
 		h.pages.Ended = func(_ time.Duration, err error) { ended = append(ended, err) }
 		h.store.SetFaults(memstore.Faults{Delay: 50 * time.Millisecond})
@@ -97,15 +97,15 @@
 	})
 }
 
-// A router took tokens from the store while it reached no lender. When it does again it
-// takes no more for requests that its lender serves, and gives its row up.
-func TestBorrowerGivesItsRowUp(t *testing.T) {
+// Guards against a router that keeps its row, and takes more tokens from the store, after it
+// reaches a lender again.
+func TestBorrowerRemovesItsRow(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		h := newHome(t, 100)
-		h.borrows, h.asking = true, true
+		h := newStoreHolder(t, 100)
+		h.borrows, h.usingStore = true, true
 		r, err := h.acquirer().Acquire(t.Context(), "team", 10)
 		require.NoError(t, err)
-		h.asking = false
+		h.usingStore = false
 		row := func() *account.Row {
 			item, err := h.store.Get(t.Context(), "p/00000")
 			require.NoError(t, err)
@@ -119,21 +119,22 @@
 		require.NoError(t, h.pages.Sync(t.Context(), "p/00000"))
 		require.Nil(t, row())
 		_, err = h.acquirer().Acquire(t.Context(), "team", 10)
-		require.Error(t, err, "its requests wait for what lenders have")
-		h.asking = true
+		require.Error(t, err, "its requests must wait for lenders")
+		h.usingStore = true
 		_, err = h.acquirer().Acquire(t.Context(), "team", 93)
-		require.NoError(t, err, "only seven were used")
+		require.NoError(t, err, "only seven tokens were used")
 	})
 }
 
-// thief is a Granter after which other requests take all that came, a few times.
-type thief struct {
-	*home
+// contendedGranter is a Granter that lets other requests take all obtained tokens in the first
+// calls.
+type contendedGranter struct {
+	*storeHolder
 	times int
 }
 
 // Obtain implements grant.Granter.
-func (f *thief) Obtain(ctx context.Context, budget string, lack int64) error {
+func (f *contendedGranter) Obtain(ctx context.Context, budget string, lack int64) error {
 	err := f.pages.Obtain(ctx, budget, lack)
 	if f.times--; f.times < 0 {
 		return err
@@ -145,13 +146,13 @@
 	}
 }
 
-// A request waits for tokens. They come, and requests that came later take them first. The
-// budget is nearly unused, so the first one must not be refused: its tokens are fetched again.
+// Guards against refusing a request because later requests took the tokens obtained for it. The
+// budget is nearly unused, so the tokens must be fetched again.
 func TestTokensTakenMeanwhileAreFetchedAgain(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		for _, lend := range []bool{false, true} {
-			h := newHome(t, 100_000)
-			a := &grant.Acquirer{Holder: h.pages.Holder, Now: time.Now, Chain: []grant.Granter{&thief{home: h, times: 2}}}
+			h := newStoreHolder(t, 100_000)
+			a := &grant.Acquirer{Holder: h.pages.Holder, Now: time.Now, Chain: []grant.Granter{&contendedGranter{storeHolder: h, times: 2}}}
 			var err error
 			if lend {
 				_, err = a.Lend(t.Context(), "team", "id", "router/1", 50, 50)
@@ -163,13 +164,13 @@
 	})
 }
 
-// A store is slow by a factor of a hundred: each call takes 450 ms, more than a request waits.
-// Its calls were ended at 400 ms, the store counted as lost, and everything was refused until
-// it was quick again. The first request is refused in time, those that come meanwhile at once
-// since waiting is in vain, and a moment later there are tokens.
-func TestSlowStoreStillBringsTokens(t *testing.T) {
+// Guards against refusing all requests while the store is slow by a factor of a hundred: each call
+// takes 450 ms, longer than the 400 ms that a request waits, and ending calls at 400 ms would make
+// the store count as unreachable. The first request is refused in time, requests during the sync at
+// once, and after the sync there are tokens.
+func TestSlowStoreStillGrantsTokens(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		h := newHome(t, 100_000)
+		h := newStoreHolder(t, 100_000)
 		h.pages.CallTimeout, h.pages.SyncTimeout = 700*time.Millisecond, 2*time.Second
 		var ended []error
 		h.pages.Ended = func(_ time.Duration, err error) { ended = append(ended, err) }
@@ -185,18 +186,18 @@
 		require.Zero(t, time.Since(began))
 		h.pages.Wait()
 		require.Equal(t, []error{nil}, ended)
-		h.pages.Holder.Reserve(time.Now(), "team", 50) // a demand to hold tokens for
+		h.pages.Holder.Reserve(time.Now(), "team", 50) // demand makes the holder take tokens
 		require.NoError(t, h.pages.Sync(t.Context(), "p/00000"))
 		_, err = a.Acquire(t.Context(), "team", 50)
 		require.NoError(t, err)
 	})
 }
 
-// The store does a write and its answer is lost, so that the connection is silent. After the
-// time for one call the page is read again, and shows that the tokens came.
+// Guards against a refusal when the store applies a write and does not answer: after the timeout
+// of one call the page must be read again, which shows the granted tokens.
 func TestLostAnswerIsReadBack(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		h := newHome(t, 100_000)
+		h := newStoreHolder(t, 100_000)
 		h.pages.Store = &silentWrites{Store: h.store, silent: 1}
 		h.pages.Timeout, h.pages.CallTimeout, h.pages.SyncTimeout = time.Second, 700*time.Millisecond, 2*time.Second
 		began := time.Now()
@@ -206,13 +207,13 @@
 	})
 }
 
-// A store refuses every connection at once. A sync that tries for two seconds would make
-// fifteen calls for each page, all of them paid for; three tell as much.
+// Guards against unbounded retries when the store refuses every connection at once: a sync that
+// retries for two seconds would make fifteen billed calls for each page, where three suffice.
 func TestFailingCallsOfASyncAreBounded(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		h := newHome(t, 100_000)
+		h := newStoreHolder(t, 100_000)
 		h.pages.SyncTimeout = 2 * time.Second
-		refused := &refusing{Store: h.store}
+		refused := &refusingStore{Store: h.store}
 		h.pages.Store = refused
 		_, err := h.acquirer().Acquire(t.Context(), "team", 50)
 		require.Error(t, err)
@@ -221,19 +222,19 @@
 	})
 }
 
-// refusing fails each read at once.
-type refusing struct {
+// refusingStore fails each read immediately.
+type refusingStore struct {
 	*memstore.Store
 	calls int
 }
 
 // Get implements store.Store.
-func (s *refusing) Get(context.Context, string) (store.Item, error) {
+func (s *refusingStore) Get(context.Context, string) (store.Item, error) {
 	s.calls++
 	return store.Item{}, store.Error.Wrap(store.ErrUnknown)
 }
 
-// silentWrites does writes and leaves the first ones without an answer.
+// silentWrites applies all writes and does not answer the first ones.
 type silentWrites struct {
 	*memstore.Store
 	silent int
@@ -249,11 +250,11 @@
 	return 0, store.Error.Wrap(store.ErrUnknown)
 }
 
-// A home that holds four seconds of a team's demand loses most of what the team has left when
-// it dies near the budget's end. While the store answers, it holds a tenth of the rest, or
-// room for the largest request; when the store is slow, as before an outage, it holds all
-// four seconds.
-func TestLittleIsHeldWhileTheStoreAnswers(t *testing.T) {
+// Guards against losing most of a team's remaining budget when a primary lender that holds four
+// seconds of demand dies near the budget's end. While the store is healthy it holds a tenth of the
+// rest, or enough for the largest request; when the store is slow, as before an outage, it holds
+// all four seconds.
+func TestMostLostBoundsHeldTokens(t *testing.T) {
 	wary := false
 	p := grant.HorizonPolicy{Horizon: 4 * time.Second, Worsts: 1, Share: 0.9, MostLost: 0.1, Wary: func() bool { return wary }}
 	v := grant.View{Credit: 2_000_000, Free: 400_000, Unspent: 400_000, Demand: 20_000, Worst: 10_000}
@@ -264,12 +265,12 @@
 	require.EqualValues(t, 140_000, p.Decide(v).Take)
 }
 
-// Ten budgets of a page are drawn on all the time. Each of them used to make a write of its own
-// as it ran low. The first one that is low now makes a write that fills all of them.
+// Guards against one write per budget when ten budgets of a page are in use and run low one after
+// the other: the write for the first one must refill all of them.
 func TestOneWriteFillsAllBudgetsOfAPage(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		const teams, credit, worst = 10, 1_000_000, 1000
-		h := newHome(t, credit)
+		h := newStoreHolder(t, credit)
 		name := func(i int) string { return fmt.Sprint("team-", i) }
 		h.pages.Prepare = func(_ string, p *account.Page) (changed bool) {
 			for i := range teams {
@@ -299,7 +300,7 @@
 		require.NoError(t, h.pages.Sync(t.Context(), "p/00000"))
 		full := available()
 		for i := range teams - 1 {
-			spend(i, worst/10) // less than what is left alone
+			spend(i, worst/10) // within the tolerance
 		}
 		spend(teams-1, worst/2)
 		before := h.store.Calls().Writes
--- a/coord/grant/peergranter.go
+++ b/coord/grant/peergranter.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Lender is the way to one peer's holder.
+// Lender sends lending requests to peers.
 type Lender interface {
-	// Lend asks the peer for a lot; the id makes a repeat harmless.
+	// Lend asks the peer for a lot; the id makes a repeat idempotent.
 	Lend(ctx context.Context, peer, budget, id string, need, want int64) (Lot, error)
 }
 
@@ -28,30 +28,30 @@
 }
 
 // Obtain implements Granter.
-func (g *PeerGranter) Obtain(ctx context.Context, budget string, lack int64) error {
-	want := g.Holder.lotWant(g.Now(), budget)
-	verdict := Error.Wrap(ErrShort)
+func (g *PeerGranter) Obtain(ctx context.Context, budget string, shortfall int64) error {
+	want := g.Holder.wantedLotSize(g.Now(), budget)
+	refusal := Error.Wrap(ErrShort)
 	for _, peer := range g.Peers(budget) {
 		began := g.Now()
-		l, err := g.ask(ctx, peer, budget, lack, want)
+		l, err := g.ask(ctx, peer, budget, shortfall, want)
 		NoteAsked(ctx, peer, g.Now().Sub(began), err)
 		if errors.Is(err, ErrExhausted) || errors.Is(err, ErrNoBudget) || errors.Is(err, ErrHeld) {
-			return err // a peer has just looked at the whole budget
+			return err // the peer has just checked the whole budget
 		}
 		if err != nil {
 			if !errors.Is(err, ErrShort) {
-				verdict = Error.Wrap(ErrUnreachable)
+				refusal = Error.Wrap(ErrUnreachable)
 			}
 			continue
 		}
 		g.Holder.Borrow(g.Now(), budget, l)
-		if lack -= l.Part.Tokens; lack <= 0 {
+		if shortfall -= l.Part.Tokens; shortfall <= 0 {
 			return nil
 		}
 	}
-	// What was gathered does not suffice; it goes back with the next returns.
+	// The borrowed lots do not suffice; they go back with the next returns.
 	g.Holder.ReleaseLots(budget)
-	return verdict
+	return refusal
 }
 
 func (g *PeerGranter) ask(ctx context.Context, peer, budget string, need, want int64) (Lot, error) {
--- a/coord/grant/plan.go
+++ b/coord/grant/plan.go
@@ -10,48 +10,49 @@
 	"github.com/arbutusmill/arbutusmill/coord/store"
 )
 
-// Timing of the work between a holder and the pages.
+// Timing holds the intervals at which a holder syncs with the pages.
 type Timing struct {
-	// Rebalance is the longest time between two looks at the page of a budget
+	// Rebalance is the longest time between two syncs of the page of a budget
 	// in use.
 	Rebalance time.Duration
-	// Report is the longest time that settled tokens stay unreported.
+	// Report is the longest time for which settled tokens stay unreported.
 	Report time.Duration
 	// Fold is the time without use after which the row is removed.
 	Fold time.Duration
-	// Empty is the time for which an exhausted budget is not asked for again.
+	// Empty is the time for which requests of an exhausted budget are refused
+	// without another sync.
 	Empty time.Duration
-	// LowPause is the shortest time between two looks at the page of a budget
+	// LowPause is the shortest time between two syncs of the page of a budget
 	// that runs low. It doubles up to Rebalance while there is nothing to take,
 	// which bounds the store calls when the pool is empty.
 	LowPause time.Duration
 }
 
-// DefaultTiming suits a fleet of a few routers.
+// DefaultTiming returns the timing for a fleet of a few routers.
 func DefaultTiming() Timing {
 	return Timing{Rebalance: time.Minute, Report: 5 * time.Minute, Fold: 30 * time.Minute,
 		Empty: time.Second, LowPause: 2 * time.Second}
 }
 
-// commit is what a planned page write changes in the books once it is durable.
+// commit is the change that a planned page write makes to a local budget once it is durable.
 type commit struct {
-	book    *book
-	granted int64
-	row     account.Row
-	wrote   bool
-	folded  bool
-	empty   bool
-	took    bool
-	// view and decision are what the policy saw and wanted.
+	budget     *localBudget
+	granted    int64
+	row        account.Row
+	needsWrite bool
+	rowRemoved bool
+	exhausted  bool
+	tookTokens bool
+	// view and decision are the policy's input and output.
 	view     View
 	decision Decision
-	// lacking says that requests wait for more than there is.
-	lacking bool
+	// insufficient says that requests wait for more than is available.
+	insufficient bool
 }
 
-// plan applies the holder's reports, takes and returns to a page, and says what
-// to commit and whether the page must be written. It may be called again for the
-// same page after a conflict or a lost answer.
+// plan applies the holder's reports, takes and returns to a page. It returns what to
+// commit and whether the page must be written. It may be called again for the same
+// page after a conflict or a lost answer.
 func (h *Holder) plan(now time.Time, t Timing, key string, rev store.Revision, p *account.Page) (commits []commit, write bool, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -62,96 +63,97 @@
 	if !h.stopping {
 		h.adoptLocked(key, p)
 	}
-	h.noteOthersLocked(p)
+	h.recordOthersLocked(p)
 	for budget, b := range h.pages[key] {
 		a := p.Accounts[budget]
 		b.absent = a == nil
 		if b.absent {
 			continue
 		}
-		c, err := h.planOne(now, t, a, b, false)
+		c, err := h.planBudgetLocked(now, t, a, b, false)
 		if err != nil {
 			return nil, false, err
 		}
 		commits = append(commits, c)
-		write = write || c.wrote
+		write = write || c.needsWrite
 	}
 	if write {
-		err = h.levelLocked(now, t, p, commits)
+		err = h.planRemainingLocked(now, t, p, commits)
 	}
 	return commits, write, err
 }
 
-// levelLocked plans again for the budgets that are near enough to their targets, now that the
-// page is written for others. Each of ten budgets would else make a write of its own soon: the
-// homes of four pages made 13 writes a second each while budgets ran low, and calls of the store
-// are limited and paid for.
-func (h *Holder) levelLocked(now time.Time, t Timing, p *account.Page, commits []commit) error {
+// planRemainingLocked plans again, without tolerance, for the budgets that are near their
+// targets, now that the page is written for others. Otherwise each of ten budgets would soon
+// cause a write of its own: primary lenders of four pages made 13 writes a second each while
+// budgets ran low, and store calls are rate-limited and billed.
+func (h *Holder) planRemainingLocked(now time.Time, t Timing, p *account.Page, commits []commit) error {
 	for i, c := range commits {
-		if c.wrote || c.decision != (Decision{}) {
+		if c.needsWrite || c.decision != (Decision{}) {
 			continue
 		}
-		level, err := h.planOne(now, t, p.Accounts[c.book.budget], c.book, true)
+		replanned, err := h.planBudgetLocked(now, t, p.Accounts[c.budget.name], c.budget, true)
 		if err != nil {
 			return err
 		}
-		commits[i] = level
+		commits[i] = replanned
 	}
 	return nil
 }
 
-// adoptLocked makes books for budgets of the page that others use, so that the
-// holder has tokens of them before a partition and not after it began.
+// adoptLocked adds budgets of the page that other holders use, so that this holder
+// has tokens of them before a partition begins.
 func (h *Holder) adoptLocked(key string, p *account.Page) {
 	for budget, a := range p.Accounts {
-		if h.books[budget] != nil || a.Unspent() <= 0 {
+		if h.budgets[budget] != nil || a.Unspent() <= 0 {
 			continue
 		}
 		var others float64
 		for _, r := range a.Rows {
 			others += r.Demand
 		}
-		if h.policy.Adopt(others, len(a.Rows)) && h.byPage(budget) == key {
-			h.bookLocked(budget)
+		if h.policy.Adopt(others, len(a.Rows)) && h.pageOf(budget) == key {
+			h.budgetLocked(budget)
 		}
 	}
 }
 
-// noteOthersLocked keeps the names of the other holders on a page, among which
-// recovery looks for dead ones.
-func (h *Holder) noteOthersLocked(p *account.Page) {
+// recordOthersLocked records the other holders on a page, among which recovery looks
+// for dead ones.
+func (h *Holder) recordOthersLocked(p *account.Page) {
 	for _, a := range p.Accounts {
 		for id := range a.Rows {
 			if id != h.id {
-				h.others[id] = struct{}{}
+				h.otherHolders[id] = struct{}{}
 			}
 		}
 	}
 }
 
-// planOne plans for one budget; written says that the page is written anyway.
-func (h *Holder) planOne(now time.Time, t Timing, a *account.Account, b *book, written bool) (commit, error) {
+// planBudgetLocked plans for one budget; written says that the page is written for another
+// budget anyway.
+func (h *Holder) planBudgetLocked(now time.Time, t Timing, a *account.Account, b *localBudget, written bool) (commit, error) {
 	row := a.Rows[h.id]
-	// Guard against a holder that was thought dead, had its row recovered,
-	// and then woke up: its row is gone, and spending on would be overspend.
-	// Nobody but this holder or a recovery removes the row.
-	if row == nil && b.folding {
-		b.clear() // the fold took effect and its answer was lost
+	// Guards against a holder that was taken for dead, had its row recovered and
+	// then resumed: its row is gone, and further spending would be overspend. Only
+	// this holder or a recovery removes the row.
+	if row == nil && b.removalPending {
+		b.reset() // the row was removed and the answer lost
 	}
 	if row == nil && b.granted > 0 {
 		h.fenced = true
 		return commit{}, Error.Wrap(ErrFenced)
 	}
 	join := row == nil
-	if join && (written || h.lean && h.policy.Decide(h.view(now, a, b)).Take <= 0) {
-		lacks := len(b.waits) > 0
-		return commit{book: b, view: h.view(now, a, b), lacking: lacks, empty: lacks && h.unspentLocked(a) < b.smallest()}, nil
+	if join && (written || h.minimalRows && h.policy.Decide(h.view(now, a, b)).Take <= 0) {
+		waits := len(b.waitingAmounts) > 0
+		return commit{budget: b, view: h.view(now, a, b), insufficient: waits, exhausted: waits && h.unspentLocked(a) < b.smallestWaiting()}, nil
 	}
 	if join {
 		a.Join(h.id)
 		row = a.Rows[h.id]
 	}
-	// A write whose answer was lost shows here: the row has more than the book.
+	// After a write whose answer was lost, the row has more than the local state.
 	b.granted = max(b.granted, row.Granted)
 	v := h.view(now, a, b)
 	v.Written = written
@@ -159,61 +161,63 @@
 	b.returned += d.Give
 	report := h.reportLocked(now, b)
 	returned := report.Returned != row.Returned
-	stale := report.Through > row.Through || report.Settled > row.Settled || demandMoved(row.Demand, report.Demand)
+	stale := report.Through > row.Through || report.Settled > row.Settled || demandChanged(row.Demand, report.Demand)
 	due := stale && now.Sub(b.lastReport) >= t.Report
 	if err := a.Report(h.id, report); err != nil {
 		return commit{}, err
 	}
 	took := a.Grant(h.id, d.Take)
 	d.Take = took
-	c := commit{book: b, granted: row.Granted, row: report, took: took > 0, view: v, decision: d}
-	c.lacking = b.waiting() > b.available()+took
-	c.empty = took == 0 && len(b.waits) > 0 && h.unspentLocked(a) < b.smallest()
-	if c.empty {
-		c.view.Unspent, c.view.Dead = h.leftLocked(a) // the report above counts
+	c := commit{budget: b, granted: row.Granted, row: report, tookTokens: took > 0, view: v, decision: d}
+	c.insufficient = b.waiting() > b.available()+took
+	c.exhausted = took == 0 && len(b.waitingAmounts) > 0 && h.unspentLocked(a) < b.smallestWaiting()
+	if c.exhausted {
+		c.view.Unspent, c.view.Dead = h.unspentAndDeadLocked(a) // includes the report above
 	}
 	unused := now.Sub(b.lastUse) > t.Fold && !b.lastUse.IsZero()
-	if b.idle() && (unused || h.stopping) || d.Fold && b.rowIdle() {
-		c.folded = h.foldLocked(a, b)
+	if b.idle() && (unused || h.stopping) || d.Fold && b.ownRowIdle() {
+		c.rowRemoved = h.removeRowLocked(a, b)
 	}
-	c.wrote = join || took > 0 || returned || due || c.folded
+	c.needsWrite = join || took > 0 || returned || due || c.rowRemoved
 	return c, nil
 }
 
-// reportLocked is the holder's own totals for its row.
-func (h *Holder) reportLocked(now time.Time, b *book) account.Row {
+// reportLocked returns the totals for the holder's row. Under minimalRows they include
+// settlements after the watermark.
+func (h *Holder) reportLocked(now time.Time, b *localBudget) account.Row {
 	row := b.row(now, h.revision)
-	if h.lean {
+	if h.minimalRows {
 		row.Settled = b.settled
 	}
 	return row
 }
 
-// unspentLocked is what is left of a budget and may still be spent.
+// unspentLocked returns what is left of a budget, without what dead incarnations hold.
 func (h *Holder) unspentLocked(a *account.Account) int64 {
-	unspent, _ := h.leftLocked(a)
+	unspent, _ := h.unspentAndDeadLocked(a)
 	return unspent
 }
 
-// leftLocked is what is left of a budget and may still be spent, and what dead lives hold of it.
-func (h *Holder) leftLocked(a *account.Account) (unspent, dead int64) {
+// unspentAndDeadLocked returns what is left of a budget for spending, and what dead
+// incarnations hold of it.
+func (h *Holder) unspentAndDeadLocked(a *account.Account) (unspent, dead int64) {
 	for id, r := range a.Rows {
-		if id != h.id && h.dead != nil && h.dead(id) {
+		if id != h.id && h.isDead != nil && h.isDead(id) {
 			dead += r.Balance()
 		}
 	}
 	return a.Unspent() - dead, dead
 }
 
-// demandMoved reports whether a row's demand is worth a write.
-func demandMoved(old, now float64) bool {
+// demandChanged reports whether a row's demand changed enough for a write.
+func demandChanged(old, now float64) bool {
 	const ratio, least = 0.5, 1.0
 	return math.Abs(now-old) > ratio*max(old, now)+least
 }
 
-// foldLocked gives the whole balance back and removes the row.
-func (h *Holder) foldLocked(a *account.Account, b *book) bool {
-	b.folding = true
+// removeRowLocked returns the whole balance to the pool and removes the row.
+func (h *Holder) removeRowLocked(a *account.Account, b *localBudget) bool {
+	b.removalPending = true
 	b.returned += b.available()
 	if err := a.Report(h.id, h.reportLocked(b.lastUse, b)); err != nil {
 		return false
@@ -221,13 +225,13 @@
 	return a.Fold(h.id)
 }
 
-func (h *Holder) view(now time.Time, a *account.Account, b *book) View {
+func (h *Holder) view(now time.Time, a *account.Account, b *localBudget) View {
 	v := View{
-		Now: now, Budget: b.budget, Credit: a.Credit(), Free: a.Free(),
+		Now: now, Budget: b.name, Credit: a.Credit(), Free: a.Free(),
 		Granted: b.granted, Available: b.available(), Reserved: b.reserved,
-		Waiting: b.waiting(), Smallest: b.smallest(), Worst: b.worst, Demand: b.demandNow(now), Holders: max(len(a.Rows), h.expected),
+		Waiting: b.waiting(), Smallest: b.smallestWaiting(), Worst: b.largestRecent, Demand: b.currentDemand(now), Holders: max(len(a.Rows), h.expectedHolders),
 	}
-	v.Unspent, v.Dead = h.leftLocked(a)
+	v.Unspent, v.Dead = h.unspentAndDeadLocked(a)
 	for id, r := range a.Rows {
 		if id != h.id {
 			v.Others += r.Demand
@@ -239,27 +243,27 @@
 	return v
 }
 
-// commit records a page that is known to be durable as planned.
+// commit applies the planned changes once the page is known to be durable.
 func (h *Holder) commit(now time.Time, t Timing, rev store.Revision, commits []commit, wrote bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.revision = max(h.revision, int64(rev))
 	for _, c := range commits {
-		b := c.book
-		b.lastSync, b.lacking = now, c.lacking
-		b.lowPause = min(max(t.LowPause, 2*b.lowPause), t.Rebalance)
-		if c.took {
-			b.lowPause = t.LowPause
+		b := c.budget
+		b.lastSync, b.insufficient = now, c.insufficient
+		b.lowBackoff = min(max(t.LowPause, 2*b.lowBackoff), t.Rebalance)
+		if c.tookTokens {
+			b.lowBackoff = t.LowPause
 		}
-		b.nextSync = now.Add(t.Rebalance - h.phase(b.budget, t.Rebalance/4))
-		if c.empty {
-			b.emptyUntil = now.Add(t.Empty)
+		b.nextSync = now.Add(t.Rebalance - h.syncOffset(b.name, t.Rebalance/4))
+		if c.exhausted {
+			b.exhaustedUntil = now.Add(t.Empty)
 		}
 		if !wrote {
 			continue
 		}
-		if c.folded {
-			h.foldedLocked(b)
+		if c.rowRemoved {
+			h.rowRemovedLocked(b)
 			continue
 		}
 		b.granted = c.granted
@@ -268,17 +272,17 @@
 	}
 }
 
-// foldedLocked resets a book whose row is gone; a request may have come in since
-// the fold was planned, and it then finds an empty book.
-func (h *Holder) foldedLocked(b *book) {
-	b.clear()
+// rowRemovedLocked resets a local budget whose row is gone. A request that came in after
+// the removal was planned finds it empty.
+func (h *Holder) rowRemovedLocked(b *localBudget) {
+	b.reset()
 	if b.idle() {
-		h.forgetLocked(b)
+		h.removeBudgetLocked(b)
 	}
 }
 
-// Due lists the pages that want a sync now: a budget is short ahead of need, or
-// was not looked at for the rebalance interval.
+// Due lists the pages to sync now: those with a budget below its low-water mark, or
+// one not synced for the rebalance interval.
 func (h *Holder) Due(now time.Time) []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -294,96 +298,96 @@
 	return keys
 }
 
-func (h *Holder) dueLocked(now time.Time, b *book) bool {
-	if h.lean && b.granted == 0 {
-		return false // it borrows; a request that needs more asks by itself
+func (h *Holder) dueLocked(now time.Time, b *localBudget) bool {
+	if h.minimalRows && b.granted == 0 {
+		return false // it borrows; requests that need more call the store themselves
 	}
 	if !now.Before(b.nextSync) {
 		return true
 	}
-	low := b.available() < h.policy.LowWater(b.budget, b.demandNow(now), b.worst)
-	return low && b.demandNow(now) > 0 && now.Sub(b.lastSync) >= b.lowPause
+	low := b.available() < h.policy.LowWater(b.name, b.currentDemand(now), b.largestRecent)
+	return low && b.currentDemand(now) > 0 && now.Sub(b.lastSync) >= b.lowBackoff
 }
 
-// phase is a fixed part of span for this holder and budget, so that the holders
-// of a page come to it at different times.
-func (h *Holder) phase(budget string, span time.Duration) time.Duration {
+// syncOffset returns a fixed fraction of span for this holder and budget, so that the
+// holders of a page sync it at different times.
+func (h *Holder) syncOffset(budget string, span time.Duration) time.Duration {
 	const steps = 64
 	return span * time.Duration(rendezvous.Bucket(h.id+"/"+budget, steps)) / steps
 }
 
-// wait notes that a request waits for n tokens; the returned func ends it.
-func (h *Holder) wait(budget string, n int64) (done func()) {
+// addWaiting records that a request waits for n tokens, until done is called.
+func (h *Holder) addWaiting(budget string, n int64) (done func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	b := h.bookLocked(budget)
-	b.waits = append(b.waits, n)
+	b := h.budgetLocked(budget)
+	b.waitingAmounts = append(b.waitingAmounts, n)
 	return func() {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		i := slices.Index(b.waits, n)
-		b.waits = slices.Delete(b.waits, i, i+1)
+		i := slices.Index(b.waitingAmounts, n)
+		b.waitingAmounts = slices.Delete(b.waitingAmounts, i, i+1)
 		if b.absent && b.idle() {
-			h.forgetLocked(b) // names that do not exist must not fill the memory
+			h.removeBudgetLocked(b) // unknown budget names must not accumulate in memory
 		}
 	}
 }
 
-// syncSoon makes the budget's page due: a request was refused, and what this holder
-// has may serve another one elsewhere.
-func (h *Holder) syncSoon(budget string) {
+// scheduleSync makes the budget's page due after a refused request: what this holder
+// has may serve another request elsewhere.
+func (h *Holder) scheduleSync(budget string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if b := h.books[budget]; b != nil && b.available() > 0 {
+	if b := h.budgets[budget]; b != nil && b.available() > 0 {
 		b.nextSync = time.Time{}
 	}
 }
 
-// shortage is what a waiting request knows of its budget.
+// shortage describes a budget for a waiting request.
 type shortage struct {
-	lack   int64 // tokens that a reservation still lacks
-	empty  bool  // the budget was just found exhausted
-	absent bool  // the budget's page has no such budget
-	// lacking says that the page, as last seen, had too little for all who waited.
-	lacking bool
+	shortfall int64 // tokens missing for the reservation; negative if more are spendable
+	exhausted bool  // a recent sync found the budget exhausted
+	absent    bool  // the budget's page has no account for it
+	// insufficient says that the page, at the last sync, had too little for all waiting requests.
+	insufficient bool
 }
 
 func (h *Holder) shortage(now time.Time, budget string, n int64) shortage {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	b := h.bookLocked(budget)
-	return shortage{lack: n - b.atHand(), empty: now.Before(b.emptyUntil), absent: b.absent, lacking: b.lacking}
+	b := h.budgetLocked(budget)
+	return shortage{shortfall: n - b.spendable(), exhausted: now.Before(b.exhaustedUntil), absent: b.absent, insufficient: b.insufficient}
 }
 
-// ownShortage returns how many tokens the own row lacks for n more.
-func (h *Holder) ownShortage(budget string, n int64) int64 {
+// ownShortfall returns how many of n tokens the own row does not have available.
+func (h *Holder) ownShortfall(budget string, n int64) int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return n - h.bookLocked(budget).available()
+	return n - h.budgetLocked(budget).available()
 }
 
-// lotWant returns how much a lot for this budget should hold.
-func (h *Holder) lotWant(now time.Time, budget string) int64 {
+// wantedLotSize returns the preferred size of a lot for this budget.
+func (h *Holder) wantedLotSize(now time.Time, budget string) int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	b := h.bookLocked(budget)
-	return h.policy.Spare(b.demandNow(now), b.worst)
+	b := h.budgetLocked(budget)
+	return h.policy.Spare(b.currentDemand(now), b.largestRecent)
 }
 
-// ReturnAll makes the next sync of each page give back whatever is available:
-// the last step of a planned stop.
+// ReturnAll makes the next sync of each page give back all available tokens. It is
+// the last step of a planned shutdown.
 func (h *Holder) ReturnAll() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.policy = returnPolicy{}
+	h.policy = returnAllPolicy{}
 	h.stopping = true
-	for _, b := range h.books {
+	for _, b := range h.budgets {
 		b.nextSync = time.Time{}
 	}
 }
 
-// returnPolicy keeps nothing.
-type returnPolicy struct{ RequestPolicy }
+// returnAllPolicy gives back all available tokens.
+type returnAllPolicy struct{ RequestPolicy }
 
 // Decide implements Policy.
-func (returnPolicy) Decide(v View) Decision { return Decision{Give: max(0, v.Available)} }
+func (returnAllPolicy) Decide(v View) Decision { return Decision{Give: max(0, v.Available)} }
--- a/coord/grant/policy.go
+++ b/coord/grant/policy.go
@@ -2,93 +2,93 @@
 
 import "time"
 
-// View is what a policy decides on: one budget, as its page and the holder's book
-// show it at one moment. Amounts are tokens.
+// View is the input of a policy: a snapshot of one budget, from its page and the
+// holder's local state. Amounts are tokens.
 type View struct {
 	Now time.Time
 	// Budget is the budget's name.
 	Budget string
-	// Credit is the sum of top-ups; Free may be granted; Unspent is left
-	// anywhere, in grants or free.
+	// Credit is the sum of top-ups; Free may be granted; Unspent is what is left
+	// in all grants and in the free pool.
 	Credit, Free, Unspent int64
-	// Dead is what lives hold that have ended; it counts as spent and is not in Unspent.
+	// Dead is held by ended incarnations; it counts as spent and is not in Unspent.
 	Dead int64
-	// Granted, Available and Reserved are the holder's own.
+	// Granted, Available and Reserved are of the holder's own row.
 	Granted, Available, Reserved int64
-	// Waiting is what requests wait for at this moment, Smallest the least that
-	// one of them wants; Worst is the largest recent reservation.
+	// Waiting is the total that waiting requests need, Smallest the smallest need
+	// of one of them; Worst is the largest recent reservation.
 	Waiting, Smallest, Worst int64
 	// Demand is the holder's recent use, Others the sum of all other rows'
 	// (tokens a second).
 	Demand, Others float64
-	// Holders counts the holders of the budget that there are or may be.
+	// Holders is the current or expected number of holders, whichever is larger.
 	Holders int
 	// IdleFor is the time since the last use here.
 	IdleFor time.Duration
-	// Written says that the page is written anyway, for another budget: to take or give then
-	// costs no call.
+	// Written says that the page is written for another budget anyway, so that taking or
+	// giving back costs no extra store call.
 	Written bool
 }
 
-// Decision is what a policy wants changed: tokens to take from the free pool,
-// or to give back to it. At most one of them is positive.
+// Decision is the output of a policy: tokens to take from the free pool, or to
+// give back to it. At most one of them is positive.
 type Decision struct {
 	Take, Give int64
-	// Fold says that the row is of no more use once nothing of it is set aside.
+	// Fold requests removal of the row once nothing of it is reserved.
 	Fold bool
 }
 
-// Policy decides the sizes of grants. It changes sizes and order only; the
-// account bounds what it may take, so no policy can break the invariant.
+// Policy decides the sizes of grants. It affects sizes and order only; the
+// account bounds what can be taken, so no policy can cause overspend.
 type Policy interface {
-	// Decide is called with the page at hand.
+	// Decide returns what to take or give back, given the page's current content.
 	Decide(View) Decision
-	// Adopt reports whether to take part in a budget that this holder has not
-	// used, given the others' demand and the number of their rows.
+	// Adopt reports whether to hold tokens of a budget that this holder has not
+	// used, given the other holders' demand and the number of their rows.
 	Adopt(others float64, holders int) bool
-	// LowWater is the amount at hand of a budget below which the holder should
+	// LowWater is the available amount of a budget below which the holder should
 	// sync the page ahead of need.
 	LowWater(budget string, demand float64, worst int64) int64
-	// Spare is how much a lender may add to a peer's need, given the
-	// borrower's demand.
+	// Spare returns the preferred size of a borrowed lot, given the borrower's
+	// demand. It matters only if it exceeds the request's need.
 	Spare(demand float64, worst int64) int64
 }
 
 // DemandPolicy spreads all unspent tokens over the holders by recent demand, with
-// a floor for each, so that a partition finds the tokens where they are needed.
-// Near the end of a budget it keeps nothing aside and asks for each request.
+// a floor for each, so that tokens are where they are needed when a partition begins.
+// Near the end of a budget it holds nothing in advance and takes tokens per request.
 type DemandPolicy struct {
 	// Floor is the share of the unspent tokens that is spread evenly (0..1).
 	Floor float64
-	// Slack is the deviation from the target that is left alone (0..1).
+	// Slack is the tolerated deviation from the target (0..1).
 	Slack float64
 	// LowSeconds is the demand, in seconds, below which to refill.
 	LowSeconds float64
-	// MinDemand is the others' demand (tokens a second) from which an unused
-	// budget is adopted; negative adopts all.
+	// MinDemand is the other holders' demand (tokens a second) above which an
+	// unused budget is adopted; negative adopts all.
 	MinDemand float64
 	// LotSeconds is the demand, in seconds, that a lot should cover.
 	LotSeconds float64
 	// IdleAfter is the time without use after which the grant shrinks to the
 	// floor.
 	IdleAfter time.Duration
-	// EndFactor is how many worst cases the holder's share must cover;
-	// below that the budget counts as near its end.
+	// EndFactor is how many of the largest recent reservations the holder's share
+	// must cover; below that the budget counts as near its end.
 	EndFactor float64
 }
 
-// FavourAvailability returns the policy for fleets that weigh false refusals
-// most: the floor keeps some tokens near callers who have been quiet, and the end
-// of a budget is treated as such late. The figures behind the numbers are in
-// docs/MEASUREMENTS.md.
+// FavourAvailability returns the policy for fleets that most want to avoid false
+// refusals: the floor keeps some tokens near callers who are idle, and the
+// per-request mode near the end of a budget starts late. The figures behind the
+// numbers are in docs/MEASUREMENTS.md.
 func FavourAvailability() DemandPolicy {
 	return DemandPolicy{Floor: 0.08, Slack: 0.25, LowSeconds: 5, MinDemand: -1,
 		LotSeconds: 5, IdleAfter: 10 * time.Minute, EndFactor: 1}
 }
 
-// FavourExactness returns the policy for fleets that weigh the end of a budget
-// most: a lower floor, and an end that begins sooner, so that the last tokens lie
-// in one place and unspent ones are seen early.
+// FavourExactness returns the policy for fleets that most want a budget to be
+// used up exactly: a lower floor and an earlier per-request mode, so that the last
+// tokens are in one place and unspent ones return to the pool early.
 func FavourExactness() DemandPolicy {
 	return DemandPolicy{Floor: 0.04, Slack: 0.25, LowSeconds: 5, MinDemand: -1,
 		LotSeconds: 2, IdleAfter: 2 * time.Minute, EndFactor: 3}
@@ -98,22 +98,22 @@
 func (p DemandPolicy) Decide(v View) Decision {
 	target := p.target(v)
 	if target < int64(p.EndFactor*float64(v.Worst)) {
-		return exact(v)
+		return takeExact(v)
 	}
-	mine := v.Available + v.Reserved
+	held := v.Available + v.Reserved
 	low := target - int64(p.Slack*float64(target))
 	high := target + int64(p.Slack*float64(target))
 	need := v.Waiting - v.Available
 	switch {
-	case mine < low || need > 0:
-		return Decision{Take: min(v.Free, max(need, target-mine))}
-	case mine > high:
-		return Decision{Give: max(0, min(v.Available-v.Waiting, mine-target))}
+	case held < low || need > 0:
+		return Decision{Take: min(v.Free, max(need, target-held))}
+	case held > high:
+		return Decision{Give: max(0, min(v.Available-v.Waiting, held-target))}
 	}
 	return Decision{}
 }
 
-// target is the holder's share of the unspent tokens.
+// target returns the holder's share of the unspent tokens.
 func (p DemandPolicy) target(v View) int64 {
 	n := max(1, v.Holders)
 	even := 1 / float64(n)
@@ -127,11 +127,11 @@
 	return int64(share * float64(v.Unspent))
 }
 
-// exact takes just what waits and gives the rest back. What does not suffice for
-// any waiting request stays in the pool: taken, it would serve nobody, and would be
-// missing when a smaller request comes elsewhere. What the holder has stays too while
-// a request waits, for peers may add what lacks.
-func exact(v View) Decision {
+// takeExact takes only what requests wait for and gives the rest back. An amount that
+// suffices for no waiting request stays in the pool: taken, it would serve none of
+// them and be missing for a smaller request elsewhere. The holder keeps its own
+// tokens while a request waits, since peers may lend the rest.
+func takeExact(v View) Decision {
 	need := v.Waiting - v.Available
 	switch {
 	case need <= 0:
@@ -155,8 +155,8 @@
 	return max(worst, int64(p.LotSeconds*demand))
 }
 
-// EvenPolicy is a baseline: each of N holders takes 1/N of the credit and
-// never more. It uses no demand and gives nothing back.
+// EvenPolicy is a baseline: each of N holders takes at most 1/N of the credit. It
+// ignores demand and gives nothing back.
 type EvenPolicy struct{ N int }
 
 // Decide implements Policy.
@@ -173,12 +173,12 @@
 // Spare implements Policy.
 func (EvenPolicy) Spare(float64, int64) int64 { return 0 }
 
-// RequestPolicy is a baseline: it takes what one request waits for and gives the
-// rest back, with store writes for every request.
+// RequestPolicy is a baseline: it takes what requests wait for and gives the rest
+// back, with store writes for every request.
 type RequestPolicy struct{}
 
 // Decide implements Policy.
-func (RequestPolicy) Decide(v View) Decision { return exact(v) }
+func (RequestPolicy) Decide(v View) Decision { return takeExact(v) }
 
 // Adopt implements Policy.
 func (RequestPolicy) Adopt(float64, int) bool { return false }
--- a/coord/grant/property_test.go
+++ b/coord/grant/property_test.go
@@ -14,8 +14,8 @@
 	"pgregory.net/rapid"
 )
 
-// world is a fleet under random failures.
-type world struct {
+// faultyFleet is a fleet under random failures.
+type faultyFleet struct {
 	*lab.Fleet
 	t      *rapid.T
 	ctx    context.Context
@@ -26,10 +26,10 @@
 
 var dcs = []string{"bergen", "alesund", "floro"}
 
-func newWorld(ctx context.Context, t *rapid.T) *world {
+func newFaultyFleet(ctx context.Context, t *rapid.T) *faultyFleet {
 	policy := rapid.SampledFrom([]grant.Policy{grant.FavourAvailability(), grant.FavourExactness(),
 		grant.EvenPolicy{N: 3}, grant.RequestPolicy{}}).Draw(t, "policy")
-	w := &world{t: t, ctx: ctx, Fleet: lab.New(lab.Options{Pages: 1, Policy: func() grant.Policy { return policy },
+	w := &faultyFleet{t: t, ctx: ctx, Fleet: lab.New(lab.Options{Pages: 1, Policy: func() grant.Policy { return policy },
 		Timing: grant.DefaultTiming(), Transfers: true, Expect: 3})}
 	require.NoError(t, w.Book().Create(ctx, budget, "team"))
 	w.topUp()
@@ -41,7 +41,7 @@
 	return w
 }
 
-func (w *world) topUp() {
+func (w *faultyFleet) topUp() {
 	n := rapid.Int64Range(1, 2000).Draw(w.t, "credit")
 	w.count++
 	ctx, cancel := context.WithTimeout(w.ctx, lab.CallTimeout)
@@ -50,14 +50,14 @@
 		w.credit += n
 		return
 	}
-	// Not acknowledged; it may have taken effect. The account tells.
+	// Not acknowledged, but it may have taken effect: read the account.
 	w.Store.SetFaults(memstore.Faults{})
 	a, err := w.Book().Get(w.ctx, budget)
 	require.NoError(w.t, err)
 	w.credit = a.Credit()
 }
 
-func (w *world) start(dc string) {
+func (w *faultyFleet) start(dc string) {
 	ctx, cancel := context.WithTimeout(w.ctx, lab.CallTimeout)
 	defer cancel()
 	if n, err := w.AddNode(ctx, dc+"-router", dc); err == nil {
@@ -65,9 +65,9 @@
 	}
 }
 
-func (w *world) node() *lab.Node { return rapid.SampledFrom(w.Nodes).Draw(w.t, "node") }
+func (w *faultyFleet) node() *lab.Node { return rapid.SampledFrom(w.Nodes).Draw(w.t, "node") }
 
-func (w *world) step() {
+func (w *faultyFleet) step() {
 	switch rapid.IntRange(0, 14).Draw(w.t, "op") {
 	case 0, 1, 2, 3:
 		w.serve()
@@ -106,7 +106,7 @@
 	}
 }
 
-func (w *world) serve() {
+func (w *faultyFleet) serve() {
 	n := w.node()
 	if n.Dead || n.Frozen {
 		return
@@ -118,7 +118,7 @@
 	}
 }
 
-func (w *world) finish() {
+func (w *faultyFleet) finish() {
 	if len(w.open) == 0 {
 		return
 	}
@@ -127,18 +127,18 @@
 	w.open = append(w.open[:i], w.open[i+1:]...)
 }
 
-// recover recovers a holder that is dead, or only thought dead.
-func (w *world) recover() {
+// recover recovers a holder that is dead or wrongly taken for dead.
+func (w *faultyFleet) recover() {
 	n := w.node()
 	_, _ = w.Recover(w.ctx, rapid.SampledFrom(dcs).Draw(w.t, "seat"), n.Holder.ID(), rapid.Bool().Draw(w.t, "forfeit"))
 }
 
-func (w *world) check() {
+func (w *faultyFleet) check() {
 	require.LessOrEqual(w.t, w.Served(budget), w.credit, "overspend")
 }
 
-// settleDown ends all failures and requests, and lets every node report.
-func (w *world) settleDown() {
+// stabilize ends all failures and requests, and makes every node report.
+func (w *faultyFleet) stabilize() {
 	w.Store.SetFaults(memstore.Faults{})
 	w.DropLots = 0
 	w.Heal()
@@ -160,23 +160,23 @@
 	}
 }
 
-// noDeadline hides the test's deadline, which may not be asked for in a bubble.
+// noDeadline hides the test's deadline, which must not be read in a synctest bubble.
 type noDeadline struct{ testing.TB }
 
-// Whatever happens, and in whatever order: cuts, deaths, freezes, wrong recoveries,
-// lost answers, lost lots, outages, top-ups. No team is served more than it paid for,
-// and when all is quiet the account has settled what the agents served, or more where
-// a lot's use could not be proved.
+// Guards against overspend under partitions, deaths, freezes, wrong recoveries, lost answers,
+// lost lots, outages and top-ups in any order. No team may be served more than it paid for,
+// and after all failures end the account must have settled what the agents served, or more
+// where a lot's use could not be proved.
 func TestNoOverspendUnderAnyInterleaving(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		rapid.Check(noDeadline{t}, func(rt *rapid.T) {
-			w := newWorld(t.Context(), rt)
+			w := newFaultyFleet(t.Context(), rt)
 			for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 				w.step()
 				w.Quiesce()
 				w.check()
 			}
-			w.settleDown()
+			w.stabilize()
 			w.check()
 			a, err := w.Book().Get(w.ctx, budget)
 			require.NoError(rt, err)
--- a/coord/grant/reservation.go
+++ b/coord/grant/reservation.go
@@ -1,12 +1,12 @@
 // Package grant lets one process spend from prepaid budgets without a store call
 // for each request. A Holder has grants: tokens that its row of the account
-// gives to it alone, and lots: tokens that a peer reserved for it out of the
+// assigns to it exclusively, and lots: tokens that a peer reserved for it from the
 // peer's own grant. Requests reserve their worst case first, and settle what they
 // used afterwards.
 //
-// Grants and lots do not lapse by clock. A holder that is cut off may spend what
-// it holds and nobody else may, so a pause or a partition of any length cannot
-// make two holders spend the same tokens.
+// Grants and lots do not expire. A partitioned holder may spend what it holds and no
+// other holder may, so a pause or a partition of any length cannot make two holders
+// spend the same tokens.
 package grant
 
 import (
@@ -17,39 +17,39 @@
 var Error = errs.Class("grant")
 
 var (
-	// ErrShort says that the holder has too few tokens at hand.
-	ErrShort = errs.New("too few tokens at hand")
-	// ErrExhausted says that the whole budget has too few tokens left,
-	// wherever they lie.
+	// ErrShort says that the holder has too few tokens.
+	ErrShort = errs.New("holder has too few tokens")
+	// ErrExhausted says that the whole budget has too few tokens left, over all
+	// holders and the free pool.
 	ErrExhausted = errs.New("budget exhausted")
-	// ErrHeld says that what is left of the budget is set aside for requests in
-	// progress. Some of it may come back, and nobody else has any.
-	ErrHeld = errs.New("all tokens left are set aside")
-	// ErrUnreachable says that the budget may have tokens left, but none that
-	// can be reached now.
-	ErrUnreachable = errs.New("no tokens within reach")
-	// ErrFenced says that this incarnation's grants were recovered while it
-	// was thought dead. It must spend nothing and start as a new incarnation.
+	// ErrHeld says that all that is left of the budget is reserved for requests in
+	// progress. Some of it may come back unused; no other holder has any.
+	ErrHeld = errs.New("all remaining tokens are reserved")
+	// ErrUnreachable says that the budget may have tokens left, but none can be
+	// reached now.
+	ErrUnreachable = errs.New("no tokens reachable")
+	// ErrFenced says that this incarnation was taken for dead and its grants were
+	// recovered. It must not spend any more and must restart as a new incarnation.
 	ErrFenced = errs.New("holder is fenced")
 	// ErrNoBudget says that the budget does not exist.
 	ErrNoBudget = errs.New("no such budget")
 )
 
-// Part is a reserved amount out of one source: reservation Seq of the row of
-// Holder. Seq numbers are unique for a holder across its budgets.
+// Part is an amount reserved from one source: reservation Seq of the row of Holder.
+// Seq numbers are unique for a holder across its budgets.
 type Part struct {
 	Holder string `json:"holder"`
 	Seq    int64  `json:"seq"`
 	Tokens int64  `json:"tokens"`
 }
 
-// Reservation is the worst case of one request, set aside before any work starts.
+// Reservation is the worst case of one request, reserved before any work starts.
 type Reservation struct {
 	Budget string `json:"budget"`
 	Parts  []Part `json:"parts"`
 }
 
-// Tokens is the reserved amount.
+// Tokens returns the reserved amount.
 func (r Reservation) Tokens() int64 {
 	var n int64
 	for _, p := range r.Parts {
@@ -59,8 +59,8 @@
 }
 
 // Split attributes used tokens to the parts, in order. Router and agent both
-// use it, so that their records agree on what each source paid. Used is cut
-// to the reserved amount.
+// use it, so that their records agree on what each source paid. Used is capped
+// at the reserved amount.
 func (r Reservation) Split(used int64) []Part {
 	out := make([]Part, len(r.Parts))
 	for i, p := range r.Parts {
--- a/coord/grant/trace.go
+++ b/coord/grant/trace.go
@@ -7,32 +7,32 @@
 	"time"
 )
 
-// Trace notes who was asked for the tokens of one request, so that a refusal can be explained.
-// One goroutine uses it.
-type Trace struct{ steps []step }
+// Trace records which sources were asked for the tokens of one request, to explain a refusal.
+// It is not safe for concurrent use.
+type Trace struct{ steps []traceStep }
 
-// step is one source that was asked, and what came of it.
-type step struct {
+// traceStep is one source that was asked, with its answer.
+type traceStep struct {
 	source string
 	took   time.Duration
 	err    error
 }
 
-// mostSteps bounds a trace: a request asks a few sources, some of them again.
-const mostSteps = 12
+// maxTraceSteps bounds a trace. A request asks a few sources, some of them repeatedly.
+const maxTraceSteps = 12
 
 type traceKey struct{}
 
-// WithTrace returns a context under which what is asked is noted in t.
+// WithTrace returns a context under which NoteAsked records in t.
 func WithTrace(ctx context.Context, t *Trace) context.Context {
 	return context.WithValue(ctx, traceKey{}, t)
 }
 
-// NoteAsked notes in the context's trace, if it has one, that a source was asked.
+// NoteAsked records in the context's trace, if it has one, that a source was asked.
 func NoteAsked(ctx context.Context, source string, took time.Duration, err error) {
 	t, ok := ctx.Value(traceKey{}).(*Trace)
-	if ok && len(t.steps) < mostSteps {
-		t.steps = append(t.steps, step{source, took, err})
+	if ok && len(t.steps) < maxTraceSteps {
+		t.steps = append(t.steps, traceStep{source, took, err})
 	}
 }
 
--- a/coord/grant/witness_property_test.go
+++ b/coord/grant/witness_property_test.go
@@ -14,32 +14,32 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against tokens that a lender's death frees although they were used: borrowers and
-// witnesses die with it, are cut off, and messages between them are lost, repeated and late.
+// Guards against freeing a dead lender's tokens that were used, when borrowers and witnesses die
+// with it or are partitioned, and messages between them are lost, repeated and delayed.
 func TestNoOverspendWithWitnesses(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		freed := int64(0)
 		rapid.Check(noDeadline{t}, func(rt *rapid.T) {
-			f := newLeanFleet(rt)
-			f.settles = true
-			f.witnesses = []*leanLife{f.start("witness"), f.start("witness")}
+			f := newLenderFleet(rt)
+			f.settleLenders = true
+			f.witnesses = []*process{f.start("witness"), f.start("witness")}
 			for range rapid.IntRange(1, 100).Draw(rt, "steps") {
 				f.step(t.Context())
 				for _, l := range f.all {
-					l.pages.Wait() // nothing of a step goes on in the next one
+					l.pages.Wait() // no call continues in the next step
 				}
 				synctest.Wait()
-				f.noteFolded(t.Context())
+				f.forgetRemovedRows(t.Context())
 				require.LessOrEqual(rt, f.used, f.limit, "overspend")
 			}
 			freed += f.freedByWitnesses
 		})
-		require.Positive(t, freed, "some settlement freed tokens by the word of witnesses")
+		require.Positive(t, freed, "some settlement must free tokens by testimony of witnesses")
 	})
 }
 
-// noteFolded forgets what was used of rows that are gone.
-func (f *leanFleet) noteFolded(ctx context.Context) {
+// forgetRemovedRows drops the recorded use of rows that were removed.
+func (f *lenderFleet) forgetRemovedRows(ctx context.Context) {
 	f.store.SetFaults(memstore.Faults{})
 	defer f.store.SetFaults(f.faults)
 	item, err := f.store.Get(ctx, f.layout.KeyOf(0))
@@ -53,37 +53,37 @@
 	}
 }
 
-// appoint gives a lender one or both of the witnesses that live now.
-func (f *leanFleet) appoint(ctx context.Context) {
+// appoint assigns one or both of the running witnesses to a lender.
+func (f *lenderFleet) appoint(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 	defer cancel()
 	ids := []string{f.witnesses[0].id, f.witnesses[1].id}
 	from := rapid.IntRange(0, 1).Draw(f.t, "first witness")
 	to := rapid.IntRange(from+1, 2).Draw(f.t, "after the last witness")
-	_ = f.lender().exposure.Appoint(ctx, ids[from:to]...) // failures are part of the world
+	_ = f.lender().exposure.Appoint(ctx, ids[from:to]...) // failures are part of the test
 }
 
-// disturbWitness cuts a witness off, brings it back, or starts another in its place.
-func (f *leanFleet) disturbWitness() {
+// changeWitness partitions a witness, reconnects it, or starts another in its place.
+func (f *lenderFleet) changeWitness() {
 	i := rapid.IntRange(0, 1).Draw(f.t, "which witness")
 	if rapid.Bool().Draw(f.t, "cut") {
-		f.witnesses[i].cut = !f.witnesses[i].cut
+		f.witnesses[i].partitioned = !f.witnesses[i].partitioned
 		return
 	}
 	f.dead[f.witnesses[i].id] = true
 	f.witnesses[i] = f.start("witness")
 }
 
-// tell brings a lender's limits to a witness; some arrive once more, much later.
-func (l *leanLife) tell(_ context.Context, witness string, notice settlement.Notice) error {
+// sendNotice delivers a lender's limits to a witness and records a duplicate for later delivery.
+func (l *process) sendNotice(_ context.Context, witness string, notice settlement.Notice) error {
 	f := l.fleet
 	for _, w := range f.witnesses {
-		if w.id != witness || w.cut || l.cut {
+		if w.id != witness || w.partitioned || l.partitioned {
 			continue
 		}
-		again := func() { _ = w.witness.Note(time.Now(), notice) } // a witness may refuse what is late
+		again := func() { _ = w.witness.Note(time.Now(), notice) } // a witness may refuse a late notice
 		f.mu.Lock()
-		f.late = append(f.late, again)
+		f.delayed = append(f.delayed, again)
 		f.mu.Unlock()
 		if err := w.witness.Note(time.Now(), notice); err != nil || !f.loseAnswers {
 			return err
@@ -92,17 +92,17 @@
 	return errLost
 }
 
-func (f *leanFleet) deliverLate() {
-	if len(f.late) == 0 {
+func (f *lenderFleet) deliverDelayed() {
+	if len(f.delayed) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(f.late)-1).Draw(f.t, "late message")
-	f.late[i]()
+	i := rapid.IntRange(0, len(f.delayed)-1).Draw(f.t, "late message")
+	f.delayed[i]()
 }
 
-func (f *leanFleet) askWitness(_ context.Context, witness, lender string, term int64) (settlement.Testimony, error) {
+func (f *lenderFleet) askWitness(_ context.Context, witness, lender string, term int64) (settlement.Testimony, error) {
 	for _, w := range f.witnesses {
-		if w.id == witness && !w.cut && !f.loseAnswers {
+		if w.id == witness && !w.partitioned && !f.loseAnswers {
 			return w.witness.Testify(lender, term), nil
 		}
 	}
