--- a/coord/relay/feed.go
+++ b/coord/relay/feed.go
@@ -11,20 +11,20 @@
 	"github.com/arbutusmill/arbutusmill/coord/store"
 )
 
-// mostKept bounds the changes that a feed keeps for followers that were away. One that has
-// missed more gets all keys again.
-const mostKept = 1024
+// maxKeptChanges bounds the changes that a feed keeps for followers that fell behind. A
+// follower that missed more gets all keys again.
+const maxKeptChanges = 1024
 
 // feed is a copy of the keys under one prefix, with their last changes. It implements
-// mirror.Reader; its followers read it at the same time.
+// mirror.Reader; followers read it concurrently.
 type feed struct {
 	now func() time.Time
-	// staleAfter is how long after the last word of the store the copy counts as not followed:
-	// a call that is never answered would else leave followers without changes for as long as
-	// its own timeout.
+	// staleAfter is how long after the store's last answer the copy counts as not followed.
+	// Without it, a call that is never answered would leave followers without changes until
+	// that call times out.
 	staleAfter time.Duration
-	// changed is called, without the lock, when there may be something new for followers.
-	changed func()
+	// notify is called, without the lock held, when there may be updates for followers.
+	notify func()
 
 	mu      sync.Mutex
 	items   map[string]store.Item
@@ -32,39 +32,42 @@
 	from    store.Revision
 	// at is the revision up to which the copy is complete; 0 before the first read.
 	at store.Revision
-	// heard is when the store last answered, or the feed began.
-	heard time.Time
-	// lost says that the store is not followed; outage, that it was not before the last read.
+	// lastContact is when the store last answered, or when the feed started.
+	lastContact time.Time
+	// lost is set while the store is not followed; outage, if it was not followed before the
+	// last read.
 	lost, outage bool
-	// fresh is what was read last, until its revision is known, and pending the changes since
-	// at was: the copy is always that of one revision.
-	fresh   map[string]store.Item
-	pending []Change
-	// whole is the revision from which the copy is one: the pages of a read are no snapshot,
-	// and a key of a later page may be newer than the revision of the read. Passed on at
-	// once, such a key would go back at a follower that turns to another relay.
-	whole store.Revision
+	// snapshot holds the last read until its revision is known; pending holds the changes after
+	// at. The copy thus always corresponds to a single revision.
+	snapshot map[string]store.Item
+	pending  []Change
+	// consistentAt is the first revision at which the copy is consistent: the pages of a read
+	// are not one snapshot, and a key of a later page may be newer than the revision of the
+	// read. If such a key were passed on at once, it would go back to an older revision at a
+	// follower that switches to another relay.
+	consistentAt store.Revision
 }
 
-// Reset implements mirror.Reader. Followers see it with the revision, which complete brings.
+// Reset implements mirror.Reader. The items become visible to followers when complete sets
+// their revision.
 func (f *feed) Reset(items []store.Item) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.fresh, f.pending, f.whole = make(map[string]store.Item, len(items)), nil, 0
+	f.snapshot, f.pending, f.consistentAt = make(map[string]store.Item, len(items)), nil, 0
 	for _, it := range items {
-		f.fresh[it.Key] = it
-		f.whole = max(f.whole, it.Revision)
+		f.snapshot[it.Key] = it
+		f.consistentAt = max(f.consistentAt, it.Revision)
 	}
 }
 
-// complete notes that the copy has all changes up to a revision.
+// complete records that the copy has all changes up to a revision.
 func (f *feed) complete(at store.Revision) {
 	f.mu.Lock()
-	defer f.changed()
+	defer f.notify()
 	defer f.mu.Unlock()
-	f.heard = f.now()
-	if f.fresh != nil {
-		f.items, f.fresh = f.fresh, nil
+	f.lastContact = f.now()
+	if f.snapshot != nil {
+		f.items, f.snapshot = f.snapshot, nil
 		f.changes, f.from, f.at = nil, at, at
 		f.outage, f.lost = f.lost, false
 		return
@@ -73,16 +76,16 @@
 		f.applyLocked(c)
 	}
 	f.pending = nil
-	if f.at < f.whole && f.whole <= at {
-		f.changes, f.from = nil, at // nobody has been told anything yet
+	if f.at < f.consistentAt && f.consistentAt <= at {
+		f.changes, f.from = nil, at // nothing was served to followers yet
 	}
 	f.at = max(f.at, at)
 }
 
-// applyLocked brings the copy up to date with one change.
+// applyLocked applies one change to the copy.
 func (f *feed) applyLocked(c Change) {
 	if f.items[c.Key].Revision > c.Revision {
-		return // the read was newer
+		return // the snapshot was newer
 	}
 	if c.Removed {
 		delete(f.items, c.Key)
@@ -90,7 +93,7 @@
 		f.items[c.Key] = c.item()
 	}
 	f.changes = append(f.changes, c)
-	if over := len(f.changes) - mostKept; over > 0 {
+	if over := len(f.changes) - maxKeptChanges; over > 0 {
 		f.from = f.changes[over-1].Revision
 		f.changes = slices.Clone(f.changes[over:])
 	}
@@ -107,29 +110,29 @@
 	f.pending = append(f.pending, c)
 }
 
-// Lost implements mirror.Reader. A history that is gone is no outage: the keys are read
-// again at once, and until then the copy stands.
+// Lost implements mirror.Reader. A compacted history is not an outage: the keys are read
+// again at once, and the copy stays valid until then.
 func (f *feed) Lost(err error) {
 	if errors.Is(err, store.ErrCompacted) {
 		return
 	}
 	f.mu.Lock()
-	defer f.changed()
+	defer f.notify()
 	defer f.mu.Unlock()
 	f.lost = true
 }
 
-// since returns what came after a position, and whether that is news to the follower.
-func (f *feed) since(p Position) (u Update, news bool) {
+// since returns what changed after a position, and whether that is new to the follower.
+func (f *feed) since(p Position) (u Update, hasNew bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	u = Update{Prefix: p.Prefix, At: p.After, Age: f.now().Sub(f.heard)}
+	u = Update{Prefix: p.Prefix, At: p.After, Age: f.now().Sub(f.lastContact)}
 	if f.lost || u.Age >= f.staleAfter {
 		u.Lost = true
 		return u, !p.Lost
 	}
-	if f.at == 0 || f.at < f.whole {
-		u.Lost = p.Lost // the first read is under way
+	if f.at == 0 || f.at < f.consistentAt {
+		u.Lost = p.Lost // the first read is in progress
 		return u, false
 	}
 	u.At = f.at
@@ -144,14 +147,14 @@
 
 func byRevision(c Change, r store.Revision) int { return cmp.Compare(c.Revision, r) }
 
-// staleAt is when the copy counts as not followed unless the store is heard of.
+// staleAt is when the copy counts as not followed unless the store answers before.
 func (f *feed) staleAt() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.heard.Add(f.staleAfter)
+	return f.lastContact.Add(f.staleAfter)
 }
 
-// allLocked lists all keys in their order.
+// allLocked lists all keys in order.
 func (f *feed) allLocked() []Change {
 	out := make([]Change, 0, len(f.items))
 	for _, it := range f.items {
@@ -161,20 +164,20 @@
 	return out
 }
 
-// state is a feed for dumps and metrics.
+// state returns the feed's state for dumps and metrics.
 func (f *feed) state(prefix string) FeedState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	age := f.now().Sub(f.heard)
+	age := f.now().Sub(f.lastContact)
 	return FeedState{Prefix: prefix, At: f.at, Keys: len(f.items), Lost: f.lost || age >= f.staleAfter, AgeSeconds: age.Seconds()}
 }
 
-// FeedState is one prefix as a relay has it.
+// FeedState is the state of a relay's copy of one prefix.
 type FeedState struct {
 	Prefix string         `json:"prefix"`
 	At     store.Revision `json:"revision"`
 	Keys   int            `json:"keys"`
 	Lost   bool           `json:"lost"`
-	// AgeSeconds is the time since the store was heard of.
+	// AgeSeconds is the time since the store last answered.
 	AgeSeconds float64 `json:"age_seconds"`
 }
--- a/coord/relay/follower.go
+++ b/coord/relay/follower.go
@@ -15,162 +15,162 @@
 
 const (
 	// pollWait is how long a relay waits for changes before it answers without any. Together
-	// with answerSlack it bounds how late a follower notices that its relay fell silent,
-	// which must stay well below the seconds in which changes are to be in force.
+	// with answerSlack it bounds how long a follower takes to detect that its relay stopped
+	// answering, which must stay well below the seconds in which changes must take effect.
 	pollWait = 700 * time.Millisecond
-	// answerSlack is what an answer may take beyond its wait: many times the way between two
-	// VMs, so that a full link for a moment is no dead relay.
+	// answerSlack is what an answer may take beyond its wait: many times the latency between
+	// two VMs, so that a link that is briefly saturated does not count as a dead relay.
 	answerSlack = 400 * time.Millisecond
-	// lostPause is how long a source that lost the store is left alone while another one has
-	// it.
-	lostPause = time.Second
-	// nobodyPause is the pause before the next look where there is nobody to ask.
-	nobodyPause = 100 * time.Millisecond
-	// cooldownMin and cooldownMax bound how long a source is left alone that did not answer; it
-	// doubles with each failure. Each try costs followers up to the slack.
+	// lostCooldown is how long a source that lost the store is not polled while another source
+	// still follows it.
+	lostCooldown = time.Second
+	// noSourcePause is the pause before the next attempt when there is no source to poll.
+	noSourcePause = 100 * time.Millisecond
+	// cooldownMin and cooldownMax bound how long a source that did not answer is not polled; the
+	// pause doubles with each failure. Each attempt delays followers by up to answerSlack.
 	cooldownMin = time.Second
 	cooldownMax = 8 * time.Second
 )
 
-// Source answers followers: a relay, or this process's own Hub.
+// Source serves followers: a relay, or this process's own Hub.
 type Source struct {
-	// Name is for logs, and the same as long as it is the same relay.
+	// Name identifies the relay in logs and does not change while it is the same relay.
 	Name   string
 	Follow func(ctx context.Context, r Request) (Reply, error)
-	// Usable, if set, is asked before a source is turned to whose use costs the store; nil
-	// is always.
+	// Usable, if set, is called before the source is polled, for sources whose use adds load
+	// to the store. Nil means always usable.
 	Usable func(ctx context.Context) bool
 }
 
-// Reporter hears what a follower goes through.
+// Reporter receives the events of a follower.
 type Reporter interface {
 	// SourceChanged is called when another source is followed, with the reason.
-	SourceChanged(source string, why error)
-	// SourceRefused is called for each answer that breaks the rules.
-	SourceRefused(source string, why error)
+	SourceChanged(source string, reason error)
+	// SourceRefused is called for each invalid answer.
+	SourceRefused(source string, reason error)
 }
 
-// Follower keeps readers up to date with what relays tell.
+// Follower keeps readers up to date with the changes that relays send.
 type Follower struct {
 	// Store names the store; see Request.
 	Store string
-	// Readers are told of the keys under their prefixes. Their methods are called from
-	// Run's goroutine.
+	// Readers receive the changes under their prefixes. Their methods are called from Run's
+	// goroutine.
 	Readers map[string]mirror.Reader
-	// Sources lists where to ask, best first; it is called before each question.
+	// Sources lists the sources to poll, best first; it is called before each poll.
 	Sources func() []Source
 	Report  Reporter
-	// Now is the clock.
+	// Now returns the current time.
 	Now func() time.Time
 
-	copies    map[string]*progress
-	cooldowns map[string]*cooldown // by the names of sources
-	// current is the source that answered last, why the reason for leaving the one before.
-	current string
-	why     error
-	// failing says that the source asked last did not answer.
+	progress  map[string]*progress
+	cooldowns map[string]*cooldown // by source name
+	// current is the source that answered last; leaveReason is why the previous one was left.
+	current     string
+	leaveReason error
+	// failing is set if the source polled last did not answer.
 	failing bool
 
 	mu sync.Mutex
-	// told is what State returns.
-	told FollowerState
+	// state is returned by State.
+	state FollowerState
 }
 
-// FollowerState is a follower for dumps and metrics.
+// FollowerState is the state of a follower for dumps and metrics.
 type FollowerState struct {
-	// Source is the one that is followed, "" if none is.
+	// Source is the name of the source that is followed, "" if there is none.
 	Source string `json:"source"`
-	// Revisions are those up to which the readers have all changes, by prefix.
+	// Revisions are the revisions up to which the readers have all changes, by prefix.
 	Revisions map[string]store.Revision `json:"revisions"`
-	// Heard is when a source answered last, and Age how old (ns) what it had was then.
+	// Heard is when a source last answered, and Age how old (ns) its data was then.
 	Heard time.Time     `json:"heard"`
 	Age   time.Duration `json:"age_ns"`
 }
 
-// State returns what is followed now.
+// State returns the follower's current state.
 func (f *Follower) State() FollowerState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.told
+	return f.state
 }
 
-// note keeps what State returns.
-func (f *Follower) note(age time.Duration) {
+// recordState updates what State returns.
+func (f *Follower) recordState(age time.Duration) {
 	revisions := map[string]store.Revision{}
-	for prefix, c := range f.copies {
+	for prefix, c := range f.progress {
 		revisions[prefix] = c.at
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.told = FollowerState{Source: f.current, Revisions: revisions, Heard: f.Now(), Age: age}
+	f.state = FollowerState{Source: f.current, Revisions: revisions, Heard: f.Now(), Age: age}
 }
 
-// progress is how far one reader is.
+// progress is the position of one reader.
 type progress struct {
 	at store.Revision
-	// warned says that a source lost the store since the reader's last update: what the next
-	// whole copy lacks may have lapsed only because the store was away.
-	warned bool
-	// lost says that the reader was told so.
-	lost bool
+	// outageSeen is set if a source lost the store since the reader's last update: entries
+	// missing from the next whole copy may have lapsed only because the store was unreachable.
+	outageSeen bool
+	// lossReported is set after Lost was called on the reader, until its next whole copy.
+	lossReported bool
 }
 
-// cooldown is how a source that failed is left alone for a while.
+// cooldown keeps a source that failed from being polled for a while.
 type cooldown struct {
-	until time.Time
-	fails int
-	// lost says that it answered, but has lost the store.
-	lost bool
+	until    time.Time
+	failures int
+	// storeLost is set if the source answered, but has lost the store.
+	storeLost bool
 }
 
 // Run follows until the context ends.
 func (f *Follower) Run(ctx context.Context) {
-	f.copies, f.cooldowns = map[string]*progress{}, map[string]*cooldown{}
+	f.progress, f.cooldowns = map[string]*progress{}, map[string]*cooldown{}
 	for prefix := range f.Readers {
-		f.copies[prefix] = &progress{}
+		f.progress[prefix] = &progress{}
 	}
 	for ctx.Err() == nil {
 		sources := f.Sources()
-		f.forget(sources)
-		if s, ok := f.next(ctx, sources); ok {
-			f.ask(ctx, s, false)
+		f.pruneCooldowns(sources)
+		if s, ok := f.nextSource(ctx, sources); ok {
+			f.poll(ctx, s, false)
 			continue
 		}
-		f.awaitReturn(ctx, sources)
+		f.waitForStore(ctx, sources)
 	}
 }
 
-// awaitReturn waits while nobody has the store: at a source that will tell when it has it
-// again, so that hundreds of followers need not ask the store for that. What that source has
-// all the same goes on.
-func (f *Follower) awaitReturn(ctx context.Context, sources []Source) {
+// waitForStore waits while no source follows the store. It polls a source that answers when it
+// reaches the store again, so that hundreds of followers need not poll the store for that.
+// Prefixes that this source still follows are kept up to date.
+func (f *Follower) waitForStore(ctx context.Context, sources []Source) {
 	for _, s := range sources {
-		if a := f.cooldowns[s.Name]; a != nil && a.lost {
-			f.lose(func(c *progress) bool { return c.warned })
-			f.ask(ctx, s, true)
+		if cd := f.cooldowns[s.Name]; cd != nil && cd.storeLost {
+			f.reportLost(func(c *progress) bool { return c.outageSeen })
+			f.poll(ctx, s, true)
 			return
 		}
 	}
-	f.lose(func(*progress) bool { return true })
-	_ = backoff.Sleep(ctx, nobodyPause) // ends early only with the context
+	f.reportLost(func(*progress) bool { return true })
+	_ = backoff.Sleep(ctx, noSourcePause) // ends early only with the context
 }
 
-// next is the first source that is not left alone.
-func (f *Follower) next(ctx context.Context, sources []Source) (Source, bool) {
+// nextSource returns the first usable source that is not in cooldown.
+func (f *Follower) nextSource(ctx context.Context, sources []Source) (Source, bool) {
 	for _, s := range sources {
-		if a := f.cooldowns[s.Name]; a != nil && f.Now().Before(a.until) {
+		if cd := f.cooldowns[s.Name]; cd != nil && f.Now().Before(cd.until) {
 			continue
 		}
 		if s.Usable == nil || s.Usable(ctx) {
 			return s, true
 		}
-		f.coolDown(s.Name, cooldownMin).lost = false
+		f.coolDown(s.Name, cooldownMin).storeLost = false
 	}
 	return Source{}, false
 }
 
-// forget drops what is known of sources that are no longer there.
-func (f *Follower) forget(sources []Source) {
+// pruneCooldowns removes the cooldowns of sources that no longer exist.
+func (f *Follower) pruneCooldowns(sources []Source) {
 	for name := range f.cooldowns {
 		if !slices.ContainsFunc(sources, func(s Source) bool { return s.Name == name }) {
 			delete(f.cooldowns, name)
@@ -178,69 +178,71 @@
 	}
 }
 
-// ask asks a source once. One that failed before, or that comes after one that did not answer, is
-// only asked what it has: if it is silent too, changes are held up for no longer than that. Relays
-// that lose power together would else take up the seconds in which changes are to be in force.
-// A source that is known to have lost the store answers when it has it again, or after the wait.
-func (f *Follower) ask(ctx context.Context, s Source, knownLost bool) {
+// poll polls a source once. A source that failed before, or that comes after one that did not answer,
+// is polled without a wait, so that it delays changes by no more than answerSlack if it does not answer
+// either. Otherwise relays that lose power together would use up the seconds in which changes must
+// take effect. A source that is known to have lost the store answers when it reaches the store
+// again, or after the wait.
+func (f *Follower) poll(ctx context.Context, s Source, knownLost bool) {
 	wait := pollWait
-	if a := f.cooldowns[s.Name]; a != nil && a.fails > 0 || f.failing && !knownLost {
+	if cd := f.cooldowns[s.Name]; cd != nil && cd.failures > 0 || f.failing && !knownLost {
 		wait = 0
 	}
-	asking, cancel := context.WithTimeout(ctx, wait+answerSlack)
-	reply, err := s.Follow(asking, Request{Store: f.Store, Positions: f.positions(knownLost), Wait: wait})
+	pollCtx, cancel := context.WithTimeout(ctx, wait+answerSlack)
+	reply, err := s.Follow(pollCtx, Request{Store: f.Store, Positions: f.positions(knownLost), Wait: wait})
 	cancel()
 	if err == nil {
-		err = f.take(reply)
+		err = f.applyReply(reply)
 	}
 	switch {
 	case ctx.Err() != nil:
 	case err == nil:
-		f.answered(s.Name)
-		f.note(reply.age())
+		f.markAnswered(s.Name)
+		f.recordState(reply.age())
 	case errors.Is(err, ErrStoreLost):
-		f.why = err
-		a := f.coolDown(s.Name, lostPause)
-		a.lost, a.fails = true, 0 // it did answer
+		f.leaveReason = err
+		cd := f.coolDown(s.Name, lostCooldown)
+		cd.storeLost, cd.failures = true, 0 // the source did answer
 	default:
-		f.failed(s.Name, err)
+		f.markFailed(s.Name, err)
 	}
 }
 
-func (f *Follower) answered(source string) {
+func (f *Follower) markAnswered(source string) {
 	delete(f.cooldowns, source)
 	if source != f.current {
-		f.Report.SourceChanged(source, f.why)
+		f.Report.SourceChanged(source, f.leaveReason)
 	}
-	f.current, f.why, f.failing = source, nil, false
+	f.current, f.leaveReason, f.failing = source, nil, false
 }
 
-func (f *Follower) failed(source string, err error) {
-	f.why, f.failing = err, true
-	a := f.coolDown(source, 0)
-	a.until = f.Now().Add(backoff.Jitter(min(cooldownMax, cooldownMin<<min(a.fails, 8))))
-	a.fails, a.lost = a.fails+1, false
+func (f *Follower) markFailed(source string, err error) {
+	f.leaveReason, f.failing = err, true
+	cd := f.coolDown(source, 0)
+	cd.until = f.Now().Add(backoff.Jitter(min(cooldownMax, cooldownMin<<min(cd.failures, 8))))
+	cd.failures, cd.storeLost = cd.failures+1, false
 	if errors.Is(err, ErrNonsense) || errors.Is(err, ErrLeftOut) || errors.Is(err, ErrOtherStore) {
 		f.Report.SourceRefused(source, err)
 	}
 }
 
 func (f *Follower) coolDown(source string, pause time.Duration) *cooldown {
-	a := f.cooldowns[source]
-	if a == nil {
-		a = &cooldown{}
-		f.cooldowns[source] = a
+	cd := f.cooldowns[source]
+	if cd == nil {
+		cd = &cooldown{}
+		f.cooldowns[source] = cd
 	}
-	a.until = f.Now().Add(pause)
-	return a
+	cd.until = f.Now().Add(pause)
+	return cd
 }
 
-// positions are how far all readers are. One that was told of a loss gets all keys again.
+// positions returns the positions of all readers. A reader whose loss was reported gets all keys
+// again.
 func (f *Follower) positions(knownLost bool) []Position {
-	out := make([]Position, 0, len(f.copies))
-	for prefix, c := range f.copies {
-		p := Position{Prefix: prefix, After: c.at, Lost: knownLost && c.warned}
-		if c.lost {
+	out := make([]Position, 0, len(f.progress))
+	for prefix, c := range f.progress {
+		p := Position{Prefix: prefix, After: c.at, Lost: knownLost && c.outageSeen}
+		if c.lossReported {
 			p.After = 0
 		}
 		out = append(out, p)
@@ -249,48 +251,49 @@
 	return out
 }
 
-// lose tells readers that nobody is there to follow.
-func (f *Follower) lose(concerned func(*progress) bool) {
-	for prefix, c := range f.copies {
-		if !c.lost && concerned(c) {
-			c.lost, c.warned = true, true
-			f.Readers[prefix].Lost(store.Error.Wrap(errors.Join(ErrStoreLost, f.why)))
+// reportLost reports the loss of the store to the matching readers.
+func (f *Follower) reportLost(matches func(*progress) bool) {
+	for prefix, c := range f.progress {
+		if !c.lossReported && matches(c) {
+			c.lossReported, c.outageSeen = true, true
+			f.Readers[prefix].Lost(store.Error.Wrap(errors.Join(ErrStoreLost, f.leaveReason)))
 		}
 	}
 	f.current = ""
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.told.Source = ""
+	f.state.Source = ""
 }
 
-// take checks a reply and passes it to the readers. Nothing of a reply that breaks the rules
-// is passed on.
-func (f *Follower) take(r Reply) error {
-	for prefix := range f.copies {
+// applyReply validates a reply and passes it to the readers. An invalid reply is rejected as a
+// whole.
+func (f *Follower) applyReply(r Reply) error {
+	for prefix := range f.progress {
 		if !slices.ContainsFunc(r.Updates, func(u Update) bool { return u.Prefix == prefix }) {
 			return Error.Wrap(ErrLeftOut)
 		}
 	}
 	for _, u := range r.Updates {
-		if err := f.check(u); err != nil {
+		if err := f.validate(u); err != nil {
 			return err
 		}
 	}
 	var lost error
 	for _, u := range r.Updates {
 		if u.Lost {
-			f.copies[u.Prefix].warned = true
+			f.progress[u.Prefix].outageSeen = true
 			lost = Error.Wrap(ErrStoreLost)
 			continue
 		}
-		f.apply(u)
+		f.applyUpdate(u)
 	}
 	return lost
 }
 
-// check refuses what would take a reader back, or what a relay does not send.
-func (f *Follower) check(u Update) error {
-	c := f.copies[u.Prefix]
+// validate rejects an update that would take a reader back to an older revision, or that a relay
+// never sends.
+func (f *Follower) validate(u Update) error {
+	c := f.progress[u.Prefix]
 	switch {
 	case c == nil:
 		return Error.Wrap(ErrUnknownPrefix)
@@ -312,27 +315,27 @@
 	return nil
 }
 
-// apply passes an update on.
-func (f *Follower) apply(u Update) {
-	c, r := f.copies[u.Prefix], f.Readers[u.Prefix]
+// applyUpdate passes an update to its reader.
+func (f *Follower) applyUpdate(u Update) {
+	c, r := f.progress[u.Prefix], f.Readers[u.Prefix]
 	if u.Whole {
-		f.reset(c, r, u)
+		f.resetReader(c, r, u)
 		return
 	}
-	if c.lost || u.At == 0 {
-		return // the relay has read nothing yet
+	if c.lossReported || u.At == 0 {
+		return // the relay has not read anything yet
 	}
 	for _, ch := range u.Changes {
 		r.Changed(store.Event{Item: ch.item(), Deleted: ch.Removed})
 	}
 	c.at = max(c.at, u.At)
-	c.warned = false
+	c.outageSeen = false
 }
 
-// reset gives a reader a whole copy. After an outage the reader is told of that first, if it
-// was not: what the copy lacks may then live all the same.
-func (f *Follower) reset(c *progress, r mirror.Reader, u Update) {
-	if !c.lost && (c.warned || u.AfterOutage) {
+// resetReader passes a whole copy to a reader. After an outage it calls Lost first, if it has not
+// yet: the owners of entries that the copy lacks may still be alive.
+func (f *Follower) resetReader(c *progress, r mirror.Reader, u Update) {
+	if !c.lossReported && (c.outageSeen || u.AfterOutage) {
 		r.Lost(store.Error.Wrap(ErrStoreLost))
 	}
 	items := make([]store.Item, len(u.Changes))
@@ -340,5 +343,5 @@
 		items[i] = ch.item()
 	}
 	r.Reset(items)
-	c.at, c.warned, c.lost = u.At, false, false
+	c.at, c.outageSeen, c.lossReported = u.At, false, false
 }
--- a/coord/relay/hub.go
+++ b/coord/relay/hub.go
@@ -10,74 +10,74 @@
 )
 
 const (
-	// mostWait bounds what a follower may ask a relay to wait.
-	mostWait = 5 * time.Second
-	// idleAfter is how long a prefix is followed without anybody asking for it. It is longer
-	// than followers leave a relay alone after a failure, so that they find it up to date.
-	idleAfter = 10 * time.Second
-	// idlePause is the pause between two looks for prefixes that nobody asks for.
-	idlePause = time.Second
+	// maxWait bounds the wait that a follower may request.
+	maxWait = 5 * time.Second
+	// idleTimeout is how long a prefix is followed without requests for it. It is longer than
+	// the cooldown of followers after a failure, so that they find the relay up to date.
+	idleTimeout = 10 * time.Second
+	// idleCheckInterval is the interval between two checks for idle prefixes.
+	idleCheckInterval = time.Second
 )
 
-// Prefix is one that a hub may follow.
+// Prefix is a key prefix that a hub may follow.
 type Prefix struct {
 	Name string
-	// Store is followed; how long its waiting calls wait, and how changes are gathered, is
-	// the prefix's own.
+	// Store is the store that is followed. Each prefix has its own, with its own duration of
+	// watch calls and batching of changes.
 	Store store.Store
-	// StaleAfter is how long after the store's last word its copy counts as not followed. It
-	// is longer than a waiting call and the pause after it.
+	// StaleAfter is how long after the store's last answer its copy counts as not followed.
+	// It is longer than a watch call and the pause after it.
 	StaleAfter time.Duration
 }
 
-// Hub is a relay: it follows prefixes of the store as long as somebody asks for them. It is
-// safe for concurrent use.
+// Hub is a relay: it follows prefixes of the store as long as they are requested. It is safe
+// for concurrent use.
 type Hub struct {
-	// Store names the store for followers; see Request.Store.
+	// Store is the store's name; see Request.Store.
 	Store string
-	// Prefixes are those that may be asked for.
+	// Prefixes are the prefixes that may be requested.
 	Prefixes []Prefix
-	// MostFollowers bounds those that wait at the same time.
+	// MostFollowers bounds the followers that wait at the same time.
 	MostFollowers int
-	// Now is the clock.
+	// Now returns the current time.
 	Now func() time.Time
 
 	packer packer
 
 	once sync.Once
-	// start has the prefixes that are to be followed; see Run.
-	start chan *followed
+	// start passes the prefixes to follow to Run.
+	start chan *followedPrefix
 
 	mu       sync.Mutex
-	feeds    map[string]*followed
-	news     chan struct{} // is closed when there may be news, and replaced
+	feeds    map[string]*followedPrefix
+	updated  chan struct{} // closed and replaced when there may be updates
 	waiting  int
 	stopping bool
 }
 
-// followed is a prefix that is followed now.
-type followed struct {
+// followedPrefix is a prefix that the hub currently follows.
+type followedPrefix struct {
 	*feed
-	prefix Prefix
-	asked  time.Time
-	ctx    context.Context
-	end    context.CancelFunc
+	prefix      Prefix
+	lastRequest time.Time
+	ctx         context.Context
+	end         context.CancelFunc
 }
 
 func (h *Hub) init() {
 	h.once.Do(func() {
-		h.start = make(chan *followed, len(h.Prefixes))
-		h.feeds = map[string]*followed{}
-		h.news = make(chan struct{})
+		h.start = make(chan *followedPrefix, len(h.Prefixes))
+		h.feeds = map[string]*followedPrefix{}
+		h.updated = make(chan struct{})
 	})
 }
 
-// Run follows what is asked for until the context ends.
+// Run follows the requested prefixes until the context ends.
 func (h *Hub) Run(ctx context.Context) {
 	h.init()
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	t := time.NewTicker(idlePause)
+	t := time.NewTicker(idleCheckInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -92,14 +92,14 @@
 	}
 }
 
-func (f *followed) run(ctx context.Context) {
+func (f *followedPrefix) run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, f.end)
 	defer stop()
 	m := &mirror.Mirror{Store: f.prefix.Store, Prefix: f.prefix.Name, Reader: f.feed, Complete: f.complete}
 	m.Run(f.ctx)
 }
 
-// Stop makes the hub refuse followers from now on, so that they find another relay before
+// Stop makes the hub reject followers from now on, so that they switch to another relay before
 // this process ends.
 func (h *Hub) Stop() {
 	h.init()
@@ -110,57 +110,57 @@
 		f.end()
 		delete(h.feeds, name)
 	}
-	h.announceLocked()
+	h.notifyLocked()
 }
 
 func (h *Hub) dropIdle() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for name, f := range h.feeds {
-		if h.Now().Sub(f.asked) > idleAfter {
+		if h.Now().Sub(f.lastRequest) > idleTimeout {
 			f.end()
 			delete(h.feeds, name)
 		}
 	}
 }
 
-// announce wakes all that wait.
-func (h *Hub) announce() {
+// notifyFollowers wakes all waiting followers.
+func (h *Hub) notifyFollowers() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.announceLocked()
+	h.notifyLocked()
 }
 
-func (h *Hub) announceLocked() {
-	close(h.news)
-	h.news = make(chan struct{})
+func (h *Hub) notifyLocked() {
+	close(h.updated)
+	h.updated = make(chan struct{})
 }
 
-// Follow answers a follower: at once if there is something after one of its positions, else
-// when there is or the wait is over.
+// Follow answers a follower: at once if there are changes after one of its positions, else
+// when there are or the wait is over.
 func (h *Hub) Follow(ctx context.Context, r Request) (Reply, error) {
 	h.init()
 	if r.Store != h.Store {
 		return Reply{}, Error.Wrap(ErrOtherStore)
 	}
-	if err := h.enter(); err != nil {
+	if err := h.admit(); err != nil {
 		return Reply{}, err
 	}
-	defer h.leave()
-	until := h.Now().Add(min(max(0, r.Wait), mostWait))
+	defer h.release()
+	until := h.Now().Add(min(max(0, r.Wait), maxWait))
 	for {
-		reply, look, err := h.read(r)
-		if err != nil || reply.news || !h.Now().Before(until) {
+		reply, next, err := h.readPositions(r)
+		if err != nil || reply.hasNew || !h.Now().Before(until) {
 			return reply.Reply, err
 		}
-		look.wait(ctx, h.Now(), until)
+		next.wait(ctx, h.Now(), until)
 		if ctx.Err() != nil {
 			return Reply{}, Error.Wrap(ctx.Err())
 		}
 	}
 }
 
-func (h *Hub) enter() error {
+func (h *Hub) admit() error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.waiting >= h.MostFollowers {
@@ -170,59 +170,60 @@
 	return nil
 }
 
-func (h *Hub) leave() {
+func (h *Hub) release() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.waiting--
 }
 
-// nextLook is when a waiting follower's positions are to be looked at again: at the next
-// news, or when a feed goes stale.
-type nextLook struct {
-	news    <-chan struct{}
-	staleAt time.Time // zero if nothing goes stale that the follower does not know
+// nextCheck is when a waiting follower's positions are read again: at the next update, or when
+// a feed becomes stale.
+type nextCheck struct {
+	updated <-chan struct{}
+	staleAt time.Time // zero if the loss of all feeds is already reported
 }
 
-// wait waits for the next look, the end of the wait or that of the context.
-func (l nextLook) wait(ctx context.Context, now, until time.Time) {
+// wait blocks until the next check is due, the wait is over or the context ends.
+func (l nextCheck) wait(ctx context.Context, now, until time.Time) {
 	if !l.staleAt.IsZero() && l.staleAt.Before(until) {
 		until = l.staleAt
 	}
 	t := time.NewTimer(max(0, until.Sub(now)))
 	defer t.Stop()
 	select {
-	case <-l.news:
+	case <-l.updated:
 	case <-t.C:
 	case <-ctx.Done():
 	}
 }
 
-// answer is a reply, and whether there is news in it.
-type answer struct {
+// readResult is a reply, and whether it holds anything new to the follower.
+type readResult struct {
 	Reply
-	news bool
+	hasNew bool
 }
 
-// read looks at all positions.
-func (h *Hub) read(r Request) (out answer, look nextLook, err error) {
-	feeds, news, err := h.asked(r.Positions)
+// readPositions returns what changed after each of a request's positions.
+func (h *Hub) readPositions(r Request) (out readResult, next nextCheck, err error) {
+	feeds, updated, err := h.feedsFor(r.Positions)
 	if err != nil {
-		return answer{}, nextLook{}, err
+		return readResult{}, nextCheck{}, err
 	}
-	look.news = news
+	next.updated = updated
 	for i, p := range r.Positions {
-		u, fresh := feeds[i].since(p)
+		u, hasNew := feeds[i].since(p)
 		out.Updates = append(out.Updates, u)
-		out.news = out.news || fresh
-		if at := feeds[i].staleAt(); !p.Lost && (look.staleAt.IsZero() || at.Before(look.staleAt)) {
-			look.staleAt = at
+		out.hasNew = out.hasNew || hasNew
+		if at := feeds[i].staleAt(); !p.Lost && (next.staleAt.IsZero() || at.Before(next.staleAt)) {
+			next.staleAt = at
 		}
 	}
-	return out, look, nil
+	return out, next, nil
 }
 
-// asked returns the feeds of the positions, and begins to follow what is not followed yet.
-func (h *Hub) asked(positions []Position) ([]*feed, <-chan struct{}, error) {
+// feedsFor returns the feeds of the positions, and starts to follow prefixes that are not followed
+// yet.
+func (h *Hub) feedsFor(positions []Position) ([]*feed, <-chan struct{}, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.stopping {
@@ -236,12 +237,12 @@
 			if !ok {
 				return nil, nil, Error.Wrap(ErrUnknownPrefix)
 			}
-			f = h.beginLocked(prefix)
+			f = h.startLocked(prefix)
 		}
-		f.asked = h.Now()
+		f.lastRequest = h.Now()
 		out[i] = f.feed
 	}
-	return out, h.news, nil
+	return out, h.updated, nil
 }
 
 func (h *Hub) prefix(name string) (Prefix, bool) {
@@ -253,10 +254,10 @@
 	return Prefix{}, false
 }
 
-func (h *Hub) beginLocked(p Prefix) *followed {
+func (h *Hub) startLocked(p Prefix) *followedPrefix {
 	ctx, end := context.WithCancel(context.Background())
-	f := &followed{
-		feed:   &feed{now: h.Now, staleAfter: p.StaleAfter, changed: h.announce, heard: h.Now()},
+	f := &followedPrefix{
+		feed:   &feed{now: h.Now, staleAfter: p.StaleAfter, notify: h.notifyFollowers, lastContact: h.Now()},
 		prefix: p, ctx: ctx, end: end,
 	}
 	h.feeds[p.Name] = f
@@ -264,14 +265,14 @@
 	return f
 }
 
-// State is a hub for dumps.
+// State is the state of a hub for dumps.
 type State struct {
-	// Waiting is the followers that wait now.
+	// Waiting is the number of followers that wait now.
 	Waiting int         `json:"waiting_followers"`
 	Feeds   []FeedState `json:"feeds"`
 }
 
-// State returns what is followed now.
+// State returns the hub's current state.
 func (h *Hub) State() State {
 	h.init()
 	h.mu.Lock()
--- a/coord/relay/order.go
+++ b/coord/relay/order.go
@@ -2,28 +2,28 @@
 
 import "github.com/arbutusmill/arbutusmill/coord/rendezvous"
 
-// rankKey is the key by which relays are ranked; all processes use the same.
+// rankKey is the rendezvous key for ranking relays; all processes use the same one.
 const rankKey = "relay"
 
-// Order lists the relays that a follower asks, best first. The load pattern that it answers:
-// hundreds of processes that each follow the store make more calls than the store takes, and
-// all of them behind one relay would be too many for it.
+// Order lists the relays that a follower polls, best first. If hundreds of processes each
+// followed the store, they would make more calls than the store can serve, and a single relay
+// could not serve all of them either.
 //
-// Candidates are ranked by rendezvous, so that all processes with the same view find the same
-// few without a message: one for each mostFollowers of the fleet's processes. Each follower
-// has its place among those by its own name; those after it come next, so that the followers
-// of one that ends are spread. most bounds the list.
-func Order(follower string, candidates []string, processes, mostFollowers, most int) []string {
+// Candidates are ranked by rendezvous hashing, so that all processes with the same view choose
+// the same few relays without coordination: one for each maxFollowers of the fleet's processes.
+// Each follower starts at a relay chosen by its own name and continues with those after it, so
+// that the followers of a relay that ends are spread over the others. limit bounds the list.
+func Order(follower string, candidates []string, processes, maxFollowers, limit int) []string {
 	ranked := rendezvous.Rank(rankKey, candidates)
-	used := min(len(ranked), max(1, (processes+mostFollowers-1)/mostFollowers))
+	used := min(len(ranked), max(1, (processes+maxFollowers-1)/maxFollowers))
 	if used == 0 {
 		return nil
 	}
 	first := rendezvous.Bucket(follower, used)
-	out := make([]string, 0, most)
+	out := make([]string, 0, limit)
 	for i := range used {
 		out = append(out, ranked[(first+i)%used])
 	}
 	out = append(out, ranked[used:]...)
-	return out[:min(most, len(out))]
+	return out[:min(limit, len(out))]
 }
--- a/coord/relay/pack.go
+++ b/coord/relay/pack.go
@@ -11,14 +11,14 @@
 	"github.com/arbutusmill/arbutusmill/coord/store"
 )
 
-// packFrom is the size from which a value is packed. Smaller ones go through any link in a few
-// milliseconds.
-const packFrom = 8 << 10
+// minPackBytes is the size from which a value is compressed. Smaller ones pass over any link in a
+// few milliseconds.
+const minPackBytes = 8 << 10
 
-// packer packs large values, each revision of a key once for all followers.
+// packer compresses large values, each revision of a key once for all followers.
 type packer struct {
 	mu    sync.Mutex
-	known map[string]packed // by key
+	cache map[string]packed // by key
 }
 
 type packed struct {
@@ -26,14 +26,14 @@
 	value    []byte
 }
 
-// pack replaces the large values of a reply by packed ones. A configuration of 2,000 routes has
-// 500 kB. Over a link of 10 Mbit/s that has 3 to spare, such an answer takes longer than a follower
-// waits; it would turn from relay to relay and know of no change for 3.4 s, nor of upstreams that
-// leave. Packed, less than a third is left (TestLargeValuesArePacked).
+// pack replaces the large values of a reply by compressed ones. A configuration of 2,000 routes
+// has 500 kB. Over a link of 10 Mbit/s with 3 Mbit/s free, such an answer takes longer than a
+// follower waits: it would switch from relay to relay and receive no change for 3.4 s, nor any
+// upstream that leaves. Compression leaves less than a third (TestLargeValuesArePacked).
 func (p *packer) pack(r Reply) {
 	for _, u := range r.Updates {
 		for i, c := range u.Changes {
-			if len(c.Value) >= packFrom {
+			if len(c.Value) >= minPackBytes {
 				u.Changes[i].Packed, u.Changes[i].Value = p.packed(c), nil
 			}
 		}
@@ -43,21 +43,21 @@
 func (p *packer) packed(c Change) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if have, ok := p.known[c.Key]; ok && have.revision == c.Revision {
+	if have, ok := p.cache[c.Key]; ok && have.revision == c.Revision {
 		return have.value
 	}
 	var b bytes.Buffer
-	w, _ := flate.NewWriter(&b, flate.BestSpeed) // fails only for a level that does not exist
-	_, _ = w.Write(c.Value)                      // a buffer takes everything
+	w, _ := flate.NewWriter(&b, flate.BestSpeed) // fails only for an invalid level
+	_, _ = w.Write(c.Value)                      // writes to a bytes.Buffer never fail
 	_ = w.Close()
-	if p.known == nil {
-		p.known = map[string]packed{}
+	if p.cache == nil {
+		p.cache = map[string]packed{}
 	}
-	p.known[c.Key] = packed{c.Revision, b.Bytes()}
+	p.cache[c.Key] = packed{c.Revision, b.Bytes()}
 	return b.Bytes()
 }
 
-// Serve is Follow for followers in other processes: large values are packed.
+// Serve is Follow for followers in other processes: it compresses large values.
 func (h *Hub) Serve(ctx context.Context, r Request) (Reply, error) {
 	reply, err := h.Follow(ctx, r)
 	if err == nil {
@@ -66,21 +66,21 @@
 	return reply, err
 }
 
-// Unpack restores the values of a reply of Serve. An error wraps ErrNonsense.
+// Unpack decompresses the values of a reply of Serve. An error wraps ErrNonsense.
 func (r Reply) Unpack() error {
 	for _, u := range r.Updates {
 		for i, c := range u.Changes {
 			if c.Packed == nil {
 				continue
 			}
-			// Whatever a relay sends, no more is unpacked than the store can hold.
+			// Never decompress more than the store can hold, whatever a relay sends.
 			limited := io.LimitReader(flate.NewReader(bytes.NewReader(c.Packed)), store.MaxValueBytes+1)
 			value, err := io.ReadAll(limited)
 			if err != nil {
 				return Error.Wrap(fmt.Errorf("%w: %s: %w", ErrNonsense, c.Key, err))
 			}
 			if len(value) > store.MaxValueBytes {
-				return Error.Wrap(fmt.Errorf("%w: %s is too large", ErrNonsense, c.Key))
+				return Error.Wrap(fmt.Errorf("%w: %s is too large when decompressed", ErrNonsense, c.Key))
 			}
 			u.Changes[i].Value, u.Changes[i].Packed = value, nil
 		}
--- a/coord/relay/pack_test.go
+++ b/coord/relay/pack_test.go
@@ -13,12 +13,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// routes is a configuration of many routes. Their names have nothing in common.
+// routes returns a configuration of n routes whose names share no common parts.
 func routes(n int) []byte {
 	var b strings.Builder
 	for i := range n {
 		h := fnv.New64a()
-		_, _ = fmt.Fprint(h, i) // a hash takes everything
+		_, _ = fmt.Fprint(h, i) // writes to a hash never fail
 		fmt.Fprintf(&b, `{"name":"r-%x","host":"%x.example","prefix":"/%x/","type":"streaming","timeout_ms":12000,`+
 			`"latency_goal_ms":800,"priority":1,"service":"model","max_attempts":2,"sticky":true,"resumable":false},`,
 			uint32(h.Sum64()), uint16(h.Sum64()>>8), uint32(h.Sum64()>>16))
@@ -26,8 +26,8 @@
 	return []byte(b.String())
 }
 
-// serveAndUnpack passes a reply between two processes.
-func serveAndUnpack(t *testing.T, w *world, after store.Revision) (Reply, int) {
+// serveAndUnpack passes a reply through its encoding between two processes.
+func serveAndUnpack(t *testing.T, w *testCluster, after store.Revision) (Reply, int) {
 	reply, err := w.hubs[0].Serve(w.ctx, Request{Store: "s", Positions: []Position{{Prefix: keys, After: after}}})
 	require.NoError(t, err)
 	wire, err := json.Marshal(reply)
@@ -38,10 +38,10 @@
 	return out, len(wire)
 }
 
-// A configuration of 2,000 routes passes from a relay to its followers in a third of its size, and
-// is the same at the other end, in a whole copy and as a change.
+// Guards against large values that are sent uncompressed or arrive changed, in a whole copy and as
+// a change: a configuration of 2,000 routes must take less than a third of its size.
 func TestLargeValuesArePacked(t *testing.T) {
-	play(t, 1, 1, func(w *world) {
+	withCluster(t, 1, 1, func(w *testCluster) {
 		time.Sleep(time.Second)
 		large := routes(2000)
 		w.put("config", string(large))
@@ -59,18 +59,19 @@
 				require.Equal(t, string(large), got[keys+"config"])
 			}
 		}
-		w.all() // a hub of the same process hands the value itself on
+		w.requireConverged() // a hub in the same process passes the value uncompressed
 		larger := append(large, large...)
 		w.put("config", string(larger))
 		time.Sleep(watchDelay)
 		out, _ := serveAndUnpack(t, w, 2)
 		require.Len(t, out.Updates[0].Changes, 1)
-		require.True(t, bytes.Equal(larger, out.Updates[0].Changes[0].Value), "not the one packed before")
+		require.True(t, bytes.Equal(larger, out.Updates[0].Changes[0].Value), "must not be the previous packed value")
 	})
 }
 
-// A relay sends something that cannot be unpacked, or what would fill the memory.
-func TestSpoiledPackedValueIsRefused(t *testing.T) {
+// Guards against a relay that sends a value which cannot be decompressed, or which would exhaust
+// memory when decompressed.
+func TestCorruptPackedValueIsRejected(t *testing.T) {
 	var p packer
 	bomb := p.packed(Change{Key: "k", Value: make([]byte, 2*store.MaxValueBytes)})
 	for _, b := range [][]byte{[]byte("nonsense"), bomb} {
--- a/coord/relay/relay.go
+++ b/coord/relay/relay.go
@@ -1,15 +1,16 @@
-// Package relay spreads the changes of a store's keys in a fleet without each process asking
-// the store. A few processes follow the store, the relays; all others follow them.
+// Package relay distributes the changes of a store's keys in a fleet without each process
+// watching the store. A few processes, the relays, follow the store; all others follow them.
 //
 // A relay needs no election and has no state of its own: a Hub follows the store as long as
-// somebody asks it for changes, and is a copy that may be thrown away. Whoever picks other
-// relays than the rest, because it knows other members, makes the store answer a few more
-// calls and nothing else.
+// its changes are requested, and its copy is disposable. A process that picks other relays
+// than the rest, because its list of members differs, costs the store a few more calls and
+// nothing else.
 //
-// Followers never go back: each change comes with the store's revision, a follower says up to
-// which revision it has everything, and takes nothing older from any relay. None stays behind
-// unnoticed: a relay says when it lost the store and how long ago it heard from it, and a
-// follower that hears nothing in time asks another one, and the store itself at last.
+// Followers never go back: each change carries the store's revision, a follower sends the
+// revision up to which it has everything, and accepts nothing older from any relay. A stale
+// copy is always detected: a relay reports when it lost the store and how long ago the store
+// last answered, and a follower that gets no answer in time polls another relay, and finally
+// the store itself.
 package relay
 
 import (
@@ -23,39 +24,39 @@
 var Error = errs.Class("relay")
 
 var (
-	// ErrUnknownPrefix says that a relay does not follow such keys.
-	ErrUnknownPrefix = errs.New("keys that are not followed here")
-	// ErrOtherStore says that a relay follows another store than the one asked about.
-	ErrOtherStore = errs.New("another store is followed here")
-	// ErrFull says that a relay has as many followers as it takes.
+	// ErrUnknownPrefix is returned for a prefix that the relay is not configured to follow.
+	ErrUnknownPrefix = errs.New("the relay does not follow this prefix")
+	// ErrOtherStore is returned if the relay follows another store than the requested one.
+	ErrOtherStore = errs.New("the relay follows another store")
+	// ErrFull is returned if the relay has reached its maximum of followers.
 	ErrFull = errs.New("too many followers")
-	// ErrStopping says that a relay is about to end.
+	// ErrStopping is returned by a relay that is shutting down.
 	ErrStopping = errs.New("the relay is stopping")
-	// ErrBehind says that a relay offered an older copy than the follower has.
-	ErrBehind = errs.New("the relay is behind")
-	// ErrStale says that a relay has not heard from the store for long.
-	ErrStale = errs.New("the relay has not heard from the store for long")
-	// ErrNonsense says that an answer breaks the rules of this package.
-	ErrNonsense = errs.New("the relay's answer makes no sense")
-	// ErrStoreLost says that the store cannot be followed now.
+	// ErrBehind is returned for a reply with an older copy than the follower has.
+	ErrBehind = errs.New("the relay's copy is older than the follower's")
+	// ErrStale is returned if the relay has had no answer from the store for too long.
+	ErrStale = errs.New("the relay has had no answer from the store for too long")
+	// ErrNonsense is returned for a reply that violates the protocol of this package.
+	ErrNonsense = errs.New("invalid reply from the relay")
+	// ErrStoreLost is returned while the store cannot be followed.
 	ErrStoreLost = errs.New("the store is not followed now")
-	// ErrLeftOut says that an answer is silent about keys that were asked for.
-	ErrLeftOut = errs.New("the relay left keys out")
+	// ErrLeftOut is returned for a reply without an update for a requested prefix.
+	ErrLeftOut = errs.New("the reply lacks a requested prefix")
 )
 
-// Position is how far a follower is with the keys under a prefix.
+// Position is the state of a follower's copy of the keys under a prefix.
 type Position struct {
 	Prefix string `json:"prefix"`
-	// After is the revision up to which the follower has all changes; 0 is none.
+	// After is the revision up to which the follower has all changes; 0 means none.
 	After store.Revision `json:"after"`
-	// Lost says that the follower knows that the store is not followed; it waits then for
-	// the return.
+	// Lost is set if the loss of the store was already reported to the follower; it then waits
+	// until the store is followed again.
 	Lost bool `json:"lost,omitempty"`
 }
 
-// Request asks a relay for what came after the positions.
+// Request asks a relay for the changes after the positions.
 type Request struct {
-	// Store names the store that the follower means, the same in the whole fleet.
+	// Store is the name of the store to follow, the same in the whole fleet.
 	Store     string     `json:"store"`
 	Positions []Position `json:"positions"`
 	// Wait is how long (ns) the relay waits for the first change.
@@ -67,7 +68,7 @@
 	Updates []Update `json:"updates"`
 }
 
-// age is the oldest that an update is.
+// age returns the age of the oldest update.
 func (r Reply) age() time.Duration {
 	var oldest time.Duration
 	for _, u := range r.Updates {
@@ -76,27 +77,27 @@
 	return oldest
 }
 
-// Update is what came after one position.
+// Update holds the changes after one position.
 type Update struct {
 	Prefix string `json:"prefix"`
 	// At is the revision up to which the follower has all changes with this update.
 	At store.Revision `json:"at"`
-	// Whole says that Changes are all keys, in place of what the follower has.
+	// Whole is set if Changes are all keys and replace the follower's copy.
 	Whole bool `json:"whole,omitempty"`
-	// AfterOutage says, with Whole, that the store was away before it was read.
+	// AfterOutage is set, with Whole, if the store was not followed before it was read.
 	AfterOutage bool `json:"after_outage,omitempty"`
-	// Lost says that the relay does not follow the store now; there are no changes then.
+	// Lost is set if the relay does not follow the store now; there are no changes then.
 	Lost bool `json:"lost,omitempty"`
-	// Age is how long ago (ns) the relay heard from the store.
+	// Age is the time (ns) since the store last answered the relay.
 	Age     time.Duration `json:"age"`
 	Changes []Change      `json:"changes,omitempty"`
 }
 
-// Change is a key as it was written, or its removal.
+// Change is one write or removal of a key.
 type Change struct {
 	Key   string `json:"key"`
 	Value []byte `json:"value,omitempty"`
-	// Packed is a large Value in DEFLATE form, in its place, on the way between processes.
+	// Packed replaces a large Value between processes; it is Value compressed with DEFLATE.
 	Packed   []byte         `json:"packed,omitempty"`
 	Revision store.Revision `json:"revision"`
 	Created  store.Revision `json:"created,omitempty"`
--- a/coord/relay/relay_test.go
+++ b/coord/relay/relay_test.go
@@ -16,9 +16,10 @@
 	"pgregory.net/rapid"
 )
 
-// Nine processes follow what changes, and the store has the waiting calls of one or two.
+// Guards against followers that watch the store themselves: with nine followers, only the two
+// relays have watch calls at the store.
 func TestFollowersAskTheirRelaysOnly(t *testing.T) {
-	play(t, 2, 9, func(w *world) {
+	withCluster(t, 2, 9, func(w *testCluster) {
 		time.Sleep(5 * time.Second)
 		for n := range 20 {
 			w.put(fmt.Sprint(n%3), fmt.Sprint("value ", n))
@@ -26,124 +27,127 @@
 		}
 		w.remove("1")
 		time.Sleep(watchDelay)
-		w.all()
-		require.EqualValues(t, 2, w.store.Calls().Watches, "one of each relay")
+		w.requireConverged()
+		require.EqualValues(t, 2, w.store.Calls().Watches, "one per relay")
 		for _, h := range w.hubs {
 			require.NotZero(t, h.State().Waiting)
 		}
 	})
 }
 
-// A relay falls silent: no answer, no reset. What changes then is known to its followers within
-// a second and a half, from the other relay, and they are not told that the store is lost.
-func TestSilentRelayIsLeft(t *testing.T) {
-	play(t, 2, 2, func(w *world) {
+// Guards against followers that stay with a relay which stops answering without a connection
+// reset: they must receive changes from the other relay within 1.5 s, without a reported loss of
+// the store.
+func TestSilentRelayIsAbandoned(t *testing.T) {
+	withCluster(t, 2, 2, func(w *testCluster) {
 		time.Sleep(5 * time.Second)
 		w.put("a", "1")
-		for _, ways := range w.toHub {
-			ways[0].silent.Store(true)
+		for _, conns := range w.hubConns {
+			conns[0].silent.Store(true)
 		}
 		w.put("a", "2")
 		time.Sleep(1500 * time.Millisecond)
-		w.all()
+		w.requireConverged()
 		for _, c := range w.copies {
-			_, losses := c.told()
+			_, losses := c.lossState()
 			require.Zero(t, losses)
 		}
 	})
 }
 
-// Both relays of a data centre lose power at once, and a key is taken away in that moment. Routers
-// learn of it from the store itself, within the two seconds in which changes are to be in force:
-// only the first relay may cost the whole time of a waiting question.
+// Guards against late changes when both relays of a data centre lose power at once and a key
+// changes in that moment. Followers must receive the change from the store itself within the 2 s in
+// which changes must take effect: only the first relay may take the whole time of a waiting poll.
 func TestTwoSilentRelays(t *testing.T) {
-	play(t, 2, 2, func(w *world) {
+	withCluster(t, 2, 2, func(w *testCluster) {
 		time.Sleep(5 * time.Second)
 		w.put("a", "1")
 		time.Sleep(watchDelay)
-		for _, ways := range w.toHub {
-			ways[0].silent.Store(true)
-			ways[1].silent.Store(true)
+		for _, conns := range w.hubConns {
+			conns[0].silent.Store(true)
+			conns[1].silent.Store(true)
 		}
 		w.put("a", "2")
 		time.Sleep(1900 * time.Millisecond)
-		w.all()
+		w.requireConverged()
 	})
 }
 
-// A relay loses the store by a call that is never answered. It says so before its own call times
-// out, so that its followers, which the store would answer, learn of changes within two seconds.
+// Guards against a relay that reports a lost store too late: a store call is never answered, and
+// the relay must report the loss before that call times out. Its followers, which can reach the
+// store, must receive changes within 2 s.
 func TestRelayThatLostTheStoreSilently(t *testing.T) {
-	play(t, 2, 2, func(w *world) {
+	withCluster(t, 2, 2, func(w *testCluster) {
 		time.Sleep(5 * time.Second)
-		w.ways[0].silent.Store(true)
+		w.storeConns[0].silent.Store(true)
 		w.put("a", "1")
 		time.Sleep(2 * time.Second)
-		w.all()
+		w.requireConverged()
 	})
 }
 
-// A router is turned away by the store while the relays are not. It goes on hearing of what
-// changes.
+// Guards against a follower that depends on its own connection to the store: it loses the store,
+// the relays do not, and it must still receive changes.
 func TestFollowerWithoutTheStore(t *testing.T) {
-	play(t, 1, 1, func(w *world) {
+	withCluster(t, 1, 1, func(w *testCluster) {
 		time.Sleep(5 * time.Second)
-		w.ways[1].cut.Store(true)
+		w.storeConns[1].cut.Store(true)
 		w.put("a", "1")
 		time.Sleep(watchDelay)
-		w.all()
+		w.requireConverged()
 	})
 }
 
-// Both relays are turned away by the store and a router is not: it follows the store itself,
-// and comes back to its relay later.
+// Guards against a follower that stays behind with its relays, or does not return to them: both
+// relays lose the store and the follower does not. It must follow the store itself and switch back
+// to its relay later.
 func TestRelaysWithoutTheStore(t *testing.T) {
-	play(t, 2, 1, func(w *world) {
+	withCluster(t, 2, 1, func(w *testCluster) {
 		time.Sleep(5 * time.Second)
-		w.ways[0].cut.Store(true)
-		w.ways[1].cut.Store(true)
+		w.storeConns[0].cut.Store(true)
+		w.storeConns[1].cut.Store(true)
 		w.put("a", "1")
 		time.Sleep(2 * time.Second)
-		w.all()
-		w.ways[0].cut.Store(false)
-		w.ways[1].cut.Store(false)
+		w.requireConverged()
+		w.storeConns[0].cut.Store(false)
+		w.storeConns[1].cut.Store(false)
 		time.Sleep(20 * time.Second)
 		before := w.store.Calls().Watches
 		time.Sleep(20 * time.Second)
 		w.put("a", "2")
 		time.Sleep(watchDelay)
-		w.all()
-		require.Equal(t, before, w.store.Calls().Watches, "nobody begins to follow the store again")
+		w.requireConverged()
+		require.Equal(t, before, w.store.Calls().Watches, "no new watch of the store")
 	})
 }
 
-// The store is away for all for eight seconds, and keys change at its return. Each copy is told
-// of the outage once and has everything within a second and a half of the return. Nine followers
-// do not ask the store for that: the two relays do.
+// Guards against load on the store from an outage: the store is unreachable for all for 8 s, and
+// keys change when it returns. Each follower must report the loss once and have all changes within
+// 1.5 s of the return. The nine followers must not call the store for that, only the two relays.
 func TestOutageOfTheStore(t *testing.T) {
-	play(t, 2, 9, func(w *world) {
+	withCluster(t, 2, 9, func(w *testCluster) {
 		time.Sleep(5 * time.Second)
 		w.put("a", "1")
 		time.Sleep(watchDelay)
-		for _, way := range w.ways {
-			way.cut.Store(true)
+		for _, conn := range w.storeConns {
+			conn.cut.Store(true)
 		}
 		time.Sleep(8 * time.Second)
 		for i, c := range w.copies {
-			lost, losses := c.told()
+			lost, losses := c.lossState()
 			require.True(t, lost, "follower %d", i)
 			require.Equal(t, 1, losses)
-			require.Zero(t, w.ways[2+i].reads.Load(), "follower %d", i)
+			require.Zero(t, w.storeConns[2+i].reads.Load(), "follower %d", i)
 		}
 		w.put("a", "2")
 		before := w.store.Calls().Watches
-		for _, way := range w.ways[:2] {
-			way.cut.Store(false)
+		for _, conn := range w.storeConns[:2] {
+			conn.cut.Store(false)
 		}
 		time.Sleep(1500 * time.Millisecond)
-		w.all()
+		w.requireConverged()
 		for _, c := range w.copies {
-			lost, losses := c.told()
+			lost, losses := c.lossState()
 			require.False(t, lost)
 			require.Equal(t, 1, losses)
 		}
@@ -151,39 +155,41 @@
 	})
 }
 
-// Keys lapse while the store is away for the relay; a follower that did not notice, since it was
-// between two questions, is told of the outage with the copy that lacks them.
-func TestCopyAfterAnOutageSaysSo(t *testing.T) {
-	f := &Follower{copies: map[string]*progress{keys: {at: 5}}, cooldowns: map[string]*cooldown{}, Report: quiet{}, Now: time.Now}
+// Guards against lapsed keys that count as removed: keys lapse while the relay cannot reach the
+// store, and a follower misses the outage since it was between two polls. It must report the loss
+// before it applies the copy that lacks the keys.
+func TestCopyAfterAnOutageReportsIt(t *testing.T) {
+	f := &Follower{progress: map[string]*progress{keys: {at: 5}}, cooldowns: map[string]*cooldown{}, Report: nopReporter{}, Now: time.Now}
 	c := newCopy()
 	f.Readers = map[string]mirror.Reader{keys: c}
-	require.NoError(t, f.take(Reply{Updates: []Update{{Prefix: keys, At: 9, Whole: true, AfterOutage: true}}}))
+	require.NoError(t, f.applyReply(Reply{Updates: []Update{{Prefix: keys, At: 9, Whole: true, AfterOutage: true}}}))
 	require.Equal(t, 1, c.losses)
-	require.NoError(t, f.take(Reply{Updates: []Update{{Prefix: keys, At: 12, Whole: true}}}))
-	require.Equal(t, 1, c.losses, "history that is gone is no outage")
+	require.NoError(t, f.applyReply(Reply{Updates: []Update{{Prefix: keys, At: 12, Whole: true}}}))
+	require.Equal(t, 1, c.losses, "a compacted history is not an outage")
 }
 
-// The store forgets its history, and keys changed unseen. Followers have them with the next
-// answer to their relay, and are not told of an outage: what is missing has gone.
-func TestHistoryIsGone(t *testing.T) {
-	play(t, 1, 2, func(w *world) {
+// Guards against a compacted history that is taken for an outage: the store compacts changes that
+// were not read yet. Followers must get the keys with the relay's next read of the store, without a
+// reported loss: the missing keys were removed.
+func TestCompactedHistory(t *testing.T) {
+	withCluster(t, 1, 2, func(w *testCluster) {
 		w.put("a", "1")
 		time.Sleep(5 * time.Second)
 		w.put("b", "1")
 		w.remove("a")
 		w.store.Compact()
 		time.Sleep(time.Second)
-		w.all()
+		w.requireConverged()
 		for _, c := range w.copies {
-			_, losses := c.told()
-			require.LessOrEqual(t, losses, 1) // a cut watch counts as an outage
+			_, losses := c.lossState()
+			require.LessOrEqual(t, losses, 1) // an interrupted watch counts as an outage
 		}
 	})
 }
 
-// A peer answers with what a relay never sends: keys of others, changes out of order, an older
-// copy, nothing for what was asked. Nothing of such an answer is taken.
-func TestNonsenseIsNotTaken(t *testing.T) {
+// Guards against invalid replies of a peer: foreign keys, changes out of order, an older copy, no
+// update for a requested prefix. Such a reply must be rejected as a whole.
+func TestInvalidReplyIsRejected(t *testing.T) {
 	change := func(key string, r store.Revision) Change { return Change{Key: key, Revision: r} }
 	for name, u := range map[string]Update{
 		"foreign key":    {Prefix: keys, At: 9, Changes: []Change{change("other/a", 8)}},
@@ -196,18 +202,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := newCopy()
-			f := &Follower{copies: map[string]*progress{keys: {at: 5}}, Readers: map[string]mirror.Reader{keys: c}}
+			f := &Follower{progress: map[string]*progress{keys: {at: 5}}, Readers: map[string]mirror.Reader{keys: c}}
 			good := Update{Prefix: keys, At: 8, Changes: []Change{change("k/good", 8)}}
-			require.Error(t, f.take(Reply{Updates: []Update{good, u}}))
+			require.Error(t, f.applyReply(Reply{Updates: []Update{good, u}}))
 			require.Empty(t, c.values())
 		})
 	}
-	f := &Follower{copies: map[string]*progress{keys: {}}}
-	require.ErrorIs(t, f.take(Reply{}), ErrLeftOut)
+	f := &Follower{progress: map[string]*progress{keys: {}}}
+	require.ErrorIs(t, f.applyReply(Reply{}), ErrLeftOut)
 }
 
-// A relay has lost one of two prefixes and follows the other. The follower is told of that loss
-// only, goes on hearing of the other keys, and does not ask again and again meanwhile.
+// Guards against the loss of one prefix affecting another: a relay loses one of two prefixes and
+// still follows the other. The follower must report only that loss, still receive the other keys,
+// and not poll in a tight loop meanwhile.
 func TestOnePrefixIsLost(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -215,14 +222,14 @@
 		defer wg.Wait()
 		defer cancel()
 		s := memstore.New()
-		way := &wayTo{Store: s}
+		conn := &connection{Store: s}
 		h := &Hub{Store: "s", MostFollowers: 1, Now: time.Now, Prefixes: []Prefix{
-			{Name: "lost/", Store: way, StaleAfter: 1600 * time.Millisecond},
+			{Name: "lost/", Store: conn, StaleAfter: 1600 * time.Millisecond},
 			{Name: keys, Store: s, StaleAfter: 1600 * time.Millisecond}}}
 		wg.Go(func() { h.Run(ctx) })
 		var asked atomic.Int64
 		lost, other := newCopy(), newCopy()
-		f := &Follower{Store: "s", Readers: map[string]mirror.Reader{"lost/": lost, keys: other}, Report: quiet{}, Now: time.Now,
+		f := &Follower{Store: "s", Readers: map[string]mirror.Reader{"lost/": lost, keys: other}, Report: nopReporter{}, Now: time.Now,
 			Sources: func() []Source {
 				return []Source{{Name: "own", Follow: func(ctx context.Context, r Request) (Reply, error) {
 					asked.Add(1)
@@ -231,7 +238,7 @@
 			}}
 		wg.Go(func() { f.Run(ctx) })
 		time.Sleep(5 * time.Second)
-		way.cut.Store(true)
+		conn.cut.Store(true)
 		time.Sleep(5 * time.Second)
 		before := asked.Load()
 		for n := range 5 {
@@ -241,18 +248,18 @@
 			require.Len(t, other.values(), n+1)
 		}
 		require.Less(t, asked.Load()-before, int64(40))
-		_, losses := lost.told()
+		_, losses := lost.lossState()
 		require.Equal(t, 1, losses)
-		_, losses = other.told()
+		_, losses = other.lossState()
 		require.Zero(t, losses)
-		way.cut.Store(false)
+		conn.cut.Store(false)
 		time.Sleep(2 * time.Second)
-		stillLost, _ := lost.told()
+		stillLost, _ := lost.lossState()
 		require.False(t, stillLost)
 	})
 }
 
-// A hub refuses what it cannot serve, with the reason.
+// A hub rejects requests that it cannot serve, each with its own error.
 func TestHubRefuses(t *testing.T) {
 	h := &Hub{Store: "s", Prefixes: []Prefix{{Name: keys, Store: memstore.New(), StaleAfter: time.Second}}, MostFollowers: 1, Now: time.Now}
 	ask := func(store, prefix string) error {
@@ -268,7 +275,8 @@
 	require.ErrorIs(t, ask("s", keys), ErrStopping)
 }
 
-// A relay that nobody asks any more stops following the store.
+// Guards against load on the store from idle relays: a hub without requests must stop following
+// the store.
 func TestIdleRelayStopsFollowing(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -279,15 +287,15 @@
 		_, err := h.Follow(ctx, Request{Store: "s", Positions: []Position{{Prefix: keys}}, Wait: time.Second})
 		require.NoError(t, err)
 		require.Len(t, h.State().Feeds, 1)
-		time.Sleep(idleAfter + 2*idlePause)
+		time.Sleep(idleTimeout + 2*idleCheckInterval)
 		require.Empty(t, h.State().Feeds)
 		cancel()
 		<-done
 	})
 }
 
-// A fleet of hundreds uses a relay for each hundred processes, all processes the same ones, and
-// the followers are spread over them.
+// A fleet of hundreds of processes must use one relay for each hundred, all processes the same
+// relays, with the followers spread over them.
 func TestOrder(t *testing.T) {
 	var candidates []string
 	for n := range 160 {
@@ -306,55 +314,55 @@
 	}
 	require.Len(t, Order("a", candidates[:1], 16, 100, 2), 1)
 	require.Empty(t, Order("a", nil, 16, 100, 2))
-	require.Equal(t, Order("a", candidates, 16, 100, 2), Order("b", candidates, 16, 100, 2), "a small fleet has one relay")
+	require.Equal(t, Order("a", candidates, 16, 100, 2), Order("b", candidates, 16, 100, 2), "a small fleet uses a single relay")
 }
 
-// The store, the ways to it and the relays fail and return in any order while keys change and
-// the store forgets its history. No copy ever goes back, and when all is well again each has
-// what the store has.
-func TestNoFollowerGoesBackOrStaysBehind(t *testing.T) {
+// Guards against followers that go back to an older revision or stay stale: the store, the
+// connections to it and the relays fail and recover in any order while keys change and the store
+// compacts its history. No copy may go back, and after recovery each must equal the store.
+func TestFollowersNeverGoBackAndConverge(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const relays, followers = 2, 3
-		var steps []func(w *world)
+		var steps []func(w *testCluster)
 		for n := range rapid.IntRange(5, 40).Draw(rt, "steps") {
 			i := rapid.IntRange(0, 99).Draw(rt, "which")
 			on := rapid.Bool().Draw(rt, "on")
 			pause := time.Duration(rapid.IntRange(0, 2500).Draw(rt, "pause ms")) * time.Millisecond
-			var step func(w *world)
+			var step func(w *testCluster)
 			switch rapid.SampledFrom([]string{"put", "put", "put", "remove", "compact", "store", "silence", "relay", "silent relay"}).Draw(rt, "what") {
 			case "put":
-				step = func(w *world) { w.put(fmt.Sprint(i%4), fmt.Sprint("value ", n)) }
+				step = func(w *testCluster) { w.put(fmt.Sprint(i%4), fmt.Sprint("value ", n)) }
 			case "remove":
-				step = func(w *world) { w.remove(fmt.Sprint(i % 4)) }
+				step = func(w *testCluster) { w.remove(fmt.Sprint(i % 4)) }
 			case "compact":
-				step = func(w *world) { w.store.Compact() }
+				step = func(w *testCluster) { w.store.Compact() }
 			case "store":
-				step = func(w *world) { w.ways[i%len(w.ways)].cut.Store(on) }
+				step = func(w *testCluster) { w.storeConns[i%len(w.storeConns)].cut.Store(on) }
 			case "silence":
-				step = func(w *world) { w.ways[i%len(w.ways)].silent.Store(on) }
+				step = func(w *testCluster) { w.storeConns[i%len(w.storeConns)].silent.Store(on) }
 			case "relay":
-				step = func(w *world) { w.toHub[i%followers][i%relays].cut.Store(on) }
+				step = func(w *testCluster) { w.hubConns[i%followers][i%relays].cut.Store(on) }
 			case "silent relay":
-				step = func(w *world) { w.toHub[i%followers][i%relays].silent.Store(on) }
+				step = func(w *testCluster) { w.hubConns[i%followers][i%relays].silent.Store(on) }
 			}
-			steps = append(steps, step, func(*world) { time.Sleep(pause) })
+			steps = append(steps, step, func(*testCluster) { time.Sleep(pause) })
 		}
-		play(t, relays, followers, func(w *world) {
+		withCluster(t, relays, followers, func(w *testCluster) {
 			for _, step := range steps {
 				step(w)
 			}
-			for _, way := range w.ways {
-				way.cut.Store(false)
-				way.silent.Store(false)
+			for _, conn := range w.storeConns {
+				conn.cut.Store(false)
+				conn.silent.Store(false)
 			}
-			for _, ways := range w.toHub {
-				for _, way := range ways {
-					way.cut.Store(false)
-					way.silent.Store(false)
+			for _, conns := range w.hubConns {
+				for _, conn := range conns {
+					conn.cut.Store(false)
+					conn.silent.Store(false)
 				}
 			}
 			time.Sleep(15 * time.Second)
-			w.all()
+			w.requireConverged()
 		})
 	})
 }
--- a/coord/relay/world_test.go
+++ b/coord/relay/world_test.go
@@ -15,15 +15,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// copyReader is a copy as a process would keep it. It notes when it is taken back.
+// copyReader keeps a copy as a process would, and records when a key goes back to an older
+// revision.
 type copyReader struct {
-	mu      sync.Mutex
-	items   map[string]store.Item
-	highest map[string]store.Revision // of each key, removals included
-	back    string
-	lost    bool
-	losses  int
-	resets  int
+	mu           sync.Mutex
+	items        map[string]store.Item
+	highest      map[string]store.Revision // by key, removals included
+	backwardStep string
+	lost         bool
+	losses       int
+	resets       int
 }
 
 func newCopy() *copyReader {
@@ -37,7 +38,7 @@
 	c.resets++
 	c.items = map[string]store.Item{}
 	for _, it := range items {
-		c.noteLocked(it.Key, it.Revision)
+		c.recordLocked(it.Key, it.Revision)
 		c.items[it.Key] = it
 	}
 }
@@ -45,7 +46,7 @@
 func (c *copyReader) Changed(e store.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.noteLocked(e.Key, e.Revision)
+	c.recordLocked(e.Key, e.Revision)
 	if e.Deleted {
 		delete(c.items, e.Key)
 		return
@@ -53,9 +54,9 @@
 	c.items[e.Key] = e.Item
 }
 
-func (c *copyReader) noteLocked(key string, r store.Revision) {
+func (c *copyReader) recordLocked(key string, r store.Revision) {
 	if r < c.highest[key] {
-		c.back = fmt.Sprintf("%s from %d to %d", key, c.highest[key], r)
+		c.backwardStep = fmt.Sprintf("%s from %d to %d", key, c.highest[key], r)
 	}
 	c.highest[key] = max(c.highest[key], r)
 }
@@ -70,11 +71,11 @@
 func (c *copyReader) wentBack() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.back
+	return c.backwardStep
 }
 
-// told returns whether the reader is told that the store is lost, and how often it was.
-func (c *copyReader) told() (lost bool, losses int) {
+// lossState returns whether the store is reported lost now, and how often it was.
+func (c *copyReader) lossState() (lost bool, losses int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lost, c.losses
@@ -90,27 +91,28 @@
 	return out
 }
 
-// quiet hears reports and does nothing.
-type quiet struct{}
+// nopReporter ignores all reports.
+type nopReporter struct{}
 
-func (quiet) SourceChanged(string, error) {}
-func (quiet) SourceRefused(string, error) {}
+func (nopReporter) SourceChanged(string, error) {}
+func (nopReporter) SourceRefused(string, error) {}
 
-// callTimeout bounds a call of the store that is not answered, and watchDelay is how much later
-// than a change the store's next answer may be.
+// callTimeout bounds a store call that is not answered, and watchDelay bounds the delay between a
+// change and the store's next answer.
 const (
 	callTimeout = 1500 * time.Millisecond
 	watchDelay  = 1100 * time.Millisecond
 )
 
-// wayTo is the way to a store or relay, which can be cut.
-type wayTo struct {
+// connection is a connection to a store or relay that tests can interrupt: cut fails calls at
+// once, silent leaves them without an answer.
+type connection struct {
 	store.Store
 	cut, silent atomic.Bool
-	reads       atomic.Int64 // of all keys, also those that failed
+	reads       atomic.Int64 // snapshots, failed ones included
 }
 
-func (w *wayTo) check(ctx context.Context) error {
+func (w *connection) check(ctx context.Context) error {
 	if w.silent.Load() {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
@@ -123,7 +125,7 @@
 	return nil
 }
 
-func (w *wayTo) Snapshot(ctx context.Context, prefix string) ([]store.Item, store.Revision, error) {
+func (w *connection) Snapshot(ctx context.Context, prefix string) ([]store.Item, store.Revision, error) {
 	w.reads.Add(1)
 	if err := w.check(ctx); err != nil {
 		return nil, 0, err
@@ -131,8 +133,8 @@
 	return w.Store.Snapshot(ctx, prefix)
 }
 
-// Watch ends with the way to the store; a silent one brings nothing from then on.
-func (w *wayTo) Watch(ctx context.Context, prefix string, after store.Revision) (<-chan store.Event, error) {
+// Watch ends when the connection is cut; a silent connection delivers no more events.
+func (w *connection) Watch(ctx context.Context, prefix string, after store.Revision) (<-chan store.Event, error) {
 	in, err := w.Store.Watch(ctx, prefix, after)
 	if err != nil {
 		return nil, err
@@ -154,43 +156,43 @@
 	return out, nil
 }
 
-// world is a store with two relays and followers, each way of which can be cut.
-type world struct {
-	t      *testing.T
-	ctx    context.Context
-	store  *memstore.Store
-	hubs   []*Hub
-	toHub  [][]*wayTo // by follower and hub
-	ways   []*wayTo   // of the hubs, then of the followers, to the store
-	copies []*copyReader
-	wg     *sync.WaitGroup
+// testCluster is a store with relays and followers whose connections can be interrupted.
+type testCluster struct {
+	t          *testing.T
+	ctx        context.Context
+	store      *memstore.Store
+	hubs       []*Hub
+	hubConns   [][]*connection // by follower and hub
+	storeConns []*connection   // to the store: of the hubs, then of the followers
+	copies     []*copyReader
+	wg         *sync.WaitGroup
 }
 
 const keys = "k/"
 
-func newWorld(ctx context.Context, t *testing.T, relays, followers int) *world {
-	w := &world{t: t, ctx: ctx, store: memstore.New(), wg: &sync.WaitGroup{}}
+func newTestCluster(ctx context.Context, t *testing.T, relays, followers int) *testCluster {
+	w := &testCluster{t: t, ctx: ctx, store: memstore.New(), wg: &sync.WaitGroup{}}
 	for range relays {
-		w.hubs = append(w.hubs, w.hub())
+		w.hubs = append(w.hubs, w.newHub())
 	}
 	for n := range followers {
-		local := w.hub()
-		ways := make([]*wayTo, relays)
+		local := w.newHub()
+		conns := make([]*connection, relays)
 		sources := []Source{}
-		for i := range ways {
-			ways[i] = &wayTo{}
-			sources = append(sources, Source{Name: fmt.Sprint("relay-", i), Follow: w.through(ways[i], w.hubs[i])})
+		for i := range conns {
+			conns[i] = &connection{}
+			sources = append(sources, Source{Name: fmt.Sprint("relay-", i), Follow: w.followThrough(conns[i], w.hubs[i])})
 		}
-		w.toHub = append(w.toHub, ways)
-		way := w.ways[len(w.ways)-1]
+		w.hubConns = append(w.hubConns, conns)
+		conn := w.storeConns[len(w.storeConns)-1]
 		sources = append(sources, Source{Name: "own", Follow: local.Follow, Usable: func(ctx context.Context) bool {
 			ctx, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
 			defer cancel()
-			return way.check(ctx) == nil
+			return conn.check(ctx) == nil
 		}})
 		c := newCopy()
 		w.copies = append(w.copies, c)
-		f := &Follower{Store: "s", Readers: map[string]mirror.Reader{keys: c}, Report: quiet{}, Now: time.Now,
+		f := &Follower{Store: "s", Readers: map[string]mirror.Reader{keys: c}, Report: nopReporter{}, Now: time.Now,
 			Sources: func() []Source {
 				return append(sources[n%relays:relays:relays], append(sources[:n%relays:n%relays], sources[relays])...)
 			}}
@@ -199,35 +201,35 @@
 	return w
 }
 
-func (w *world) hub() *Hub {
-	way := &wayTo{Store: w.store}
-	w.ways = append(w.ways, way)
-	h := &Hub{Store: "s", Prefixes: []Prefix{{Name: keys, Store: way, StaleAfter: 1600 * time.Millisecond}}, MostFollowers: 10, Now: time.Now}
+func (w *testCluster) newHub() *Hub {
+	conn := &connection{Store: w.store}
+	w.storeConns = append(w.storeConns, conn)
+	h := &Hub{Store: "s", Prefixes: []Prefix{{Name: keys, Store: conn, StaleAfter: 1600 * time.Millisecond}}, MostFollowers: 10, Now: time.Now}
 	w.wg.Go(func() { h.Run(w.ctx) })
 	return h
 }
 
-func (w *world) through(way *wayTo, h *Hub) func(context.Context, Request) (Reply, error) {
+func (w *testCluster) followThrough(conn *connection, h *Hub) func(context.Context, Request) (Reply, error) {
 	return func(ctx context.Context, r Request) (Reply, error) {
-		if err := way.check(ctx); err != nil {
+		if err := conn.check(ctx); err != nil {
 			return Reply{}, err
 		}
 		reply, err := h.Follow(ctx, r)
-		if err := way.check(ctx); err != nil {
+		if err := conn.check(ctx); err != nil {
 			return Reply{}, err
 		}
 		return reply, err
 	}
 }
 
-func (w *world) put(key, value string) {
+func (w *testCluster) put(key, value string) {
 	old, err := w.store.Get(w.ctx, keys+key)
 	require.NoError(w.t, err)
 	_, err = w.store.CompareAndSwap(w.ctx, keys+key, old.Revision, []byte(value), 0)
 	require.NoError(w.t, err)
 }
 
-func (w *world) remove(key string) {
+func (w *testCluster) remove(key string) {
 	old, err := w.store.Get(w.ctx, keys+key)
 	require.NoError(w.t, err)
 	if old.Revision != 0 {
@@ -235,7 +237,7 @@
 	}
 }
 
-func (w *world) values() map[string]string {
+func (w *testCluster) values() map[string]string {
 	items, _, err := w.store.Snapshot(w.ctx, keys)
 	require.NoError(w.t, err)
 	out := map[string]string{}
@@ -245,19 +247,19 @@
 	return out
 }
 
-// play runs a test with a world in virtual time.
-func play(t *testing.T, relays, followers int, test func(w *world)) {
+// withCluster runs a test on a testCluster in virtual time.
+func withCluster(t *testing.T, relays, followers int, test func(w *testCluster)) {
 	virtualtime.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := newWorld(ctx, t, relays, followers)
+		w := newTestCluster(ctx, t, relays, followers)
 		defer w.wg.Wait()
 		defer cancel()
 		test(w)
 	})
 }
 
-// all requires that each copy is the store's.
-func (w *world) all() {
+// requireConverged requires that each copy equals the store and never went back.
+func (w *testCluster) requireConverged() {
 	for i, c := range w.copies {
 		require.Equal(w.t, w.values(), c.values(), "follower %d", i)
 		require.Empty(w.t, c.wentBack(), "follower %d", i)
