--- a/coord/member/lease.go
+++ b/coord/member/lease.go
@@ -11,25 +11,27 @@
 )
 
 const (
-	// retryMin and retryMax bound the pause before the own entry is tried again. A process
-	// that is not listed gets no work of others, but a whole fleet may be trying.
+	// retryMin and retryMax bound the pause before registration is retried. A process that is
+	// not listed gets no work from others, but a whole fleet may be retrying at once.
 	retryMin = 250 * time.Millisecond
 	retryMax = 2 * time.Second
-	// findTries is how often the list is read at the start until there is somebody else in
-	// it, and findPause the pause between. A fleet that starts at once is listed within it.
+	// findTries is how often the list is read at startup until it holds another member, and
+	// findPause the pause between reads. All members of a fleet that starts at once are listed
+	// within that time.
 	findTries = 3
 	findPause = 150 * time.Millisecond
-	// findTimeout bounds one such read: a store that is slow by a factor of 100 answers in it.
+	// findTimeout bounds one such read: a store that is slower by a factor of 100 still answers
+	// within it.
 	findTimeout = 500 * time.Millisecond
-	// tidyPause is the pause between two looks for members that did not return.
-	tidyPause = time.Second
+	// cleanupInterval is the interval between two cleanups; see cleanUp.
+	cleanupInterval = time.Second
 )
 
 // Keep registers this process and renews its lease until the context ends.
 func (g *Group) Keep(ctx context.Context) {
 	g.init()
-	tidy := time.NewTicker(tidyPause)
-	defer tidy.Stop()
+	cleanup := time.NewTicker(cleanupInterval)
+	defer cleanup.Stop()
 	retry := backoff.New(retryMin, retryMax)
 	next := time.NewTimer(0)
 	defer next.Stop()
@@ -37,18 +39,18 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-tidy.C:
-			g.tidy(time.Now())
-		case <-g.woken:
+		case <-cleanup.C:
+			g.cleanUp(time.Now())
+		case <-g.wakeups:
 			next.Reset(0)
 		case <-next.C:
-			next.Reset(g.renewed(ctx, retry))
+			next.Reset(g.renewOnce(ctx, retry))
 		}
 	}
 }
 
-// renewed renews once and returns the pause until the next time.
-func (g *Group) renewed(ctx context.Context, retry *backoff.Backoff) time.Duration {
+// renewOnce renews once and returns the pause until the next renewal.
+func (g *Group) renewOnce(ctx context.Context, retry *backoff.Backoff) time.Duration {
 	err := g.renew(ctx)
 	switch {
 	case err == nil:
@@ -61,9 +63,9 @@
 	return retry.Next()
 }
 
-// Find reads the list at the start until there is somebody else in it, or for a third of a second: whom
-// to follow is not known before, and if each process of a fleet that starts followed the store
-// meanwhile, they would ask for more than it takes.
+// Find reads the list at startup until it holds another member, or for a third of a second. Before
+// that a process has no relay to follow, and if each process of a starting fleet followed the store
+// meanwhile, their calls would overload it.
 func (g *Group) Find(ctx context.Context) {
 	for try := range findTries {
 		if try > 0 && backoff.Sleep(ctx, findPause) != nil {
@@ -83,37 +85,37 @@
 
 func (g *Group) init() {
 	g.once.Do(func() {
-		g.woken = make(chan struct{}, 1)
+		g.wakeups = make(chan struct{}, 1)
 	})
 }
 
-// wake makes Keep look at once.
+// wake makes Keep renew at once.
 func (g *Group) wake() {
 	g.init()
 	select {
-	case g.woken <- struct{}{}:
-	default: // Keep has yet to take the last wake, and will see this too
+	case g.wakeups <- struct{}{}:
+	default: // a wakeup is already pending and covers this one too
 	}
 }
 
-// StepAside takes this process off the list, or puts it back, and keeps it so. A process
-// that is about to lose its VM steps aside while it can still hand over what it has.
-func (g *Group) StepAside(aside bool) {
+// StepAside takes this process off the list, or puts it back, and keeps it in that state. A
+// process that is about to lose its VM leaves the list while it can still hand over its state.
+func (g *Group) StepAside(withdrawn bool) {
 	g.mu.Lock()
-	changed := g.aside != aside
-	g.aside = aside
+	changed := g.withdrawn != withdrawn
+	g.withdrawn = withdrawn
 	g.mu.Unlock()
 	if changed {
 		g.wake()
 	}
 }
 
-// renew renews the lease, or registers anew when it has ended.
+// renew renews the lease, or registers again if it has ended.
 func (g *Group) renew(ctx context.Context) error {
 	if g.Aside() {
 		return g.withdraw(ctx)
 	}
-	if id := g.current(); id != 0 {
+	if id := g.currentLease(); id != 0 {
 		err := g.Store.KeepAlive(ctx, id)
 		if !errors.Is(err, store.ErrNoLease) {
 			return err
@@ -140,8 +142,8 @@
 	return nil
 }
 
-// put writes the own key. It is there already only if an earlier lease of this life has yet
-// to end, or a write was done and its answer lost.
+// put writes this process's key. It exists already only if an earlier lease of this incarnation has
+// not ended yet, or if an earlier write succeeded and its answer was lost.
 func (g *Group) put(ctx context.Context, value []byte, lease store.LeaseID) error {
 	key := g.Prefix + g.Self.ID
 	_, err := g.Store.CompareAndSwap(ctx, key, 0, value, lease)
@@ -156,17 +158,17 @@
 	return err
 }
 
-func (g *Group) current() store.LeaseID {
+func (g *Group) currentLease() store.LeaseID {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.lease
 }
 
-// Aside reports whether this process has stepped aside.
+// Aside reports whether this process has withdrawn from the list; see StepAside.
 func (g *Group) Aside() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.aside
+	return g.withdrawn
 }
 
 // withdraw ends the lease if there is one.
@@ -180,9 +182,9 @@
 	return nil
 }
 
-// Leave ends the lease, so that others count this process out at once.
+// Leave ends the lease, so that this process leaves the views of others at once.
 func (g *Group) Leave(ctx context.Context) error {
-	id := g.current()
+	id := g.currentLease()
 	if id == 0 {
 		return nil
 	}
--- a/coord/member/member.go
+++ b/coord/member/member.go
@@ -1,5 +1,5 @@
-// Package member tells the processes of a fleet which others there are: each keeps a
-// key with a lease in the store, and follows the keys of all.
+// Package member is the membership of a fleet: each process keeps a key with a lease in the
+// store, and follows the keys of all.
 package member
 
 import (
@@ -11,97 +11,97 @@
 	"github.com/arbutusmill/arbutusmill/coord/store"
 )
 
-// Member is one process.
+// Member is the entry of one process.
 type Member struct {
-	// ID names the process's life; it is the last part of its key.
+	// ID names the process's incarnation; it is the last part of its key.
 	ID string `json:"id"`
-	// Role is what it does. Members of all roles know of each other.
+	// Role is the kind of process. The view holds members of all roles.
 	Role string `json:"role"`
-	// VM names where it runs.
+	// VM names the VM of the process.
 	VM string `json:"vm"`
-	// Datacentre is where that is.
+	// Datacentre names the data centre of that VM.
 	Datacentre string `json:"datacentre"`
-	// Address is where it takes messages of other members.
+	// Address is where the process accepts messages from other members.
 	Address string `json:"address"`
 	// Beside is the address of the upstream on its VM, "" if there is none.
 	Beside string `json:"beside,omitempty"`
-	// Relays says that its VM is strong enough to relay the store's changes to many others.
+	// Relays is set if its VM is large enough to relay the store's changes to many others.
 	Relays bool `json:"relays,omitempty"`
-	// revision is that of the key; of two lives of one VM the newer has the higher.
+	// revision is the key's revision; of two incarnations on one VM the newer has the higher.
 	revision store.Revision
 	// created is the revision at which the key was created; see store.Item.
 	created store.Revision
 }
 
-// Group is a process's view of all members, itself included while its lease holds. It
-// implements mirror.Reader: whoever follows the members' keys passes them on to it.
+// Group is a process's view of all members, itself included while its lease is valid. It
+// implements mirror.Reader and is kept up to date by a reader of the members' keys.
 //
-// While they are not followed the view stays as it was: members that the process cannot hear
-// of are more likely alive than gone, and what is shared by their number (retry budget,
-// connections) is then divided by too many rather than too few.
+// While the keys are not followed the view stays as it was: members without updates are more
+// likely alive than gone, and what is divided by their number (retry budget, connections) is
+// then divided by too many rather than too few.
 type Group struct {
-	// Store and Prefix say where the keys are.
+	// Store and Prefix are the location of the keys.
 	Store  store.Store
 	Prefix string
 	// Self is this process.
 	Self Member
-	// TTL is the lease's time, and Interval the pause between two renewals. The lease should
-	// outlast usual cuts from the store: a process that starts just after one would otherwise
-	// find nobody listed and take itself for the only one.
+	// TTL is the lease's duration, and Interval the pause between two renewals. The lease should
+	// outlast usual disconnections from the store: a process that starts just after one would
+	// otherwise find no other member and treat itself as the only one.
 	TTL      time.Duration
 	Interval time.Duration
-	// Report is told of failures and of changes of the number of members.
+	// Report receives failures and changes of the number of members.
 	Report Reporter
 
-	once  sync.Once
-	woken chan struct{} // wakes Keep
-
-	mu      sync.Mutex
-	members map[string]Member // nil before the first read
-	beside  map[string]Member // by the upstream's address; nil while it is not known
-	former  map[string]formerMember
-	// told is the number of members that was reported last.
-	told int
-	// ranks are the results of Rank for this view; they are never changed.
-	ranks map[rankOf][]Member
-	// version counts the views.
+	once    sync.Once
+	wakeups chan struct{} // wakes Keep
+
+	mu         sync.Mutex
+	members    map[string]Member // nil before the first read
+	byUpstream map[string]Member // by the upstream's address; nil until it is computed
+	former     map[string]formerMember
+	// reportedCount is the number of members reported last.
+	reportedCount int
+	// rankings caches the results of Rank for this view; the slices are never modified.
+	rankings map[rankingKey][]Member
+	// version counts the changes of the view.
 	version uint64
-	// missing are members that are not listed any more after a loss of the store. They are in
+	// missing holds members that are no longer listed after a loss of the store. They stay in
 	// the view as long as they count as lapsed.
 	missing map[string]Member
-	// kept are the keys of members that outlived the last loss of the store.
-	kept   map[string]bool
-	lapses lapse.Judge
-	lease  store.LeaseID
-	// registered is when that lease's entry was written.
+	// survivors holds the keys of members whose leases outlasted the last loss of the store.
+	survivors map[string]bool
+	lapses    lapse.Judge
+	lease     store.LeaseID
+	// registered is when the entry of that lease was written.
 	registered time.Time
-	// aside says that this process is not to be listed.
-	aside bool
-	// lost says that the members are not followed.
+	// withdrawn is set if this process must not be listed.
+	withdrawn bool
+	// lost is set while the members are not followed.
 	lost bool
 }
 
 var _ mirror.Reader = (*Group)(nil)
 
-// Reporter hears what a group goes through.
+// Reporter receives the events of a group.
 type Reporter interface {
 	// MembersChanged is called with the number of members when it has changed, at most once
 	// a second.
 	MembersChanged(count int)
-	// MembersLost is called when the members are not followed any more, MembersRead when
-	// they were read.
+	// MembersLost is called when the members are no longer followed, MembersRead after they
+	// were read.
 	MembersLost(err error)
 	MembersRead()
-	// NotRegistered is called each time that the store did not take this process's own
-	// entry, Registered each time that it did.
+	// NotRegistered is called each time the store did not accept this process's entry or its
+	// renewal, Registered each time it did.
 	NotRegistered(err error)
 	Registered()
 	// MemberUnreadable is called for an entry that cannot be decoded.
 	MemberUnreadable(err error)
 }
 
-// Count returns the number of members of a role that are known, at least 1; known is
-// false as long as the store was never read.
+// Count returns the number of known members of a role, at least 1; known is false until the
+// store was read once.
 func (g *Group) Count(role string) (n int, known bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -113,10 +113,10 @@
 	return max(1, n), g.members != nil
 }
 
-// Sharers returns among how many VMs the members of this process's role divide what they share,
-// and since when this process has been one of them. A VM counts for a minute after it left the
-// list, since it may just have used its part. n is 0 while this process is not listed: the others
-// then do not count it.
+// Sharers returns the number of VMs among which the members of this process's role divide a shared
+// limit, and since when this process has been one of them. A VM counts for a minute after it left
+// the list, since it may just have used its share. n is 0 while this process is not listed: the
+// others then do not count it.
 func (g *Group) Sharers() (n int, since time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -132,7 +132,7 @@
 	return len(vms), g.registered
 }
 
-// Get returns a member by its id.
+// Get returns a member by its ID.
 func (g *Group) Get(id string) (Member, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -140,7 +140,7 @@
 	return m, ok
 }
 
-// Address returns where a member takes messages, also one that left the list lately: a
+// Address returns where a member accepts messages, also for one that left the list recently: a
 // process that stops still takes back what it lent.
 func (g *Group) Address(id string) (string, bool) {
 	g.mu.Lock()
@@ -152,23 +152,23 @@
 	return m.Address, ok
 }
 
-// Beside returns the member on the VM of the upstream with that address.
+// Beside returns the member that runs on the VM of the upstream with that address.
 func (g *Group) Beside(upstream string) (Member, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.beside == nil {
-		g.beside = besides(g.members)
+	if g.byUpstream == nil {
+		g.byUpstream = indexByUpstream(g.members)
 	}
-	m, ok := g.beside[upstream]
+	m, ok := g.byUpstream[upstream]
 	return m, ok
 }
 
-// Replaced reports whether the VM of a life has a newer one: then the old one is certainly
-// gone, although its lease may go on for a while.
+// Replaced reports whether the VM of an incarnation has a newer one: then the old one has certainly
+// ended, although its lease may stay valid for a while.
 func (g *Group) Replaced(id, vm string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	old := g.members[g.Prefix+id] // has revision 0 if it is not listed
+	old := g.members[g.Prefix+id] // revision 0 if not listed
 	for _, m := range g.members {
 		if m.VM == vm && m.revision > old.revision {
 			return true
@@ -184,7 +184,7 @@
 	return g.version
 }
 
-// Newest returns the members of a role by their VMs: for each the newest of its lives.
+// Newest returns the members of a role by VM: for each VM its newest incarnation.
 func (g *Group) Newest(role string) map[string]Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -215,7 +215,7 @@
 	return out
 }
 
-func besides(members map[string]Member) map[string]Member {
+func indexByUpstream(members map[string]Member) map[string]Member {
 	out := map[string]Member{}
 	for _, m := range members {
 		if have, ok := out[m.Beside]; m.Beside != "" && (!ok || have.revision < m.revision) {
--- a/coord/member/member_test.go
+++ b/coord/member/member_test.go
@@ -14,35 +14,35 @@
 	"github.com/stretchr/testify/require"
 )
 
-type quiet struct{}
+type nopReporter struct{}
 
-func (quiet) MembersChanged(int)     {}
-func (quiet) MembersLost(error)      {}
-func (quiet) MembersRead()           {}
-func (quiet) NotRegistered(error)    {}
-func (quiet) Registered()            {}
-func (quiet) MemberUnreadable(error) {}
+func (nopReporter) MembersChanged(int)     {}
+func (nopReporter) MembersLost(error)      {}
+func (nopReporter) MembersRead()           {}
+func (nopReporter) NotRegistered(error)    {}
+func (nopReporter) Registered()            {}
+func (nopReporter) MemberUnreadable(error) {}
 
-func join(s *memstore.Store, id, role string) *Group {
-	return &Group{Store: s, Prefix: "m/", TTL: time.Minute, Interval: 2 * time.Second, Report: quiet{},
+func newTestGroup(s *memstore.Store, id, role string) *Group {
+	return &Group{Store: s, Prefix: "m/", TTL: time.Minute, Interval: 2 * time.Second, Report: nopReporter{},
 		Self: Member{ID: id + "/1", Role: role, VM: id, Address: id + ":1"}}
 }
 
-// run keeps a group, and follows the members in the store.
+// run keeps a group registered, and follows the members in the store.
 func run(ctx context.Context, s *memstore.Store, g *Group) {
 	go g.Keep(ctx)
 	go (&mirror.Mirror{Store: s, Prefix: g.Prefix, Reader: g}).Run(ctx)
 }
 
-// Members of one role are ranked and counted without those of others: a router that were
-// ranked among the lenders would be taken for the home of budgets.
-func TestRolesAreApart(t *testing.T) {
+// Guards against members that are ranked or counted under another role: a router ranked among the
+// lenders would be used as the home of budgets.
+func TestRolesAreSeparate(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer synctest.Wait()
 		defer cancel()
 		s := memstore.New()
-		groups := []*Group{join(s, "r1", "router"), join(s, "r2", "router"), join(s, "l1", "lender")}
+		groups := []*Group{newTestGroup(s, "r1", "router"), newTestGroup(s, "r2", "router"), newTestGroup(s, "l1", "lender")}
 		for _, g := range groups {
 			run(ctx, s, g)
 		}
@@ -56,15 +56,15 @@
 	})
 }
 
-// A process learns that its VM will be taken away. It is off the list at once, and not only
-// with the next renewal; when the VM stays after all, it is back as fast.
-func TestStepAside(t *testing.T) {
+// Guards against a withdrawal that only takes effect with the next renewal: a process whose VM will
+// be taken away must leave the list at once, and return at once if the VM stays.
+func TestWithdrawAndReturn(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer synctest.Wait()
 		defer cancel()
 		s := memstore.New()
-		g := join(s, "l1", "lender")
+		g := newTestGroup(s, "l1", "lender")
 		g.Interval = time.Minute
 		run(ctx, s, g)
 		time.Sleep(2 * time.Minute)
@@ -77,23 +77,23 @@
 		g.StepAside(true)
 		synctest.Wait()
 		require.Zero(t, listed())
-		require.Empty(t, g.Members(), "its own view follows")
+		require.Empty(t, g.Members(), "its own view must follow")
 		g.StepAside(false)
 		synctest.Wait()
 		require.Equal(t, 1, listed())
 	})
 }
 
-// The store is away for so long that all leases end, and its list is empty at its return. Each
-// process keeps the members that it knew, sees that it is not listed itself, and registers again
-// at once, long before its next renewal is due.
+// Guards against a view that empties after an outage: the store is unreachable until all leases end,
+// and its list is empty when it returns. Each process must keep the members it had, detect that it
+// is not listed itself, and register again at once, long before its next renewal is due.
 func TestLapsedMembersRegisterAgain(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer synctest.Wait()
 		defer cancel()
 		s := memstore.New()
-		groups := []*Group{join(s, "r1", "router"), join(s, "r2", "router")}
+		groups := []*Group{newTestGroup(s, "r1", "router"), newTestGroup(s, "r2", "router")}
 		for _, g := range groups {
 			g.Interval = 20 * time.Second
 			run(ctx, s, g)
@@ -102,8 +102,8 @@
 		items, _, err := s.Snapshot(ctx, "m/")
 		require.NoError(t, err)
 		require.Len(t, items, 2)
-		// The groups hear of the loss and of the empty list before the watch tells of a removal:
-		// a process that is told so while it follows the store knows that the member is gone.
+		// The groups get the loss and the empty list before the watch delivers a removal: a
+		// removal that arrives while the store is followed means that the member has left.
 		for _, g := range groups {
 			g.Lost(store.ErrUnknown)
 			g.Reset(nil)
@@ -118,66 +118,67 @@
 		}
 		time.Sleep(500 * time.Millisecond)
 		for _, g := range groups {
-			require.NoError(t, g.Store.EndLease(ctx, g.current()))
+			require.NoError(t, g.Store.EndLease(ctx, g.currentLease()))
 		}
 		time.Sleep(2 * time.Second)
 		items, _, err = s.Snapshot(ctx, "m/")
 		require.NoError(t, err)
 		require.Len(t, items, 2)
-		time.Sleep(returnGrace + 2*tidyPause)
+		time.Sleep(returnGrace + 2*cleanupInterval)
 		for _, g := range groups {
 			require.Len(t, g.Members(), 2)
 		}
 	})
 }
 
-// Members that do not return after an outage leave the view when their time is over, and their
-// addresses are remembered for a while.
-func TestMissingMembersGoInTheEnd(t *testing.T) {
+// Guards against members that stay in the view for ever after an outage: those that do not return
+// must leave it after returnGrace, and their addresses must be kept for formerRetention.
+func TestMissingMembersAreEventuallyRemoved(t *testing.T) {
 	now := time.Now()
-	g := join(memstore.New(), "r1", "router")
+	g := newTestGroup(memstore.New(), "r1", "router")
 	value := []byte(`{"id":"r2/1","role":"router","vm":"r2","address":"r2:1"}`)
 	g.Reset([]store.Item{{Key: "m/r2/1", Value: value, Revision: 3}})
 	g.Lost(store.ErrUnknown)
 	g.Reset(nil)
 	require.Len(t, g.Members(), 1)
-	g.tidy(now.Add(returnGrace / 2))
+	g.cleanUp(now.Add(returnGrace / 2))
 	require.Len(t, g.Members(), 1)
-	g.tidy(now.Add(returnGrace + time.Second))
+	g.cleanUp(now.Add(returnGrace + time.Second))
 	require.Empty(t, g.Members())
 	address, ok := g.Address("r2/1")
 	require.True(t, ok)
 	require.Equal(t, "r2:1", address)
-	g.tidy(now.Add(returnGrace + rememberFor + 2*time.Second))
+	g.cleanUp(now.Add(returnGrace + formerRetention + 2*time.Second))
 	_, ok = g.Address("r2/1")
 	require.False(t, ok)
 }
 
-// listedMember is the entry of a member on a VM, created and written at a revision.
+// listedMember returns the entry of a member on a VM, created and written at a revision.
 func listedMember(vm string, at store.Revision) store.Item {
 	value := fmt.Sprintf(`{"id":"%s/1","role":"lender","vm":%q,"address":"%s:1"}`, vm, vm, vm)
 	return store.Item{Key: "m/" + vm + "/1", Value: []byte(value), Revision: at, Created: at}
 }
 
-// A router is cut off from the store and the others for some seconds, and a lender's VM is taken
-// away meanwhile. Back in touch, the router does not ask that lender for tokens: the entries of
-// the other lenders are the same as before, so leases did not run out. For ten seconds it did,
-// since it took its own cut for an outage of the store, and requests waited for the lender.
+// Guards against a lost connection that is taken for an outage of the store: a router loses the
+// store and the other members for some seconds, and a lender's VM is taken away meanwhile. The
+// router must drop that lender after it reconnects: the entries of the other lenders are unchanged,
+// so no leases ran out. Otherwise its requests wait for that lender's tokens for 10 s.
 func TestMemberThatLeftDuringACut(t *testing.T) {
-	g := join(memstore.New(), "r1", "router")
+	g := newTestGroup(memstore.New(), "r1", "router")
 	g.Reset([]store.Item{listedMember("l1", 3), listedMember("l2", 4), listedMember("l3", 5)})
 	g.Lost(store.ErrUnknown)
 	g.Reset([]store.Item{listedMember("l2", 4), listedMember("l3", 5)})
 	require.Len(t, g.Rank("page", "lender"), 2)
 	address, ok := g.Address("l1/1")
-	require.True(t, ok, "what it lent has to find its way back")
+	require.True(t, ok, "borrowers must still be able to return what it lent")
 	require.Equal(t, "l1:1", address)
 }
 
-// The leases of all members ran out while the store was away, and the store removes their entries
-// one after the other after the first read. They are in the view all the same.
+// Guards against lapsed members that are dropped one by one: all leases ran out while the store was
+// unreachable, and the store removes the entries one after the other after the first read. The
+// members must stay in the view.
 func TestMembersThatLapseAfterTheFirstRead(t *testing.T) {
-	g := join(memstore.New(), "r1", "router")
+	g := newTestGroup(memstore.New(), "r1", "router")
 	all := []store.Item{listedMember("l1", 3), listedMember("l2", 4), listedMember("l3", 5), listedMember("l4", 6)}
 	g.Reset(all)
 	g.Lost(store.ErrUnknown)
@@ -187,24 +188,25 @@
 	}
 	require.Len(t, g.Rank("page", "lender"), 4)
 	g.Changed(store.Event{Item: listedMember("l1", 10)})
-	g.tidy(time.Now().Add(returnGrace + time.Second))
+	g.cleanUp(time.Now().Add(returnGrace + time.Second))
 	require.Len(t, g.Rank("page", "lender"), 1)
 }
 
-// counting counts entries that cannot be read.
-type counting struct {
-	quiet
+// unreadableCounter counts the reports of invalid entries.
+type unreadableCounter struct {
+	nopReporter
 	unreadable int
 }
 
-func (c *counting) MemberUnreadable(error) { c.unreadable++ }
+func (c *unreadableCounter) MemberUnreadable(error) { c.unreadable++ }
 
-// Another writer puts something under the members' keys. It is left alone and said; taken for a
-// member without a VM, it could be ranked as the home of a budget.
-func TestUnreadableMembersAreLeftAlone(t *testing.T) {
-	g := join(memstore.New(), "r1", "router")
-	said := &counting{}
-	g.Report = said
+// Guards against invalid entries that count as members: another writer uses the members' prefix. Its
+// entries must be reported and ignored; as a member without a VM, one could be ranked as the home of
+// a budget.
+func TestUnreadableMembersAreIgnored(t *testing.T) {
+	g := newTestGroup(memstore.New(), "r1", "router")
+	reporter := &unreadableCounter{}
+	g.Report = reporter
 	good := `{"id":"r2/1","role":"router","vm":"r2","address":"r2:1"}`
 	g.Reset([]store.Item{
 		{Key: "m/r2/1", Value: []byte(good), Revision: 1},
@@ -214,15 +216,15 @@
 		{Key: "m/d", Value: []byte(good), Revision: 5},
 	})
 	require.Len(t, g.Members(), 1)
-	require.Equal(t, 4, said.unreadable)
+	require.Equal(t, 4, reporter.unreadable)
 	g.Changed(store.Event{Item: store.Item{Key: "m/r2/1", Value: []byte("x"), Revision: 6}})
-	require.Len(t, g.Members(), 1, "what is known of it holds")
+	require.Len(t, g.Members(), 1, "the last valid entry must stay")
 }
 
-// BenchmarkRank is the ranking of a role's members, kept and made anew.
+// BenchmarkRank measures the ranking of a role's members, cached and recomputed.
 func BenchmarkRank(b *testing.B) {
 	for _, n := range []int{12, 160, 1300} {
-		g := join(memstore.New(), "r1", "router")
+		g := newTestGroup(memstore.New(), "r1", "router")
 		var items []store.Item
 		for i := range n {
 			id := fmt.Sprint("l", i, "/1")
@@ -243,16 +245,17 @@
 	}
 }
 
-// Three routers share something, and one of them is stopped as planned just after it used its part. The
-// others divide by three for another minute; the one that is not listed has no part, and begins
-// anew when it is listed again.
-func TestSharersCountThoseThatLeftLately(t *testing.T) {
+// Guards against a shared limit that is exceeded when a member leaves: three routers share a limit,
+// and one of them stops as planned just after it used its share. The others must divide by three for
+// another minute. The router that is not listed must have no share, and a new start time when it is
+// listed again.
+func TestSharersCountRecentlyDeparted(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer synctest.Wait()
 		defer cancel()
 		s := memstore.New()
-		groups := []*Group{join(s, "r1", "router"), join(s, "r2", "router"), join(s, "r3", "router"), join(s, "l1", "lender")}
+		groups := []*Group{newTestGroup(s, "r1", "router"), newTestGroup(s, "r2", "router"), newTestGroup(s, "r3", "router"), newTestGroup(s, "l1", "lender")}
 		for _, g := range groups {
 			n, _ := g.Sharers()
 			require.Zero(t, n, "not listed yet")
@@ -266,7 +269,7 @@
 		require.Equal(t, 3, sharers(groups[0]))
 		_, before := groups[2].Sharers()
 		groups[2].StepAside(true)
-		time.Sleep(rememberFor - time.Second)
+		time.Sleep(formerRetention - time.Second)
 		require.Equal(t, 3, sharers(groups[0]))
 		require.Zero(t, sharers(groups[2]))
 		time.Sleep(3 * time.Second)
@@ -275,6 +278,6 @@
 		time.Sleep(time.Second)
 		require.Equal(t, 3, sharers(groups[2]))
 		_, after := groups[2].Sharers()
-		require.Greater(t, after.Sub(before), rememberFor)
+		require.Greater(t, after.Sub(before), formerRetention)
 	})
 }
--- a/coord/member/rank.go
+++ b/coord/member/rank.go
@@ -7,29 +7,29 @@
 	"github.com/arbutusmill/arbutusmill/coord/rendezvous"
 )
 
-// rankOf is one ranking.
-type rankOf struct{ key, role string }
+// rankingKey identifies a cached ranking.
+type rankingKey struct{ key, role string }
 
 // Rank returns the newest members of a role in the order of preference for key. All members
-// with the same view have the same order. The caller must not change the list: it is kept
-// until the view changes, since each request asks for it several times: 162 us with 160 members
-// and 1.7 ms with 1,300, each time (BenchmarkRank).
+// with the same view have the same order. The caller must not modify the slice: it is cached
+// until the view changes, since each request needs it several times, and computing it takes
+// 162 us with 160 members and 1.7 ms with 1,300 (BenchmarkRank).
 func (g *Group) Rank(key, role string) []Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if ranked, ok := g.ranks[rankOf{key, role}]; ok {
+	if ranked, ok := g.rankings[rankingKey{key, role}]; ok {
 		return ranked
 	}
-	if g.ranks == nil || len(g.ranks) >= mostRanks {
-		g.ranks = map[rankOf][]Member{}
+	if g.rankings == nil || len(g.rankings) >= maxCachedRankings {
+		g.rankings = map[rankingKey][]Member{}
 	}
 	ranked := g.rankLocked(key, role)
-	g.ranks[rankOf{key, role}] = ranked
+	g.rankings[rankingKey{key, role}] = ranked
 	return ranked
 }
 
-// mostRanks bounds the rankings that are kept: a few for each page of budgets.
-const mostRanks = 256
+// maxCachedRankings bounds the cached rankings: there are a few for each page of budgets.
+const maxCachedRankings = 256
 
 func (g *Group) rankLocked(key, role string) []Member {
 	newest := g.newestLocked(role)
--- a/coord/member/view.go
+++ b/coord/member/view.go
@@ -12,20 +12,20 @@
 	"github.com/zeebo/errs"
 )
 
-// formerMember is one that is no longer listed.
+// formerMember is a member that is no longer listed.
 type formerMember struct {
 	Member
 	left time.Time
 }
 
-// rememberFor is how long a member's address is remembered after it left the list. What
-// others hold of it has to find its way back until then, and what it used of what all share counts;
-// it is longer than a planned stop, and than the window of what is shared.
-const rememberFor = time.Minute
+// formerRetention is how long a member's address is kept after it left the list. Until then others
+// return to it what they borrowed, and its use of shared limits still counts. It is longer than a
+// planned stop, and than the window of the shared limits.
+const formerRetention = time.Minute
 
-// returnGrace is how long members that are missing after an outage are kept: living ones
-// register again with their next renewal. A view that empties and fills again would move
-// every home of a budget twice.
+// returnGrace is how long members that are missing after an outage are kept: live ones register
+// again with their next renewal. A view that empties and refills would move every home of a budget
+// twice.
 const returnGrace = 10 * time.Second
 
 // Reset implements mirror.Reader.
@@ -45,10 +45,10 @@
 			g.lost = false
 			g.lapses.StoreIsBack(now, returnGrace)
 		}
-		g.judgeReadLocked(listed)
+		g.recordReadLocked(listed)
 		for key := range g.members {
 			if _, ok := listed[key]; !ok {
-				g.missLocked(now, key)
+				g.markMissingLocked(now, key)
 			}
 		}
 		for key, m := range listed {
@@ -60,7 +60,7 @@
 // Changed implements mirror.Reader.
 func (g *Group) Changed(e store.Event) {
 	if e.Deleted {
-		g.update(time.Now(), func(now time.Time) { g.missLocked(now, e.Key) })
+		g.update(time.Now(), func(now time.Time) { g.markMissingLocked(now, e.Key) })
 		return
 	}
 	if m, ok := g.decode(e.Item); ok {
@@ -76,15 +76,16 @@
 	g.Report.MembersLost(err)
 }
 
-// tidy drops the members that did not return after an outage, and forgets former ones.
-func (g *Group) tidy(now time.Time) {
+// cleanUp drops the members that did not return after an outage, and removes expired former
+// members.
+func (g *Group) cleanUp(now time.Time) {
 	if g.hasMissing() {
 		g.update(now, func(time.Time) {})
 	}
 	g.mu.Lock()
-	maps.DeleteFunc(g.former, func(_ string, m formerMember) bool { return now.Sub(m.left) > rememberFor })
+	maps.DeleteFunc(g.former, func(_ string, m formerMember) bool { return now.Sub(m.left) > formerRetention })
 	g.mu.Unlock()
-	if n, changed := g.newCount(); changed {
+	if n, changed := g.takeCountChange(); changed {
 		g.Report.MembersChanged(n)
 	}
 }
@@ -95,84 +96,84 @@
 	return len(g.missing) > 0
 }
 
-// newCount returns the number of members, and whether it is not the one reported last.
-func (g *Group) newCount() (n int, changed bool) {
+// takeCountChange returns the number of members, and whether it differs from the one reported last.
+func (g *Group) takeCountChange() (n int, changed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	n = len(g.members)
-	changed = n != g.told
-	g.told = n
+	changed = n != g.reportedCount
+	g.reportedCount = n
 	return n, changed
 }
 
-// update changes the view. When this process is not listed although it should be, its lease
-// ended: it registers again at once.
+// update changes the view. If this process is not listed although it should be, its lease has
+// ended, and it registers again at once.
 func (g *Group) update(now time.Time, change func(now time.Time)) {
 	g.mu.Lock()
 	change(now)
-	g.judgeMissingLocked(now)
-	g.beside, g.ranks = nil, nil
+	g.resolveMissingLocked(now)
+	g.byUpstream, g.rankings = nil, nil
 	g.version++
 	_, missed := g.missing[g.Prefix+g.Self.ID]
-	unlisted := g.lease != 0 && !g.aside && (missed || g.droppedLocked())
+	unlisted := g.lease != 0 && !g.withdrawn && (missed || g.wasListedLocked())
 	g.mu.Unlock()
 	if unlisted {
 		g.wake()
 	}
 }
 
-// droppedLocked reports whether this process was listed and is not any more.
-func (g *Group) droppedLocked() bool {
+// wasListedLocked reports whether this process was listed and no longer is.
+func (g *Group) wasListedLocked() bool {
 	_, former := g.former[g.Prefix+g.Self.ID]
 	return former
 }
 
 func (g *Group) putLocked(key string, m Member) {
 	if g.members[key].revision > m.revision {
-		return // told late
+		return // an older entry that arrived late
 	}
 	g.members[key] = m
 	delete(g.missing, key)
 	delete(g.former, key)
 }
 
-// judgeReadLocked notes the members whose leases outlasted the time since the last read: a lease
-// that runs out takes the entry with it, and its owner creates another one.
-func (g *Group) judgeReadLocked(listed map[string]Member) {
-	g.kept = map[string]bool{}
-	again := 0
+// recordReadLocked records the members whose leases outlasted the time since the last read: an
+// entry is removed when its lease expires, and its owner creates another one.
+func (g *Group) recordReadLocked(listed map[string]Member) {
+	g.survivors = map[string]bool{}
+	recreated := 0
 	for key, m := range listed {
 		have, ok := g.members[key]
 		_, missing := g.missing[key]
 		switch {
 		case !ok || missing:
 		case have.created == m.created:
-			g.kept[key] = true
+			g.survivors[key] = true
 		default:
-			again++
+			recreated++
 		}
 	}
-	g.lapses.Read(len(g.kept), again)
+	g.lapses.Read(len(g.survivors), recreated)
 }
 
-// missLocked notes that a member is listed no longer. It leaves the view at once, unless it may
-// have lapsed only because the store was away.
-func (g *Group) missLocked(now time.Time, key string) {
+// markMissingLocked records that a member is no longer listed. It leaves the view at once, unless it
+// may have lapsed only because the store was unreachable.
+func (g *Group) markMissingLocked(now time.Time, key string) {
 	m, known := g.members[key]
 	_, missing := g.missing[key]
 	switch {
 	case !known || missing:
 	case g.lapses.Possible(now):
-		g.lapses.Miss(g.kept[key])
-		delete(g.kept, key)
+		g.lapses.Miss(g.survivors[key])
+		delete(g.survivors, key)
 		g.missing[key] = m
 	default:
 		g.dropLocked(now, key, m)
 	}
 }
 
-// judgeMissingLocked puts missing members into the view, or takes them out of it.
-func (g *Group) judgeMissingLocked(now time.Time) {
+// resolveMissingLocked adds missing members to the view, or removes them from it.
+func (g *Group) resolveMissingLocked(now time.Time) {
 	lapsed, over := g.lapses.Lapsed(now), !g.lapses.Possible(now)
 	for key, m := range g.missing {
 		if lapsed {
@@ -194,11 +195,11 @@
 	g.former[key] = formerMember{Member: m, left: now}
 }
 
-// ErrUnreadable says that a member's entry cannot be decoded or lacks something; it is left
-// alone. Counted as a member without a role or VM, it would stand in for one that exists.
-var ErrUnreadable = errs.New("member's entry cannot be read")
+// ErrUnreadable is reported for a member's entry that cannot be decoded or lacks a required field.
+// The entry is ignored: as a member without a role or VM it could replace an existing one.
+var ErrUnreadable = errs.New("invalid member entry")
 
-// decode reads a member.
+// decode decodes a member's entry, and reports one that is invalid.
 func (g *Group) decode(it store.Item) (Member, bool) {
 	m := Member{}
 	err := json.Unmarshal(it.Value, &m)
