--- a/coord/lapse/lapse.go
+++ b/coord/lapse/lapse.go
@@ -1,65 +1,66 @@
-// Package lapse judges entries under leases that are missing after the store could not be
-// reached: whether their leases ran out because of that, while their owners live, or whether
-// they were removed. A process cannot tell an outage of the store from a cut of its own
-// connections; the entries that are still there can.
+// Package lapse decides why entries under leases are missing after the store was unreachable:
+// either their leases ran out because of that while their owners are alive, or the entries
+// were removed. A process cannot distinguish an outage of the store from a loss of its own
+// connections; the entries that still exist show which it was.
 package lapse
 
 import "time"
 
 // lapsedShare is the share of the entries known before a loss of the store that must be
 // missing after it for these to count as lapsed. All owners renew their leases equally often,
-// so an outage that ends one lease ends nearly all of them. A process that was merely cut off
-// finds most entries as it left them: what is missing then has left, and callers sent there
-// would be cut when it ends.
+// so an outage that ends one lease ends nearly all of them. A process that merely lost its own
+// connections finds most entries unchanged: the missing ones have left, and requests routed
+// to them would fail when they end.
 const lapsedShare = 0.75
 
-// Judge judges the entries under one prefix. The zero value knows of no loss. It is not safe
-// for concurrent use.
+// Judge decides for the entries under one prefix. The zero value has recorded no loss. It is
+// not safe for concurrent use.
 type Judge struct {
-	// until is the end of the grace that followed the last loss.
-	until time.Time
-	// kept counts the entries that outlived that loss, missing those known before it that did
-	// not, whether or not their owners created them again.
-	kept, missing int
+	// graceEnd is the end of the grace period after the last loss.
+	graceEnd time.Time
+	// surviving counts the entries whose leases outlasted that loss, missing those known before it
+	// whose leases did not, whether or not their owners created them again.
+	surviving, missing int
 }
 
-// StoreIsBack begins anew with the first read after a loss of the store: entries may be missing
-// because of it for the grace, in which living owners create theirs again. Where the grace of an
-// earlier loss is not over, those missing because of that loss count on.
+// StoreIsBack starts a grace period with the first read after a loss of the store. During it,
+// entries may be missing because of the loss, and live owners create theirs again. If the grace
+// period of an earlier loss is not over, the entries missing because of that loss still count.
 func (j *Judge) StoreIsBack(now time.Time, grace time.Duration) {
 	if !j.Possible(now) {
 		j.missing = 0
 	}
-	j.until = now.Add(grace)
+	j.graceEnd = now.Add(grace)
 }
 
-// Read tells what a read shows of the entries known before: how many of them are there as they
-// were created, so that their leases have not run out, and how many were created again.
-func (j *Judge) Read(kept, again int) {
-	j.kept = kept
-	j.missing += again
+// Read records what a read shows of the entries known before: how many of them still exist as
+// they were created, so that their leases have not run out, and how many were created again.
+func (j *Judge) Read(surviving, recreated int) {
+	j.surviving = surviving
+	j.missing += recreated
 }
 
-// Miss counts an entry that has vanished, and says whether it was one of those kept so far.
-func (j *Judge) Miss(wasKept bool) {
+// Miss records an entry that has disappeared; hadSurvived is whether it had outlasted the loss so
+// far.
+func (j *Judge) Miss(hadSurvived bool) {
 	j.missing++
-	if wasKept {
-		j.kept--
+	if hadSurvived {
+		j.surviving--
 	}
 }
 
-// Possible reports whether an entry that vanishes now may have lapsed at all.
-func (j *Judge) Possible(now time.Time) bool { return now.Before(j.until) }
+// Possible reports whether an entry that disappears now may have lapsed at all.
+func (j *Judge) Possible(now time.Time) bool { return now.Before(j.graceEnd) }
 
-// Until is the end of the time in which that is possible.
-func (j *Judge) Until() time.Time { return j.until }
+// Until returns the end of the grace period in which that is possible.
+func (j *Judge) Until() time.Time { return j.graceEnd }
 
-// Lapsed reports whether the missing entries count as lapsed, so that their owners are believed
-// to live. It changes with each entry that vanishes, since a store may remove entries whose
-// leases ran out some time after its return. Those that came back count on.
+// Lapsed reports whether the missing entries count as lapsed, so that their owners are considered
+// alive. The result may change with each entry that disappears, since a store may remove entries
+// whose leases ran out some time after its return. Entries that were created again still count.
 func (j *Judge) Lapsed(now time.Time) bool {
-	return j.Possible(now) && float64(j.missing) >= lapsedShare*float64(j.kept+j.missing)
+	return j.Possible(now) && float64(j.missing) >= lapsedShare*float64(j.surviving+j.missing)
 }
 
-// Counts returns how many entries are missing because of the loss, and how many outlived it.
-func (j *Judge) Counts() (missing, kept int) { return j.missing, j.kept }
+// Counts returns how many entries are missing because of the loss, and how many outlasted it.
+func (j *Judge) Counts() (missing, surviving int) { return j.missing, j.surviving }
--- a/coord/lapse/lapse_test.go
+++ b/coord/lapse/lapse_test.go
@@ -9,9 +9,10 @@
 
 const grace = 2 * time.Second
 
-// Four of sixteen entries are missing after a loss: they were removed. Four of five: their
-// leases ran out, until the grace is over.
-func TestFewMissingWereRemovedMostMissingLapsed(t *testing.T) {
+// Guards against removed entries that count as lapsed, and the reverse: if 4 of 16 entries are
+// missing after a loss, they were removed; if 4 of 5 are, their leases ran out. No entry counts as
+// lapsed after the grace period.
+func TestLapsedShare(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for kept, lapsed := range map[int]bool{12: false, 2: false, 1: true, 0: true} {
 		j := &Judge{}
@@ -25,7 +26,7 @@
 	}
 }
 
-// Without a loss of the store nothing that vanishes has lapsed, whatever vanishes.
+// Guards against removed entries that count as lapsed although the store was never lost.
 func TestNothingLapsesWithoutALoss(t *testing.T) {
 	now := time.Unix(1000, 0)
 	j := &Judge{}
@@ -35,8 +36,9 @@
 	require.False(t, j.Lapsed(now))
 }
 
-// A second loss long after the first one: what was missing then counts no more.
-func TestLossesApart(t *testing.T) {
+// Guards against an earlier loss that affects a later one: entries missing because of a loss whose
+// grace period is over must no longer count.
+func TestSeparateLosses(t *testing.T) {
 	now := time.Unix(1000, 0)
 	j := &Judge{}
 	j.StoreIsBack(now, grace)
