--- a/coord/rendezvous/rendezvous.go
+++ b/coord/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous maps a key to nodes by highest random weight: every
-// process that knows the same nodes chooses the same ones without talking, and
-// a node that comes or goes moves only its own keys.
+// Package rendezvous maps a key to nodes by rendezvous hashing (highest random weight):
+// every process with the same list of nodes chooses the same ones without coordination,
+// and adding or removing a node moves only its own keys.
 package rendezvous
 
 import (
@@ -22,7 +22,7 @@
 	return ranked
 }
 
-// Pick returns the first choice for key, or "" when there are no nodes.
+// Pick returns the most preferred node for key, or "" if there are no nodes.
 func Pick(key string, nodes []string) string {
 	best, top := "", uint64(0)
 	for _, n := range nodes {
