--- a/coord/incarnation/incarnation.go
+++ b/coord/incarnation/incarnation.go
@@ -1,5 +1,5 @@
-// Package incarnation tells one life of a process from the next, and keeps for
-// recovery which lives ended without handing over what they knew.
+// Package incarnation numbers the incarnations of the process on a VM, and records
+// for recovery which of them ended without handing over their state.
 package incarnation
 
 import (
@@ -16,64 +16,64 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("incarnation")
 
-// keptLosses bounds the lost lives that a record keeps.
-const keptLosses = 32
+// maxKeptLosses bounds the losses that a record keeps.
+const maxKeptLosses = 32
 
-// Record is the value under a VM's key.
+// Record is the stored value under a VM's key.
 type Record struct {
-	// Count is the number of the newest life.
+	// Count is the number of the newest incarnation.
 	Count int64  `json:"count"`
 	Role  string `json:"role"`
-	// Clean says that the newest life ended by a planned stop and left
+	// Clean is set if the newest incarnation ended by a planned stop and left
 	// nothing unreported.
 	Clean bool `json:"clean,omitempty"`
-	// Gone says that the VM is absent from the platform's list for longer
+	// Gone is set if the VM has been absent from the platform's list for longer
 	// than that list's lag.
 	Gone bool `json:"gone,omitempty"`
-	// Losses are earlier lives that ended without a planned stop.
+	// Losses are earlier incarnations that ended without a planned stop.
 	Losses []Loss `json:"losses,omitempty"`
 }
 
-// Loss is a life that took what it knew with it.
+// Loss is an incarnation whose state was lost when it ended.
 type Loss struct {
 	Count int64 `json:"count"`
-	// Before is a store revision by which the life had ended; 0 stands for
-	// the revision of the record itself.
+	// Before is a store revision by which the incarnation had ended; 0 stands
+	// for the revision of the record itself.
 	Before store.Revision `json:"before,omitempty"`
 }
 
-// Registry keeps the records.
+// Registry reads and updates the records in the store.
 type Registry struct {
 	Store  store.Store
 	Prefix string
 }
 
-// Name returns the name of a life.
+// Name returns the name of an incarnation, vm#number.
 func Name(vm string, count int64) string { return fmt.Sprintf("%s#%d", vm, count) }
 
-// Parse splits the name of a life.
+// Parse splits the name of an incarnation into its VM and number.
 func Parse(name string) (vm string, count int64, err error) {
 	vm, n, ok := strings.Cut(name, "#")
 	count, perr := strconv.ParseInt(n, 10, 64)
 	if !ok || perr != nil || vm == "" {
-		return "", 0, Error.New("%q is not the name of a life (vm#number)", name)
+		return "", 0, Error.New("%q is not the name of an incarnation (vm#number)", name)
 	}
 	return vm, count, nil
 }
 
-// Begin starts the VM's next life and returns its name. A lost answer only skips
-// a number; the skipped life counts as lost, although it knew nothing.
+// Begin starts the VM's next incarnation and returns its name. A lost answer only
+// skips a number; the skipped incarnation counts as lost, although it had no state.
 func (r Registry) Begin(ctx context.Context, vm, role string) (string, error) {
-	var mine int64
+	var count int64
 	_, err := r.update(ctx, vm, func(rec *Record, rev store.Revision) {
 		rec.begin(rev)
 		rec.Role = role
-		mine = rec.Count
+		count = rec.Count
 	})
-	return Name(vm, mine), err
+	return Name(vm, count), err
 }
 
-// begin moves to the next life; rev is the revision of the record as it is.
+// begin moves to the next incarnation; rev is the record's current revision.
 func (rec *Record) begin(rev store.Revision) {
 	for i := range rec.Losses {
 		if rec.Losses[i].Before == 0 {
@@ -83,14 +83,15 @@
 	if rec.Count > 0 && !rec.Clean {
 		rec.Losses = append(rec.Losses, Loss{Count: rec.Count})
 	}
-	if n := len(rec.Losses) - keptLosses; n > 0 {
+	if n := len(rec.Losses) - maxKeptLosses; n > 0 {
 		rec.Losses = rec.Losses[n:]
 	}
 	rec.Count++
 	rec.Clean, rec.Gone = false, false
 }
 
-// EndClean records that a life ended by a planned stop and left nothing behind.
+// EndClean records that an incarnation ended by a planned stop and left nothing
+// unreported.
 func (r Registry) EndClean(ctx context.Context, name string) error {
 	vm, count, err := Parse(name)
 	if err != nil {
@@ -102,7 +103,7 @@
 	return err
 }
 
-// MarkGone records that the VM is absent from the platform's list.
+// MarkGone records that the VM is absent from the platform's list; see Record.Gone.
 func (r Registry) MarkGone(ctx context.Context, vm string) error {
 	_, err := r.update(ctx, vm, func(rec *Record, _ store.Revision) { rec.Gone = true })
 	return err
@@ -130,15 +131,15 @@
 	Record
 }
 
-// listPage is the number of records read by one store call.
-const listPage = 512
+// listPageSize is the number of records read by one store call.
+const listPageSize = 512
 
 // All reads every record.
 func (r Registry) All(ctx context.Context) ([]Entry, error) {
 	var out []Entry
 	from := ""
 	for {
-		items, err := r.Store.List(ctx, r.Prefix, from, listPage)
+		items, err := r.Store.List(ctx, r.Prefix, from, listPageSize)
 		if err != nil {
 			return nil, err
 		}
@@ -150,14 +151,14 @@
 			out = append(out, e)
 			from = it.Key + "\x00"
 		}
-		if len(items) < listPage {
+		if len(items) < listPageSize {
 			return out, nil
 		}
 	}
 }
 
-// LostSince reports whether a life of this VM may have ended, with what it knew,
-// after the given revision.
+// LostSince reports whether an incarnation of this VM may have ended after the given
+// revision with its state lost.
 func (e Entry) LostSince(since store.Revision) bool {
 	if e.Gone && !e.Clean && e.Revision > since {
 		return true
