--- a/coord/backoff/backoff.go
+++ b/coord/backoff/backoff.go
@@ -1,5 +1,5 @@
-// Package backoff spaces retries: pauses double up to a bound, with full jitter,
-// so that many clients that failed together do not return together.
+// Package backoff spaces retries: pauses double up to a bound, with random jitter
+// over half of each pause, so that clients that failed together do not retry together.
 package backoff
 
 import (
@@ -19,14 +19,14 @@
 	return &Backoff{min: min, max: max, next: min}
 }
 
-// Next returns the pause before the next try.
+// Next returns the pause before the next attempt.
 func (b *Backoff) Next() time.Duration {
 	d := b.next
 	b.next = min(b.max, 2*b.next)
 	return Jitter(d)
 }
 
-// Reset starts again at the first pause.
+// Reset restarts at the first pause.
 func (b *Backoff) Reset() { b.next = b.min }
 
 // Wait sleeps for the next pause; it returns early with the context's error.
