--- a/coord/mirror/mirror.go
+++ b/coord/mirror/mirror.go
@@ -1,6 +1,6 @@
-// Package mirror keeps a process's copy of the keys under one prefix of the store: it
-// reads a snapshot, follows it by a watch, and reads again whenever the watch is cut
-// or its history is gone.
+// Package mirror keeps a local copy of the keys under one prefix of the store: it
+// reads a snapshot, watches for changes, and reads again whenever the watch is
+// interrupted or its history is compacted.
 package mirror
 
 import (
@@ -12,30 +12,30 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrCut says that a watch ended; the keys are read again.
-var ErrCut = errs.New("watch was cut")
+// ErrCut is reported when a watch ends; the keys are then read again.
+var ErrCut = errs.New("watch was interrupted")
 
-// Reader takes what a Mirror reads. Its methods are called from one goroutine.
+// Reader receives what a Mirror reads. Its methods are called from one goroutine.
 type Reader interface {
-	// Reset replaces everything that is known by a fresh, linearizable read.
+	// Reset replaces the whole copy by a fresh, linearizable read.
 	Reset(items []store.Item)
 	// Changed applies one write or removal that came after the last Reset. An
-	// event may repeat what a Reset or an earlier event brought.
+	// event may repeat the content of a Reset or of an earlier event.
 	Changed(e store.Event)
-	// Lost says that the copy is not followed now; it stays as it is until the
-	// next Reset. It is called once for each try that failed.
+	// Lost reports that the copy is not followed now; it stays unchanged until the
+	// next Reset. It is called once for each failed attempt.
 	Lost(err error)
 }
 
-// Bounds of the pause between two tries while the store does not answer. The first is
-// short, since a cut watch is usually followed by a good read; the longest bounds how
-// late a process learns of changes after the store's return.
+// Bounds of the pause between two attempts while the store does not answer. The first
+// is short, since the read after an interrupted watch usually succeeds; the longest
+// bounds how late a process receives changes after the store's return.
 const (
-	pauseMin = 20 * time.Millisecond
-	pauseMax = time.Second
+	minPause = 20 * time.Millisecond
+	maxPause = time.Second
 )
 
-// Mirror follows one prefix.
+// Mirror follows the keys under one prefix.
 type Mirror struct {
 	Store  store.Store
 	Prefix string
@@ -47,7 +47,7 @@
 
 // Run follows the prefix until the context ends.
 func (m *Mirror) Run(ctx context.Context) {
-	pause := backoff.New(pauseMin, pauseMax)
+	pause := backoff.New(minPause, maxPause)
 	for ctx.Err() == nil {
 		if err := m.follow(ctx, pause.Reset); err != nil && ctx.Err() == nil {
 			m.Reader.Lost(err)
@@ -56,7 +56,7 @@
 	}
 }
 
-// follow reads a snapshot and passes events on until the watch ends.
+// follow reads a snapshot and passes events to the Reader until the watch ends.
 func (m *Mirror) follow(ctx context.Context, answered func()) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
