--- a/coord/settlement/exposure.go
+++ b/coord/settlement/exposure.go
@@ -12,24 +12,25 @@
 	"golang.org/x/sync/singleflight"
 )
 
-// ErrNoWitness says that no witness took a limit, so that nothing beyond the last one may be lent.
-var ErrNoWitness = errs.New("no witness answers")
+// ErrNoWitness is returned when no witness accepted a limit, so that nothing may be lent beyond the
+// previous one.
+var ErrNoWitness = errs.New("no witness accepted the exposure limits")
 
-// Exposure is a lender's side of its limits of exposure: it tells them to its witnesses before
-// it lends beyond the last ones, and has the witnesses' names in its durable list.
+// Exposure manages a lender's exposure limits: it sends them to the lender's witnesses before the
+// lender lends beyond the previous ones, and records the witnesses in the lender's durable list.
 //
-// When the lender has died, and a borrower with it, all witnesses of the list's last term are
-// asked. Each raise was taken by at least one of them, and each of them was told all limits when
-// it was first told any, so the largest answer covers all that was ever lent. A witness that died,
-// or that the lender never reached, leaves the limits unknown.
+// When the lender and a borrower have died, all witnesses of the list's last term are queried. At
+// least one of them accepted each raise, and the first notice to each of them held all limits, so
+// the largest answer covers all that was ever lent. If one witness died or was never reached, the
+// limits are unknown.
 type Exposure struct {
 	Holder   *grant.Holder
 	Register *Register
-	// Tell brings limits to a witness and returns nil when it has taken them.
+	// Tell sends limits to a witness and returns nil once the witness has accepted them.
 	Tell func(ctx context.Context, witness string, notice Notice) error
-	// Timeout bounds one message. A slower witness is told also after the first one has answered.
+	// Timeout bounds one message. Messages to the other witnesses continue after the first reply.
 	Timeout time.Duration
-	// Ahead is for how long limits are raised ahead of what a borrower is lent.
+	// Ahead is how far in advance limits are raised: they cover the expected lending of this time.
 	Ahead time.Duration
 	// Now is the clock.
 	Now func() time.Time
@@ -37,29 +38,29 @@
 	mu        sync.Mutex
 	term      int64
 	witnesses []string
-	// told are the witnesses that know all limits of this term.
-	told map[string]bool
-	// waiting are the tokens of lots that wait for a raise, and exposing the raises that they wait
+	// notified are the witnesses that know all limits of this term.
+	notified map[string]bool
+	// pending are the tokens of lots that wait for a raise, and exposing the raises that they wait
 	// for, by budget and borrower.
-	waiting  map[lotsOf]int64
-	exposing singleflight.Group
+	pending map[lotKey]int64
+	raises  singleflight.Group
 }
 
-// lotsOf are the lots of one budget that one borrower asks for.
-type lotsOf struct{ budget, borrower string }
+// lotKey identifies the lots that one borrower requests from one budget.
+type lotKey struct{ budget, borrower string }
 
 var _ grant.Exposer = (*Exposure)(nil)
 
-// Witnesses returns the witnesses in force.
+// Witnesses returns the current witnesses.
 func (e *Exposure) Witnesses() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.witnesses)
 }
 
-// Appoint replaces the witnesses. From the first time on the holder's exposure is limited. The
-// list names them first: a lender that dies in between has witnesses who know nothing, and all that
-// it held counts as used.
+// Appoint replaces the witnesses; after the first call the holder's exposure is limited. The durable
+// list is written first: if the lender dies before it notifies the new witnesses, they have no
+// limits, and all that it held counts as used.
 func (e *Exposure) Appoint(ctx context.Context, witnesses ...string) error {
 	term, err := e.Register.appoint(ctx, witnesses)
 	if err != nil {
@@ -68,11 +69,11 @@
 	e.Holder.LimitExposure()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.term, e.witnesses, e.told = term, slices.Clone(witnesses), map[string]bool{}
+	e.term, e.witnesses, e.notified = term, slices.Clone(witnesses), map[string]bool{}
 	return nil
 }
 
-// Keep raises the limits that are nearly reached.
+// Keep raises the limits that are nearly exhausted.
 func (e *Exposure) Keep(ctx context.Context) error {
 	wanted := e.Holder.ExposureWanted(e.Now(), e.Ahead)
 	if len(wanted) == 0 {
@@ -81,14 +82,14 @@
 	return e.raise(ctx, wanted)
 }
 
-// Expose implements grant.Exposer. Lots of one borrower that wait for one budget share a raise, which
-// is for all that wait when it begins: in a burst each would else wait for those before it.
+// Expose implements grant.Exposer. Pending lots of one borrower and budget share a raise that covers
+// all lots pending when it starts; otherwise each lot of a burst would wait for those before it.
 func (e *Exposure) Expose(ctx context.Context, budget, borrower string, n int64) error {
-	lots := lotsOf{budget, borrower}
-	e.wait(lots, n)
-	defer e.wait(lots, -n)
-	done := e.exposing.DoChan(budget+" "+borrower, func() (any, error) {
-		limits := e.Holder.ExposureFor(e.Now(), budget, borrower, e.waitingFor(lots), e.Ahead)
+	key := lotKey{budget, borrower}
+	e.addPending(key, n)
+	defer e.addPending(key, -n)
+	done := e.raises.DoChan(budget+" "+borrower, func() (any, error) {
+		limits := e.Holder.ExposureFor(e.Now(), budget, borrower, e.pendingTokens(key), e.Ahead)
 		return nil, e.raise(ctx, limits)
 	})
 	select {
@@ -99,50 +100,50 @@
 	}
 }
 
-func (e *Exposure) wait(lots lotsOf, n int64) {
+func (e *Exposure) addPending(key lotKey, n int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.waiting == nil {
-		e.waiting = map[lotsOf]int64{}
+	if e.pending == nil {
+		e.pending = map[lotKey]int64{}
 	}
-	if e.waiting[lots] += n; e.waiting[lots] == 0 {
-		delete(e.waiting, lots)
+	if e.pending[key] += n; e.pending[key] == 0 {
+		delete(e.pending, key)
 	}
 }
 
-func (e *Exposure) waitingFor(lots lotsOf) int64 {
+func (e *Exposure) pendingTokens(key lotKey) int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.waiting[lots]
+	return e.pending[key]
 }
 
-// raise tells limits to all witnesses at once and puts them in force when the first one has taken
-// them.
+// raise sends limits to all witnesses concurrently and applies them once the first one accepts.
 func (e *Exposure) raise(ctx context.Context, limits grant.ExposureLimits) error {
-	term, witnesses := e.current()
-	taken := make(chan error, len(witnesses))
+	term, witnesses := e.currentTerm()
+	results := make(chan error, len(witnesses))
 	for _, witness := range witnesses {
-		go func() { taken <- e.tell(ctx, witness, term, limits) }()
+		go func() { results <- e.notify(ctx, witness, term, limits) }()
 	}
-	failed := []error{Error.Wrap(ErrNoWitness)}
+	failures := []error{Error.Wrap(ErrNoWitness)}
 	for range witnesses {
-		err := <-taken
+		err := <-results
 		if err == nil {
-			return e.inForce(term, limits)
+			return e.applyLimits(term, limits)
 		}
-		failed = append(failed, err)
+		failures = append(failures, err)
 	}
-	return errors.Join(failed...)
+	return errors.Join(failures...)
 }
 
-func (e *Exposure) current() (term int64, witnesses []string) {
+func (e *Exposure) currentTerm() (term int64, witnesses []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.term, e.witnesses
 }
 
-// inForce raises the holder's limits, unless the witnesses that took them were replaced meanwhile.
-func (e *Exposure) inForce(term int64, limits grant.ExposureLimits) error {
+// applyLimits raises the holder's limits, unless the witnesses that accepted them were replaced
+// meanwhile.
+func (e *Exposure) applyLimits(term int64, limits grant.ExposureLimits) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.term != term {
@@ -152,27 +153,27 @@
 	return nil
 }
 
-// tell brings limits to one witness, with all others the first time and after a failure: the
-// witness may have forgotten them. The time of the request that waits does not end it.
-func (e *Exposure) tell(ctx context.Context, witness string, term int64, limits grant.ExposureLimits) error {
+// notify sends limits to one witness. The first notice and any notice after a failure hold all
+// limits, since the witness may have lost them. The deadline of the waiting request does not apply.
+func (e *Exposure) notify(ctx context.Context, witness string, term int64, limits grant.ExposureLimits) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), e.Timeout)
 	defer cancel()
-	in := Notice{Lender: e.Holder.ID(), Term: term, Limits: limits}
-	if !e.isTold(witness, term) {
-		in.Whole, in.Limits = true, e.Holder.ExposureLimits()
-		in.Limits.Merge(limits)
+	notice := Notice{Lender: e.Holder.ID(), Term: term, Limits: limits}
+	if !e.isNotified(witness, term) {
+		notice.Whole, notice.Limits = true, e.Holder.ExposureLimits()
+		notice.Limits.Merge(limits)
 	}
-	err := e.Tell(ctx, witness, in)
+	err := e.Tell(ctx, witness, notice)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.term == term {
-		e.told[witness] = err == nil
+		e.notified[witness] = err == nil
 	}
 	return err
 }
 
-func (e *Exposure) isTold(witness string, term int64) bool {
+func (e *Exposure) isNotified(witness string, term int64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.term == term && e.told[witness]
+	return e.term == term && e.notified[witness]
 }
--- a/coord/settlement/register.go
+++ b/coord/settlement/register.go
@@ -1,15 +1,15 @@
-// Package settlement ends the row of a dead lender by the word of its borrowers.
+// Package settlement closes the rows of a dead lender from the usage reports of its borrowers.
 //
-// A lender spends nothing itself: all that it is granted goes out in lots, and borrowers know
-// what they used of each. So when a lender has died, the sum over all its borrowers is what
-// was used, and the rest may be granted again. Two things make the sum safe. The list of
-// borrowers is complete: a lender lends to nobody before the store has the name durably, and
-// the list is sealed before anybody is asked. And each word is final: a borrower that has
-// told what it used takes nothing more from that lender. Both hold also for a lender that was
-// only thought to be dead; its row is gone then, and it stops by itself.
+// A lender spends nothing itself: all that it is granted goes out in lots, and each borrower
+// records what it used of its lots. The sum over all borrowers of a dead lender is therefore what
+// was used, and the rest may be granted again. Two properties make the sum safe. The list of
+// borrowers is complete: a lender lends only to borrowers whose names are durably in the store,
+// and the list is sealed before any borrower is queried. Each report is final: a borrower that has
+// reported its usage accepts no more tokens of that lender. Both also hold for a live lender that
+// was taken for dead; its row is removed, and it stops when it notices that.
 //
-// If one borrower was never heard and cannot be asked, nothing is settled: what its lender held
-// counts as used.
+// The usage of a borrower that ended without a report is bounded by the lender's exposure limits.
+// If these are unavailable too, nothing is settled: all that the lender held counts as used.
 package settlement
 
 import (
@@ -26,26 +26,26 @@
 var Error = errs.Class("settlement")
 
 var (
-	// ErrSealed says that the lender's list is closed: it was taken for dead.
+	// ErrSealed is returned when a lender's list is sealed because the lender was taken for dead.
 	ErrSealed = errs.New("the list of borrowers is sealed")
-	// ErrUnsettled says that what a lender held can never be settled.
-	ErrUnsettled = errs.New("a borrower's word is missing for good")
-	// ErrNotYet says that a later try may settle it.
-	ErrNotYet = errs.New("a borrower's word is missing now")
+	// ErrUnsettled is returned when a lender's rows can never be settled.
+	ErrUnsettled = errs.New("borrower usage is permanently unknown")
+	// ErrNotYet is returned when a later attempt may settle a lender's rows.
+	ErrNotYet = errs.New("borrower usage is not known yet")
 )
 
-// list is the durable list of those that one lender ever lent to.
-type list struct {
+// borrowerList is the durable list of all processes that one lender ever lent to.
+type borrowerList struct {
 	Borrowers []string `json:"borrowers"`
 	Sealed    bool     `json:"sealed,omitempty"`
-	// Witnesses know the lender's limits of exposure, and Term numbers their appointment; 0
-	// stands for none.
+	// Witnesses hold the lender's exposure limits. Term numbers their appointment; 0 means
+	// that there are none.
 	Witnesses []string `json:"witnesses,omitempty"`
 	Term      int64    `json:"term,omitempty"`
 }
 
-func decodeList(value []byte) (list, error) {
-	var l list
+func decodeBorrowerList(value []byte) (borrowerList, error) {
+	var l borrowerList
 	if len(value) == 0 {
 		return l, nil
 	}
@@ -55,71 +55,71 @@
 // Register is a lender's own list. It is safe for concurrent use.
 type Register struct {
 	Store store.Store
-	// Key is where the list lies: the settler's prefix and the lender's life.
+	// Key is the store key of the list: the settler's prefix and the lender's incarnation.
 	Key string
 
-	writing sync.Mutex // one write at a time
-	last    store.Item // as last written; guarded by writing
+	writeMu sync.Mutex // serializes writes to the store
+	last    store.Item // as last written; guarded by writeMu
 	mu      sync.Mutex
-	known   map[string]bool
+	stored  map[string]bool
 }
 
-// Admit returns nil when the store durably has all the names. Its errors are ErrSealed and
-// those of the store.
+// Admit adds borrowers to the list and returns nil once the store durably has all the names. Its
+// errors are ErrSealed and those of the store.
 func (r *Register) Admit(ctx context.Context, borrowers ...string) error {
 	if r.Has(borrowers...) {
 		return nil
 	}
-	r.writing.Lock()
-	defer r.writing.Unlock()
+	r.writeMu.Lock()
+	defer r.writeMu.Unlock()
 	if r.Has(borrowers...) {
 		return nil
 	}
-	now, err := r.writeLocked(ctx, func(l *list) { l.Borrowers = merged(l.Borrowers, borrowers) })
+	updated, err := r.writeLocked(ctx, func(l *borrowerList) { l.Borrowers = sortedUnion(l.Borrowers, borrowers) })
 	if err != nil {
 		return err
 	}
-	r.note(now.Borrowers)
+	r.setStored(updated.Borrowers)
 	return nil
 }
 
-// appoint names witnesses in a new term, which it returns. Its errors are those of Admit.
+// appoint records the witnesses in the list under a new term, which it returns. Its errors are those of Admit.
 func (r *Register) appoint(ctx context.Context, witnesses []string) (term int64, err error) {
-	r.writing.Lock()
-	defer r.writing.Unlock()
-	now, err := r.writeLocked(ctx, func(l *list) {
+	r.writeMu.Lock()
+	defer r.writeMu.Unlock()
+	updated, err := r.writeLocked(ctx, func(l *borrowerList) {
 		l.Witnesses = witnesses
 		l.Term++
 	})
-	return now.Term, err
+	return updated.Term, err
 }
 
-// writeLocked changes the list in the store. An answer may be lost, so that a change is made twice.
-func (r *Register) writeLocked(ctx context.Context, change func(*list)) (list, error) {
-	var now list
+// writeLocked changes the list in the store. When a response is lost, the change is applied twice.
+func (r *Register) writeLocked(ctx context.Context, change func(*borrowerList)) (borrowerList, error) {
+	var updated borrowerList
 	item, err := store.UpdateFrom(ctx, r.Store, r.Key, r.last, func(old store.Item) ([]byte, error) {
 		var err error
-		if now, err = decodeList(old.Value); err != nil {
+		if updated, err = decodeBorrowerList(old.Value); err != nil {
 			return nil, err
 		}
-		if now.Sealed {
+		if updated.Sealed {
 			return nil, Error.Wrap(ErrSealed)
 		}
-		change(&now)
-		return json.Marshal(now)
+		change(&updated)
+		return json.Marshal(updated)
 	})
 	if err != nil {
-		return list{}, err
+		return borrowerList{}, err
 	}
 	r.last = item
-	return now, nil
+	return updated, nil
 }
 
-// Used reports whether anybody was admitted.
+// Used reports whether the list has any borrowers.
 func (r *Register) Used() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.known) > 0
+	return len(r.stored) > 0
 }
 
 // Remove deletes the list of a lender that has given everything back.
@@ -131,24 +131,24 @@
 	return r.Store.Delete(ctx, r.Key, item.Revision)
 }
 
-// Has reports whether all the names are known to be in the store.
+// Has reports whether all the names are confirmed to be in the store.
 func (r *Register) Has(names ...string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !slices.ContainsFunc(names, func(name string) bool { return !r.known[name] })
+	return !slices.ContainsFunc(names, func(name string) bool { return !r.stored[name] })
 }
 
-func (r *Register) note(names []string) {
+func (r *Register) setStored(names []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.known = map[string]bool{}
+	r.stored = map[string]bool{}
 	for _, name := range names {
-		r.known[name] = true
+		r.stored[name] = true
 	}
 }
 
-// merged is the sorted union.
-func merged(a, b []string) []string {
+// sortedUnion returns the sorted union of a and b.
+func sortedUnion(a, b []string) []string {
 	all := slices.Concat(a, b)
 	slices.Sort(all)
 	return slices.Compact(all)
--- a/coord/settlement/settlement_test.go
+++ b/coord/settlement/settlement_test.go
@@ -19,24 +19,24 @@
 	budget = "team"
 )
 
-// world is a lender with a hundred tokens, all of a budget, and its borrowers.
-type world struct {
+// fixture is a lender that holds a budget's 100 tokens, and its borrowers.
+type fixture struct {
 	t         *testing.T
 	store     *memstore.Store
 	lender    *grant.Holder
 	pages     *grant.StoreGranter
 	register  *settlement.Register
 	borrowers map[string]*grant.Holder
-	over      map[string]bool
+	ended     map[string]bool
 	settler   *settlement.Settler
 }
 
-func newWorld(t *testing.T) *world {
-	w := &world{t: t, store: memstore.New(), borrowers: map[string]*grant.Holder{}, over: map[string]bool{}}
+func newFixture(t *testing.T) *fixture {
+	f := &fixture{t: t, store: memstore.New(), borrowers: map[string]*grant.Holder{}, ended: map[string]bool{}}
 	layout := account.Layout{Prefix: "p/", Pages: 1}
-	w.lender = grant.NewHolder("lender/1", layout, grant.HorizonPolicy{Horizon: time.Second, Worsts: 1, Share: 1})
-	w.lender.Lean(func(string) bool { return false })
-	w.pages = &grant.StoreGranter{Holder: w.lender, Store: w.store, Layout: layout, Timeout: time.Second, Now: time.Now,
+	f.lender = grant.NewHolder("lender/1", layout, grant.HorizonPolicy{Horizon: time.Second, Worsts: 1, Share: 1})
+	f.lender.Lean(func(string) bool { return false })
+	f.pages = &grant.StoreGranter{Holder: f.lender, Store: f.store, Layout: layout, Timeout: time.Second, Now: time.Now,
 		Prepare: func(_ string, p *account.Page) bool {
 			if p.Accounts[budget] != nil {
 				return false
@@ -44,140 +44,141 @@
 			p.Accounts[budget] = &account.Account{Team: budget}
 			return p.Accounts[budget].SetPrepaid(1, 100)
 		}}
-	w.register = &settlement.Register{Store: w.store, Key: prefix + "lender/1"}
-	w.settler = &settlement.Settler{Store: w.store, Prefix: prefix, Words: &settlement.Words{}, Over: func(b string) bool { return w.over[b] },
+	f.register = &settlement.Register{Store: f.store, Key: prefix + "lender/1"}
+	f.settler = &settlement.Settler{Store: f.store, Prefix: prefix, Words: &settlement.Words{}, Over: func(b string) bool { return f.ended[b] },
 		Ask: func(_ context.Context, borrower, lender string) (grant.Borrowed, error) {
-			if w.borrowers[borrower] == nil {
+			if f.borrowers[borrower] == nil {
 				return grant.Borrowed{}, errors.New("no answer")
 			}
-			return w.borrowers[borrower].BorrowedFrom(lender), nil
+			return f.borrowers[borrower].BorrowedFrom(lender), nil
 		}}
-	return w
+	return f
 }
 
-// borrow lends n tokens of the lender's to a router.
-func (w *world) borrow(router string, n int64) error {
-	if err := w.register.Admit(w.t.Context(), router); err != nil {
+// borrow lends n of the lender's tokens to a router.
+func (f *fixture) borrow(router string, n int64) error {
+	if err := f.register.Admit(f.t.Context(), router); err != nil {
 		return err
 	}
-	own := &grant.Acquirer{Holder: w.lender, Now: time.Now, Chain: []grant.Granter{w.pages}}
-	l, err := own.Lend(w.t.Context(), budget, router, router, n, 0)
-	require.NoError(w.t, err)
-	if w.borrowers[router] == nil {
-		w.borrowers[router] = grant.NewHolder(router, account.Layout{Prefix: "p/", Pages: 1}, grant.HorizonPolicy{})
+	own := &grant.Acquirer{Holder: f.lender, Now: time.Now, Chain: []grant.Granter{f.pages}}
+	l, err := own.Lend(f.t.Context(), budget, router, router, n, 0)
+	require.NoError(f.t, err)
+	if f.borrowers[router] == nil {
+		f.borrowers[router] = grant.NewHolder(router, account.Layout{Prefix: "p/", Pages: 1}, grant.HorizonPolicy{})
 	}
-	w.borrowers[router].Borrow(time.Now(), budget, l)
+	f.borrowers[router].Borrow(time.Now(), budget, l)
 	return nil
 }
 
-// The VM of a lender is gone, with the tokens of a team. Its routers live and know what they
-// used: one has given its lot back to nobody, the other never used its own. All the rest can
-// be spent again; before, a tenth of what the team had paid was lost.
-func TestRestIsFreed(t *testing.T) {
-	w := newWorld(t)
-	require.NoError(t, w.borrow("router/1", 40))
-	require.NoError(t, w.borrow("router/2", 30))
-	r, err := w.borrowers["router/1"].Reserve(time.Now(), budget, 40)
+// Guards against losing a tenth of what a team paid when the lender that holds it dies. Its borrowers
+// are alive and report their usage: one closed its lot but could not return it, the other used
+// nothing. All unused tokens become free again.
+func TestUnusedTokensAreFreed(t *testing.T) {
+	f := newFixture(t)
+	require.NoError(t, f.borrow("router/1", 40))
+	require.NoError(t, f.borrow("router/2", 30))
+	r, err := f.borrowers["router/1"].Reserve(time.Now(), budget, 40)
 	require.NoError(t, err)
-	w.borrowers["router/1"].Settle(time.Now(), r, 25)
-	w.borrowers["router/1"].CloseLots(time.Now())
-	done, err := w.settler.Settle(t.Context(), "lender/1", page, true)
+	f.borrowers["router/1"].Settle(time.Now(), r, 25)
+	f.borrowers["router/1"].CloseLots(time.Now())
+	done, err := f.settler.Settle(t.Context(), "lender/1", page, true)
 	require.NoError(t, err)
 	require.EqualValues(t, 25, done.Used[budget])
-	item, err := w.store.Get(t.Context(), page)
+	item, err := f.store.Get(t.Context(), page)
 	require.NoError(t, err)
 	p, err := account.Decode(item.Value)
 	require.NoError(t, err)
 	require.EqualValues(t, 75, p.Accounts[budget].Free())
-	done, err = w.settler.Settle(t.Context(), "lender/1", page, true)
+	done, err = f.settler.Settle(t.Context(), "lender/1", page, true)
 	require.NoError(t, err)
-	require.Empty(t, done.Freed, "once is enough")
+	require.Empty(t, done.Freed, "a second settlement frees nothing")
 }
 
-// A request still runs on a lot of the dead lender. The settlement waits for it, or counts
-// all that it set aside: it may yet use that.
+// Guards against freeing tokens that a running request on a dead lender's lot may still use. The
+// settlement waits for the request or counts its whole reservation.
 func TestRunningRequestsCountInFull(t *testing.T) {
-	w := newWorld(t)
-	require.NoError(t, w.borrow("router/1", 40))
-	_, err := w.borrowers["router/1"].Reserve(time.Now(), budget, 40)
+	f := newFixture(t)
+	require.NoError(t, f.borrow("router/1", 40))
+	_, err := f.borrowers["router/1"].Reserve(time.Now(), budget, 40)
 	require.NoError(t, err)
-	_, err = w.settler.Settle(t.Context(), "lender/1", page, true)
+	_, err = f.settler.Settle(t.Context(), "lender/1", page, true)
 	require.ErrorIs(t, err, settlement.ErrNotYet)
-	done, err := w.settler.Settle(t.Context(), "lender/1", page, false)
+	done, err := f.settler.Settle(t.Context(), "lender/1", page, false)
 	require.NoError(t, err)
 	require.EqualValues(t, 40, done.Used[budget])
 }
 
-// A lender was paused and is taken for dead. Its rest is freed, and granted to others. When it
-// wakes it still believes that it has tokens: nobody takes them, neither the router that has
-// given its word nor one that has just started.
-func TestLenderThatOnlySeemedDead(t *testing.T) {
-	w := newWorld(t)
-	require.NoError(t, w.borrow("router/1", 40))
-	require.NoError(t, w.pages.Sync(t.Context(), page)) // it takes some more ahead of need
-	_, err := w.settler.Settle(t.Context(), "lender/1", page, true)
+// Guards against overspending when a paused lender is taken for dead: its unused tokens are freed and
+// granted to others, and it resumes with stale state. Neither a router that has reported its usage
+// nor one that has just started may spend its tokens.
+func TestPausedLenderTakenForDead(t *testing.T) {
+	f := newFixture(t)
+	require.NoError(t, f.borrow("router/1", 40))
+	require.NoError(t, f.pages.Sync(t.Context(), page)) // it is granted more ahead of demand
+	_, err := f.settler.Settle(t.Context(), "lender/1", page, true)
 	require.NoError(t, err)
-	require.ErrorIs(t, w.borrow("router/2", 10), settlement.ErrSealed)
-	l, err := w.lender.Lend(time.Now(), budget, "again", "router/1", 10, 0)
-	require.NoError(t, err, "it does not know yet")
-	w.borrowers["router/1"].Borrow(time.Now(), budget, l)
-	_, err = w.borrowers["router/1"].Reserve(time.Now(), budget, 10)
+	require.ErrorIs(t, f.borrow("router/2", 10), settlement.ErrSealed)
+	l, err := f.lender.Lend(time.Now(), budget, "again", "router/1", 10, 0)
+	require.NoError(t, err, "its state is still stale")
+	f.borrowers["router/1"].Borrow(time.Now(), budget, l)
+	_, err = f.borrowers["router/1"].Reserve(time.Now(), budget, 10)
 	require.ErrorIs(t, err, grant.ErrShort)
-	require.ErrorIs(t, w.pages.Sync(t.Context(), page), grant.ErrFenced)
+	require.ErrorIs(t, f.pages.Sync(t.Context(), page), grant.ErrFenced)
 }
 
-// A lender dies. One of its two borrowers cannot be reached for some seconds; the other one tells
-// what it used, and dies before the first is back. Its word is kept: it had taken nothing more since
-// it gave it. Asked anew each time, all that the lender held counted as used, up to a tenth of what a
-// team had paid (lender_not_settled, "a borrower's word is missing for good").
-func TestWordOutlivesItsBorrower(t *testing.T) {
-	w := newWorld(t)
-	require.NoError(t, w.borrow("router/1", 40))
-	require.NoError(t, w.borrow("router/2", 30))
-	r, err := w.borrowers["router/2"].Reserve(time.Now(), budget, 20)
+// Guards against losing all that a dead lender held, up to a tenth of what a team paid (event
+// lender_not_settled, "borrower usage is permanently unknown"). One of two borrowers is unreachable
+// for some seconds; the other reports its usage and dies before the first is back. Its report is
+// kept, since a borrower accepts nothing more from the lender after it; querying all again at each
+// attempt would find it missing.
+func TestReportOutlivesBorrower(t *testing.T) {
+	f := newFixture(t)
+	require.NoError(t, f.borrow("router/1", 40))
+	require.NoError(t, f.borrow("router/2", 30))
+	r, err := f.borrowers["router/2"].Reserve(time.Now(), budget, 20)
 	require.NoError(t, err)
-	first := w.borrowers["router/1"]
-	delete(w.borrowers, "router/1")
-	_, err = w.settler.Settle(t.Context(), "lender/1", page, true)
+	first := f.borrowers["router/1"]
+	delete(f.borrowers, "router/1")
+	_, err = f.settler.Settle(t.Context(), "lender/1", page, true)
 	require.ErrorIs(t, err, settlement.ErrNotYet)
-	w.borrowers["router/2"].Settle(time.Now(), r, 5)
-	delete(w.borrowers, "router/2")
-	w.over["router/2"] = true
-	w.borrowers["router/1"] = first
-	done, err := w.settler.Settle(t.Context(), "lender/1", page, true)
+	f.borrowers["router/2"].Settle(time.Now(), r, 5)
+	delete(f.borrowers, "router/2")
+	f.ended["router/2"] = true
+	f.borrowers["router/1"] = first
+	done, err := f.settler.Settle(t.Context(), "lender/1", page, true)
 	require.NoError(t, err)
-	require.EqualValues(t, 20, done.Used[budget], "what it had set aside when it was heard last")
+	require.EqualValues(t, 20, done.Used[budget], "its reservation at the time of its last report")
 }
 
-// A borrower tells what it used while a request of it still runs, and starts again before that ended.
-// The new life is asked at the old address and knows of nothing. The word of the life before stands.
-func TestNextLifeOfABorrowerKnowsNothing(t *testing.T) {
-	w := newWorld(t)
-	require.NoError(t, w.borrow("router/1", 40))
-	_, err := w.borrowers["router/1"].Reserve(time.Now(), budget, 40)
+// Guards against losing a borrower's report when it restarts: it reports while one of its requests
+// runs, and its next incarnation answers at the same address without data. The earlier report stays.
+func TestReportSurvivesBorrowerRestart(t *testing.T) {
+	f := newFixture(t)
+	require.NoError(t, f.borrow("router/1", 40))
+	_, err := f.borrowers["router/1"].Reserve(time.Now(), budget, 40)
 	require.NoError(t, err)
-	_, err = w.settler.Settle(t.Context(), "lender/1", page, true)
+	_, err = f.settler.Settle(t.Context(), "lender/1", page, true)
 	require.ErrorIs(t, err, settlement.ErrNotYet)
-	w.settler.Ask = func(context.Context, string, string) (grant.Borrowed, error) { return grant.Borrowed{}, nil }
-	w.over["router/1"] = true
-	done, err := w.settler.Settle(t.Context(), "lender/1", page, true)
+	f.settler.Ask = func(context.Context, string, string) (grant.Borrowed, error) { return grant.Borrowed{}, nil }
+	f.ended["router/1"] = true
+	done, err := f.settler.Settle(t.Context(), "lender/1", page, true)
 	require.NoError(t, err)
 	require.EqualValues(t, 40, done.Used[budget])
 }
 
-// One of two borrowers does not answer, then is known to be gone; or the lender has no list.
-// Nothing is freed: what nobody can tell counts as used.
-func TestMissingWord(t *testing.T) {
-	w := newWorld(t)
-	require.NoError(t, w.borrow("router/1", 40))
-	require.NoError(t, w.borrow("router/2", 40))
-	delete(w.borrowers, "router/2")
-	_, err := w.settler.Settle(t.Context(), "lender/1", page, false)
+// Guards against freeing tokens whose usage is unknown: one of two borrowers does not answer and is
+// then found to have ended, or the lender has no list.
+func TestMissingReport(t *testing.T) {
+	f := newFixture(t)
+	require.NoError(t, f.borrow("router/1", 40))
+	require.NoError(t, f.borrow("router/2", 40))
+	delete(f.borrowers, "router/2")
+	_, err := f.settler.Settle(t.Context(), "lender/1", page, false)
 	require.ErrorIs(t, err, settlement.ErrNotYet)
-	w.over["router/2"] = true
-	_, err = w.settler.Settle(t.Context(), "lender/1", page, false)
+	f.ended["router/2"] = true
+	_, err = f.settler.Settle(t.Context(), "lender/1", page, false)
 	require.ErrorIs(t, err, settlement.ErrUnsettled)
-	require.NoError(t, w.register.Remove(t.Context()))
-	_, err = w.settler.Settle(t.Context(), "lender/1", page, false)
+	require.NoError(t, f.register.Remove(t.Context()))
+	_, err = f.settler.Settle(t.Context(), "lender/1", page, false)
 	require.ErrorIs(t, err, settlement.ErrUnsettled)
 }
--- a/coord/settlement/settler.go
+++ b/coord/settlement/settler.go
@@ -10,91 +10,91 @@
 	"github.com/arbutusmill/arbutusmill/coord/store"
 )
 
-// Settler settles dead lenders.
+// Settler settles the rows of dead lenders.
 type Settler struct {
 	Store store.Store
-	// Prefix begins the keys of lists; a lender's life follows.
+	// Prefix is the key prefix of the lists; a lender's incarnation follows it.
 	Prefix string
-	// Ask asks a borrower for its final word on a lender. An error means that it did not
-	// answer.
+	// Ask requests a borrower's final usage report on a lender. An error means that the borrower
+	// did not answer.
 	Ask func(ctx context.Context, borrower, lender string) (grant.Borrowed, error)
-	// AskWitness asks a witness for a lender's limits of exposure in a term. An error means that
-	// it did not answer. It may be nil: then a borrower's word that is missing is missing for good.
+	// AskWitness requests a lender's exposure limits in a term from a witness. An error means that
+	// the witness did not answer. If it is nil, a lender with a missing report cannot be settled.
 	AskWitness func(ctx context.Context, witness, lender string, term int64) (Testimony, error)
-	// Over reports whether the life of a borrower or witness has certainly ended.
+	// Over reports whether the incarnation of a borrower or witness has certainly ended.
 	Over func(life string) bool
-	// Words keeps what borrowers told, between tries.
+	// Words caches the answers of borrowers and witnesses between attempts.
 	Words *Words
 }
 
-// mostAsked bounds the borrowers that are asked at the same time.
-const mostAsked = 16
+// maxConcurrentQueries bounds the borrowers that are queried concurrently.
+const maxConcurrentQueries = 16
 
-// Settlement is what became of one lender's rows on one page, by budget in tokens.
+// Settlement is the result for one lender's rows on one page. Amounts are tokens by budget.
 type Settlement struct {
-	// Used is what borrowers used of it, Freed what may be granted again.
+	// Used is what borrowers used, Freed what may be granted again.
 	Used, Freed map[string]int64
-	// Missing are the borrowers whose word is missing for good; the most that they can have
-	// used is in Used.
+	// Missing lists the borrowers that ended without a report; Used includes the most that they
+	// can have used.
 	Missing []string
 }
 
-// Settle ends the dead lender's rows on a page. With patient set it waits for requests that
-// still run on the lender's lots, so that what they do not use is freed as well; else what
-// they set aside counts as used. Its errors are ErrUnsettled, ErrNotYet and the store's; after
-// each of them the rows are as they were.
-func (s *Settler) Settle(ctx context.Context, lender, page string, patient bool) (Settlement, error) {
+// Settle removes the dead lender's rows from a page. With waitForRunning set it returns ErrNotYet
+// while requests still run on the lender's lots, so that what they do not use is freed as well;
+// otherwise their reservations count as used. Its errors are ErrUnsettled, ErrNotYet and the
+// store's; each of them leaves the rows unchanged.
+func (s *Settler) Settle(ctx context.Context, lender, page string, waitForRunning bool) (Settlement, error) {
 	sealed, err := s.seal(ctx, lender)
 	if err != nil {
 		return Settlement{}, err
 	}
-	s.ask(ctx, lender, sealed.Borrowers)
-	used, missing, err := s.sum(lender, sealed.Borrowers, patient)
+	s.queryBorrowers(ctx, lender, sealed.Borrowers)
+	used, missing, err := s.sumReports(lender, sealed.Borrowers, waitForRunning)
 	if err != nil {
 		return Settlement{}, err
 	}
 	if len(missing) > 0 {
-		// All of these are over before any witness is asked: none can be lent anything later.
-		limits, err := s.limits(ctx, lender, sealed)
+		// All of these ended before any witness is queried, so none of them can borrow later.
+		limits, err := s.exposureLimits(ctx, lender, sealed)
 		if err != nil {
 			return Settlement{}, err
 		}
-		addMissing(used, missing, limits)
+		addMissingLimits(used, missing, limits)
 	}
-	out, err := s.end(ctx, lender, page, used)
-	out.Missing = missing
-	return out, err
+	result, err := s.endRows(ctx, lender, page, used)
+	result.Missing = missing
+	return result, err
 }
 
-// sum adds what borrowers told, and names those whose word is missing for good.
-func (s *Settler) sum(lender string, borrowers []string, patient bool) (used map[string]int64, missing []string, err error) {
+// sumReports adds up the usage reports and lists the borrowers that ended without one.
+func (s *Settler) sumReports(lender string, borrowers []string, waitForRunning bool) (used map[string]int64, missing []string, err error) {
 	used = map[string]int64{}
-	var wait bool
+	var running bool
 	for _, borrower := range borrowers {
-		word, heard := s.Words.of(lender, borrower)
-		over := s.Over(borrower)
+		report, received := s.Words.reportOf(lender, borrower)
+		ended := s.Over(borrower)
 		switch {
-		case over && (!heard || !word.Known):
+		case ended && (!received || !report.Known):
 			missing = append(missing, borrower)
 			continue
-		case !heard, !word.Known:
-			// A borrower that does not know may go on spending until it is over.
+		case !received, !report.Known:
+			// A borrower without a report may go on spending until it ends.
 			return nil, nil, Error.Wrap(ErrNotYet)
-		case word.Open && patient && !over:
-			wait = true
+		case report.Open && waitForRunning && !ended:
+			running = true
 		}
-		for budget, n := range word.Used {
+		for budget, n := range report.Used {
 			used[budget] += n
 		}
 	}
-	if wait {
+	if running {
 		return nil, nil, Error.Wrap(ErrNotYet)
 	}
 	return used, missing, nil
 }
 
-// addMissing adds the most that borrowers can have used whose word is missing for good.
-func addMissing(used map[string]int64, missing []string, limits grant.ExposureLimits) {
+// addMissingLimits adds the most that borrowers without a report can have used.
+func addMissingLimits(used map[string]int64, missing []string, limits grant.ExposureLimits) {
 	for budget, byBorrower := range limits {
 		for _, borrower := range missing {
 			used[budget] += byBorrower[borrower]
@@ -102,70 +102,70 @@
 	}
 }
 
-// limits are a dead lender's limits of exposure by all its witnesses.
-func (s *Settler) limits(ctx context.Context, lender string, sealed list) (grant.ExposureLimits, error) {
+// exposureLimits merges a dead lender's exposure limits from all its witnesses.
+func (s *Settler) exposureLimits(ctx context.Context, lender string, sealed borrowerList) (grant.ExposureLimits, error) {
 	if s.AskWitness == nil || len(sealed.Witnesses) == 0 {
 		return nil, Error.Wrap(ErrUnsettled)
 	}
 	limits := grant.ExposureLimits{}
 	for _, witness := range sealed.Witnesses {
-		told, err := s.testimony(ctx, witness, lender, sealed.Term)
+		answer, err := s.witnessLimits(ctx, witness, lender, sealed.Term)
 		if err != nil {
 			return nil, err
 		}
-		limits.Merge(told)
+		limits.Merge(answer)
 	}
 	return limits, nil
 }
 
-// testimony asks one witness, unless its answer is kept: that one is final, for nothing that the
-// lender tells later was lent to anyone.
-func (s *Settler) testimony(ctx context.Context, witness, lender string, term int64) (grant.ExposureLimits, error) {
+// witnessLimits returns the answer of one witness. A cached answer is final: nothing is lent under
+// limits that the lender sends later.
+func (s *Settler) witnessLimits(ctx context.Context, witness, lender string, term int64) (grant.ExposureLimits, error) {
 	if limits, ok := s.Words.limitsOf(lender, witness); ok {
 		return limits, nil
 	}
-	told, err := s.AskWitness(ctx, witness, lender, term)
+	answer, err := s.AskWitness(ctx, witness, lender, term)
 	switch {
-	case err != nil && s.Over(witness), err == nil && !told.Known:
+	case err != nil && s.Over(witness), err == nil && !answer.Known:
 		return nil, Error.Wrap(ErrUnsettled)
 	case err != nil:
 		return nil, Error.Wrap(ErrNotYet)
 	}
-	s.Words.keepLimits(lender, witness, told.Limits)
-	return told.Limits, nil
+	s.Words.setLimits(lender, witness, answer.Limits)
+	return answer.Limits, nil
 }
 
-// ask asks those borrowers for their word whose last one may still change, or was never heard. All
-// are asked at once: one that does not answer would else keep the others, some of which may be
-// about to die, from being heard.
-func (s *Settler) ask(ctx context.Context, lender string, borrowers []string) {
+// queryBorrowers requests reports from the borrowers that have none or whose last one may still
+// change. The queries run concurrently: an unresponsive borrower would otherwise delay the reports
+// of others, which may die before they are queried.
+func (s *Settler) queryBorrowers(ctx context.Context, lender string, borrowers []string) {
 	var wg sync.WaitGroup
-	places := make(chan struct{}, mostAsked)
+	slots := make(chan struct{}, maxConcurrentQueries)
 	for _, borrower := range borrowers {
-		if word, heard := s.Words.of(lender, borrower); heard && !word.Open {
+		if report, received := s.Words.reportOf(lender, borrower); received && !report.Open {
 			continue
 		}
-		places <- struct{}{}
+		slots <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-places }()
-			if word, err := s.Ask(ctx, borrower, lender); err == nil {
-				s.Words.keep(lender, borrower, word)
+			defer func() { <-slots }()
+			if report, err := s.Ask(ctx, borrower, lender); err == nil {
+				s.Words.setReport(lender, borrower, report)
 			}
 		})
 	}
 	wg.Wait()
 }
 
-// seal closes the list and returns it. A lender without one is not known to have listed
-// anybody, so it cannot be settled: its list may have been removed.
-func (s *Settler) seal(ctx context.Context, lender string) (list, error) {
-	var sealed list
+// seal seals the list and returns it. Without a list the lender's borrowers are unknown, since the
+// list may have been removed, so the result is ErrUnsettled.
+func (s *Settler) seal(ctx context.Context, lender string) (borrowerList, error) {
+	var sealed borrowerList
 	_, err := store.Update(ctx, s.Store, s.Prefix+lender, func(old store.Item) ([]byte, error) {
 		if old.Revision == 0 {
 			return nil, Error.Wrap(ErrUnsettled)
 		}
 		var err error
-		if sealed, err = decodeList(old.Value); err != nil {
+		if sealed, err = decodeBorrowerList(old.Value); err != nil {
 			return nil, err
 		}
 		sealed.Sealed = true
@@ -174,35 +174,35 @@
 	return sealed, err
 }
 
-// end writes the page. The lender's own reports are a part of what was used: it heard of
-// some lots before it died.
-func (s *Settler) end(ctx context.Context, lender, page string, used map[string]int64) (Settlement, error) {
-	var out Settlement
+// endRows removes the lender's rows from the page. What the lender itself had reported as settled is
+// part of the usage: some lots were returned before it died.
+func (s *Settler) endRows(ctx context.Context, lender, page string, used map[string]int64) (Settlement, error) {
+	var result Settlement
 	_, err := store.Update(ctx, s.Store, page, func(old store.Item) ([]byte, error) {
 		p, err := account.Decode(old.Value)
 		if err != nil {
 			return nil, err
 		}
-		out = Settlement{Used: map[string]int64{}, Freed: map[string]int64{}}
+		result = Settlement{Used: map[string]int64{}, Freed: map[string]int64{}}
 		for budget, a := range p.Accounts {
 			row := a.Rows[lender]
 			if row == nil {
 				continue
 			}
-			out.Used[budget] = max(used[budget], row.Settled)
-			if out.Freed[budget], err = a.Recover(lender, out.Used[budget]-row.Settled, 0); err != nil {
+			result.Used[budget] = max(used[budget], row.Settled)
+			if result.Freed[budget], err = a.Recover(lender, result.Used[budget]-row.Settled, 0); err != nil {
 				return nil, err
 			}
 		}
-		if len(out.Used) == 0 {
+		if len(result.Used) == 0 {
 			return old.Value, nil
 		}
 		return p.Encode()
 	})
-	return out, err
+	return result, err
 }
 
-// Forget deletes the list of a settled lender once no page under the prefix has a row of it.
+// Forget deletes the list of a settled lender once no page under the prefix has a row of the lender.
 func (s *Settler) Forget(ctx context.Context, lender, pagePrefix string) error {
 	pages, _, err := s.Store.Snapshot(ctx, pagePrefix)
 	if err != nil {
--- a/coord/settlement/witness.go
+++ b/coord/settlement/witness.go
@@ -10,88 +10,89 @@
 )
 
 var (
-	// ErrNotAppointed says that a lender tells changes to a witness that knows no limits of
-	// this term yet, or a later term's.
-	ErrNotAppointed = errs.New("the witness does not know this lender's term")
-	// ErrWitnessFull says that a witness knows too many lenders.
-	ErrWitnessFull = errs.New("the witness knows too many lenders")
+	// ErrNotAppointed is returned for a notice of changes when the witness has no full set of
+	// limits for its term, and for any notice of a term before the one that the witness has.
+	ErrNotAppointed = errs.New("the witness has no limits for this term of the lender")
+	// ErrWitnessFull is returned when a witness already holds limits for too many lenders.
+	ErrWitnessFull = errs.New("the witness holds limits for too many lenders")
 )
 
-// mostWitnessed bounds the lenders that one witness knows.
-const mostWitnessed = 1024
+// maxWitnessedLenders bounds the lenders whose limits one witness holds.
+const maxWitnessedLenders = 1024
 
-// Notice is a lender's limits of exposure as it tells them to a witness. They only rise.
+// Notice carries a lender's exposure limits to a witness. Limits only rise.
 type Notice struct {
-	// Lender is the lender's life.
+	// Lender is the lender's incarnation.
 	Lender string `json:"lender"`
 	// Term numbers the lender's appointments of witnesses, from 1.
 	Term int64 `json:"term"`
-	// Whole says that the lender has no other limits; else these are the changed ones.
+	// Whole is set when Limits holds all the lender's limits, not only the changed ones.
 	Whole  bool                 `json:"whole,omitempty"`
 	Limits grant.ExposureLimits `json:"limits"`
 }
 
-// Testimony is what a witness knows of a lender.
+// Testimony is a witness's answer about a lender.
 type Testimony struct {
-	// Known says that the lender has told all its limits in the term that was asked for.
+	// Known is set when the witness has all the lender's limits in the requested term.
 	Known  bool                 `json:"known"`
 	Limits grant.ExposureLimits `json:"limits,omitempty"`
 }
 
-// Witness keeps other lenders' limits of exposure. The zero value knows nobody; it is safe for
+// Witness holds the exposure limits of other lenders. The zero value is empty; it is safe for
 // concurrent use.
 type Witness struct {
 	mu       sync.Mutex
-	byLender map[string]*witnessed
+	byLender map[string]*lenderLimits
 }
 
-// witnessed is what is known of one lender.
-type witnessed struct {
-	term   int64
-	limits grant.ExposureLimits
-	heard  time.Time
+// lenderLimits holds the limits of one lender.
+type lenderLimits struct {
+	term       int64
+	limits     grant.ExposureLimits
+	lastNotice time.Time
 }
 
-// Note takes limits. They are merged, so that a message may come late or twice.
-func (w *Witness) Note(now time.Time, in Notice) error {
+// Note merges the notice's limits into those it has, so that a notice may arrive late or twice. Its
+// errors are ErrNotAppointed and ErrWitnessFull.
+func (w *Witness) Note(now time.Time, notice Notice) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	known := w.byLender[in.Lender]
+	entry := w.byLender[notice.Lender]
 	switch {
-	case known != nil && in.Term < known.term,
-		!in.Whole && (known == nil || known.term != in.Term):
+	case entry != nil && notice.Term < entry.term,
+		!notice.Whole && (entry == nil || entry.term != notice.Term):
 		return Error.Wrap(ErrNotAppointed)
-	case known == nil:
-		if len(w.byLender) >= mostWitnessed {
+	case entry == nil:
+		if len(w.byLender) >= maxWitnessedLenders {
 			return Error.Wrap(ErrWitnessFull)
 		}
-		known = &witnessed{limits: grant.ExposureLimits{}}
+		entry = &lenderLimits{limits: grant.ExposureLimits{}}
 		if w.byLender == nil {
-			w.byLender = map[string]*witnessed{}
+			w.byLender = map[string]*lenderLimits{}
 		}
-		w.byLender[in.Lender] = known
+		w.byLender[notice.Lender] = entry
 	}
-	known.term, known.heard = in.Term, now
-	known.limits.Merge(in.Limits)
+	entry.term, entry.lastNotice = notice.Term, now
+	entry.limits.Merge(notice.Limits)
 	return nil
 }
 
-// Testify tells what is known of a lender in a term.
+// Testify returns the limits of a lender in a term.
 func (w *Witness) Testify(lender string, term int64) Testimony {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	known := w.byLender[lender]
-	if known == nil || known.term != term {
+	entry := w.byLender[lender]
+	if entry == nil || entry.term != term {
 		return Testimony{}
 	}
-	return Testimony{Known: true, Limits: known.limits.Clone()}
+	return Testimony{Known: true, Limits: entry.limits.Clone()}
 }
 
-// Forget drops the lenders that were last heard before a time and for which gone holds.
+// Forget drops the lenders whose last notice came before the given time and for which gone is true.
 func (w *Witness) Forget(before time.Time, gone func(lender string) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	maps.DeleteFunc(w.byLender, func(lender string, known *witnessed) bool {
-		return known.heard.Before(before) && gone(lender)
+	maps.DeleteFunc(w.byLender, func(lender string, entry *lenderLimits) bool {
+		return entry.lastNotice.Before(before) && gone(lender)
 	})
 }
--- a/coord/settlement/witness_test.go
+++ b/coord/settlement/witness_test.go
@@ -17,225 +17,224 @@
 	"github.com/stretchr/testify/require"
 )
 
-// errNoAnswer is what a message to a witness ends with that is cut off.
+// errNoAnswer is the error of a message to a witness that is cut off.
 var errNoAnswer = errors.New("no answer")
 
-// witnessed is a world whose lender has witnesses.
-type witnessed struct {
-	*world
-	exposure  *settlement.Exposure
-	witnesses map[string]*settlement.Witness
-	cut       map[string]bool
-	lots      int
+// witnessFixture is a fixture whose lender has witnesses.
+type witnessFixture struct {
+	*fixture
+	exposure    *settlement.Exposure
+	witnesses   map[string]*settlement.Witness
+	unreachable map[string]bool
+	lots        int
 }
 
-func newWitnessed(t *testing.T) *witnessed {
-	w := &witnessed{world: newWorld(t), cut: map[string]bool{},
+func newWitnessFixture(t *testing.T) *witnessFixture {
+	f := &witnessFixture{fixture: newFixture(t), unreachable: map[string]bool{},
 		witnesses: map[string]*settlement.Witness{"lender/2": {}, "lender/3": {}}}
-	w.exposure = &settlement.Exposure{Holder: w.lender, Register: w.register, Timeout: time.Second, Now: time.Now,
+	f.exposure = &settlement.Exposure{Holder: f.lender, Register: f.register, Timeout: time.Second, Now: time.Now,
 		Tell: func(_ context.Context, witness string, n settlement.Notice) error {
-			if w.cut[witness] {
+			if f.unreachable[witness] {
 				return errNoAnswer
 			}
-			return w.witnesses[witness].Note(time.Now(), n)
+			return f.witnesses[witness].Note(time.Now(), n)
 		}}
-	w.settler.AskWitness = func(_ context.Context, witness, lender string, term int64) (settlement.Testimony, error) {
-		if w.cut[witness] {
+	f.settler.AskWitness = func(_ context.Context, witness, lender string, term int64) (settlement.Testimony, error) {
+		if f.unreachable[witness] {
 			return settlement.Testimony{}, errNoAnswer
 		}
-		return w.witnesses[witness].Testify(lender, term), nil
+		return f.witnesses[witness].Testify(lender, term), nil
 	}
-	return w
+	return f
 }
 
 // use lends n tokens to a router that uses some of them; the lot stays open.
-func (w *witnessed) use(router string, n, used int64) error {
-	w.lots++
-	if err := w.register.Admit(w.t.Context(), router); err != nil {
+func (f *witnessFixture) use(router string, n, used int64) error {
+	f.lots++
+	if err := f.register.Admit(f.t.Context(), router); err != nil {
 		return err
 	}
-	own := &grant.Acquirer{Holder: w.lender, Now: time.Now, Chain: []grant.Granter{w.pages}, Exposer: w.exposure}
-	l, err := own.Lend(w.t.Context(), budget, router+string(rune('a'+w.lots)), router, n, 0)
-	synctest.Wait() // a raise ends with the first witness's answer, and goes on to the other
+	own := &grant.Acquirer{Holder: f.lender, Now: time.Now, Chain: []grant.Granter{f.pages}, Exposer: f.exposure}
+	l, err := own.Lend(f.t.Context(), budget, router+string(rune('a'+f.lots)), router, n, 0)
+	synctest.Wait() // a raise returns at the first witness's answer and still notifies the other
 	if err != nil {
 		return err
 	}
-	if w.borrowers[router] == nil {
-		w.borrowers[router] = grant.NewHolder(router, account.Layout{Prefix: "p/", Pages: 1}, grant.HorizonPolicy{})
+	if f.borrowers[router] == nil {
+		f.borrowers[router] = grant.NewHolder(router, account.Layout{Prefix: "p/", Pages: 1}, grant.HorizonPolicy{})
 	}
-	h := w.borrowers[router]
+	h := f.borrowers[router]
 	h.Borrow(time.Now(), budget, l)
 	r, err := h.Reserve(time.Now(), budget, n)
-	require.NoError(w.t, err)
+	require.NoError(f.t, err)
 	h.Settle(time.Now(), r, used)
 	return nil
 }
 
-// giveBack returns all lots of a router.
-func (w *witnessed) giveBack(router string) {
-	for _, r := range w.borrowers[router].CloseLots(time.Now()) {
-		w.lender.TakeBack(time.Now(), r)
-		w.borrowers[router].Acknowledge(r)
+// returnLots returns all lots of a router.
+func (f *witnessFixture) returnLots(router string) {
+	for _, r := range f.borrowers[router].CloseLots(time.Now()) {
+		f.lender.TakeBack(time.Now(), r)
+		f.borrowers[router].Acknowledge(r)
 	}
 }
 
-// die ends routers for good.
-func (w *witnessed) die(routers ...string) {
+// kill ends routers permanently.
+func (f *witnessFixture) kill(routers ...string) {
 	for _, r := range routers {
-		delete(w.borrowers, r)
-		w.over[r] = true
+		delete(f.borrowers, r)
+		f.ended[r] = true
 	}
 }
 
-func (w *witnessed) settle() (used int64, err error) {
-	done, err := w.settler.Settle(w.t.Context(), "lender/1", page, false)
+func (f *witnessFixture) settle() (used int64, err error) {
+	done, err := f.settler.Settle(f.t.Context(), "lender/1", page, false)
 	return done.Used[budget], err
 }
 
-// Guards against all that a lender held being lost when a router that it lent to dies with it.
+// Guards against losing all that a lender held when one of its borrowers dies with it.
 func TestBorrowerDiesWithItsLender(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		w := newWitnessed(t)
-		require.NoError(t, w.exposure.Appoint(t.Context(), "lender/2", "lender/3"))
-		require.NoError(t, w.use("router/1", 20, 5))
-		require.NoError(t, w.use("router/2", 10, 10))
-		w.die("router/2")
-		used, err := w.settle()
+		f := newWitnessFixture(t)
+		require.NoError(t, f.exposure.Appoint(t.Context(), "lender/2", "lender/3"))
+		require.NoError(t, f.use("router/1", 20, 5))
+		require.NoError(t, f.use("router/2", 10, 10))
+		f.kill("router/2")
+		used, err := f.settle()
 		require.NoError(t, err)
-		require.EqualValues(t, 5+10, used, "what one told, and the other's limit")
+		require.EqualValues(t, 5+10, used, "one's report and the other's limit")
 	})
 }
 
-// Guards against a limit that forgets what a borrower used of lots that it gave back.
-func TestLimitsHoldWhatCameBackUsed(t *testing.T) {
+// Guards against a limit that omits what a borrower used of lots that it has returned.
+func TestLimitsIncludeUsageOfReturnedLots(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		w := newWitnessed(t)
-		require.NoError(t, w.exposure.Appoint(t.Context(), "lender/2"))
+		f := newWitnessFixture(t)
+		require.NoError(t, f.exposure.Appoint(t.Context(), "lender/2"))
 		for range 3 {
-			require.NoError(t, w.use("router/1", 20, 15))
-			w.giveBack("router/1")
+			require.NoError(t, f.use("router/1", 20, 15))
+			f.returnLots("router/1")
 		}
-		w.die("router/1")
-		used, err := w.settle()
+		f.kill("router/1")
+		used, err := f.settle()
 		require.NoError(t, err)
 		require.EqualValues(t, 2*15+20, used, "the last limit was raised for a lot of 20")
 	})
 }
 
-// Guards against a raise being missed that only one of the witnesses has heard of.
-func TestEachWitnessIsAsked(t *testing.T) {
+// Guards against missing a raise that only one of the witnesses has received.
+func TestEachWitnessIsQueried(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		for _, cut := range []string{"lender/2", "lender/3"} {
-			w := newWitnessed(t)
-			require.NoError(t, w.exposure.Appoint(t.Context(), "lender/2", "lender/3"))
-			require.NoError(t, w.use("router/1", 20, 20))
-			w.cut[cut] = true
-			require.NoError(t, w.use("router/1", 30, 30))
-			w.die("router/1")
-			_, err := w.settle()
-			require.ErrorIs(t, err, settlement.ErrNotYet, "the one that is cut off may know more")
-			w.cut[cut] = false
-			used, err := w.settle()
+		for _, witness := range []string{"lender/2", "lender/3"} {
+			f := newWitnessFixture(t)
+			require.NoError(t, f.exposure.Appoint(t.Context(), "lender/2", "lender/3"))
+			require.NoError(t, f.use("router/1", 20, 20))
+			f.unreachable[witness] = true
+			require.NoError(t, f.use("router/1", 30, 30))
+			f.kill("router/1")
+			_, err := f.settle()
+			require.ErrorIs(t, err, settlement.ErrNotYet, "the witness that is cut off may have higher limits")
+			f.unreachable[witness] = false
+			used, err := f.settle()
 			require.NoError(t, err)
 			require.EqualValues(t, 50, used)
 		}
 	})
 }
 
-// Guards against limits of an earlier term: a witness that was replaced and appointed again may
-// have missed what others heard meanwhile.
-func TestWitnessAppointedAgainKnowsNothingYet(t *testing.T) {
+// Guards against using limits of an earlier term: a witness that was replaced and appointed again may
+// have missed raises that others received meanwhile.
+func TestReappointedWitnessHasNoLimits(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		w := newWitnessed(t)
+		f := newWitnessFixture(t)
 		for _, witness := range []string{"lender/2", "lender/3"} {
-			require.NoError(t, w.exposure.Appoint(t.Context(), witness))
-			require.NoError(t, w.use("router/1", 20, 20))
+			require.NoError(t, f.exposure.Appoint(t.Context(), witness))
+			require.NoError(t, f.use("router/1", 20, 20))
 		}
-		require.NoError(t, w.exposure.Appoint(t.Context(), "lender/2"))
-		w.die("router/1")
-		_, err := w.settle()
+		require.NoError(t, f.exposure.Appoint(t.Context(), "lender/2"))
+		f.kill("router/1")
+		_, err := f.settle()
 		require.ErrorIs(t, err, settlement.ErrUnsettled)
 	})
 }
 
-// Guards against limits that lack what was lent in earlier terms, or before there were witnesses.
-func TestNewWitnessIsToldAllLimits(t *testing.T) {
+// Guards against limits that omit what was lent in earlier terms, or before there were witnesses.
+func TestNewWitnessReceivesAllLimits(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		w := newWitnessed(t)
-		require.NoError(t, w.use("router/1", 20, 20))
-		require.NoError(t, w.exposure.Appoint(t.Context(), "lender/2"))
-		require.NoError(t, w.use("router/2", 15, 15))
-		require.NoError(t, w.exposure.Appoint(t.Context(), "lender/3"))
-		require.NoError(t, w.use("router/3", 10, 10))
-		w.die("router/1", "router/2", "router/3")
-		used, err := w.settle()
+		f := newWitnessFixture(t)
+		require.NoError(t, f.use("router/1", 20, 20))
+		require.NoError(t, f.exposure.Appoint(t.Context(), "lender/2"))
+		require.NoError(t, f.use("router/2", 15, 15))
+		require.NoError(t, f.exposure.Appoint(t.Context(), "lender/3"))
+		require.NoError(t, f.use("router/3", 10, 10))
+		f.kill("router/1", "router/2", "router/3")
+		used, err := f.settle()
 		require.NoError(t, err)
 		require.EqualValues(t, 45, used)
 	})
 }
 
-// Guards against tokens that are freed while a borrower may still use them: one that does not
-// answer, or whose address answers for another life, lives on until it is known to be over.
-func TestBorrowerThatMayLiveIsWaitedFor(t *testing.T) {
+// Guards against freeing tokens that a borrower may still use: one that does not answer, or whose
+// address answers for another incarnation, counts as alive until it has certainly ended.
+func TestSettleWaitsForBorrowerThatMayBeAlive(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		w := newWitnessed(t)
-		require.NoError(t, w.exposure.Appoint(t.Context(), "lender/2"))
-		require.NoError(t, w.use("router/1", 20, 20))
-		router := w.borrowers["router/1"]
-		delete(w.borrowers, "router/1")
-		_, err := w.settle()
+		f := newWitnessFixture(t)
+		require.NoError(t, f.exposure.Appoint(t.Context(), "lender/2"))
+		require.NoError(t, f.use("router/1", 20, 20))
+		router := f.borrowers["router/1"]
+		delete(f.borrowers, "router/1")
+		_, err := f.settle()
 		require.ErrorIs(t, err, settlement.ErrNotYet, "no answer")
-		w.settler.Ask = func(context.Context, string, string) (grant.Borrowed, error) { return grant.Borrowed{}, nil }
-		_, err = w.settle()
-		require.ErrorIs(t, err, settlement.ErrNotYet, "another life answers")
-		w.borrowers["router/1"] = router
-		w.over["router/1"] = true
-		used, err := w.settle()
+		f.settler.Ask = func(context.Context, string, string) (grant.Borrowed, error) { return grant.Borrowed{}, nil }
+		_, err = f.settle()
+		require.ErrorIs(t, err, settlement.ErrNotYet, "another incarnation answers")
+		f.borrowers["router/1"] = router
+		f.ended["router/1"] = true
+		used, err := f.settle()
 		require.NoError(t, err)
 		require.EqualValues(t, 20, used)
 	})
 }
 
-// Guards against lending that no witness knows of.
-func TestNothingIsLentBeyondALimitThatNoWitnessTook(t *testing.T) {
+// Guards against lending beyond a limit that no witness has accepted.
+func TestNoLendingBeyondUnacceptedLimit(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		w := newWitnessed(t)
-		require.NoError(t, w.exposure.Appoint(t.Context(), "lender/2", "lender/3"))
-		require.NoError(t, w.use("router/1", 20, 20))
-		w.cut["lender/2"], w.cut["lender/3"] = true, true
-		require.ErrorIs(t, w.use("router/1", 10, 10), settlement.ErrNoWitness)
-		w.cut["lender/3"] = false
-		require.NoError(t, w.use("router/1", 10, 10))
+		f := newWitnessFixture(t)
+		require.NoError(t, f.exposure.Appoint(t.Context(), "lender/2", "lender/3"))
+		require.NoError(t, f.use("router/1", 20, 20))
+		f.unreachable["lender/2"], f.unreachable["lender/3"] = true, true
+		require.ErrorIs(t, f.use("router/1", 10, 10), settlement.ErrNoWitness)
+		f.unreachable["lender/3"] = false
+		require.NoError(t, f.use("router/1", 10, 10))
 	})
 }
 
-// Guards against a witness that died, or that was never reached, counting as one that knows of
-// no lots.
-func TestWitnessThatKnowsNothing(t *testing.T) {
+// Guards against a witness that died, or was never reached, counting as one whose limits are zero.
+func TestWitnessWithoutLimits(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		w := newWitnessed(t)
-		w.cut["lender/3"] = true
-		require.NoError(t, w.exposure.Appoint(t.Context(), "lender/2", "lender/3"))
-		require.NoError(t, w.use("router/1", 20, 20))
-		w.die("router/1")
-		w.over["lender/3"] = true
-		_, err := w.settle()
-		require.ErrorIs(t, err, settlement.ErrUnsettled, "it is gone")
-		w.cut["lender/3"] = false
-		_, err = w.settle()
-		require.ErrorIs(t, err, settlement.ErrUnsettled, "it was never told")
+		f := newWitnessFixture(t)
+		f.unreachable["lender/3"] = true
+		require.NoError(t, f.exposure.Appoint(t.Context(), "lender/2", "lender/3"))
+		require.NoError(t, f.use("router/1", 20, 20))
+		f.kill("router/1")
+		f.ended["lender/3"] = true
+		_, err := f.settle()
+		require.ErrorIs(t, err, settlement.ErrUnsettled, "it has ended")
+		f.unreachable["lender/3"] = false
+		_, err = f.settle()
+		require.ErrorIs(t, err, settlement.ErrUnsettled, "it was never notified")
 	})
 }
 
-// Guards against limits that go back when a message arrives late, twice, or from an earlier term.
-func TestNoticesThatComeLate(t *testing.T) {
+// Guards against limits that decrease when a notice arrives late, twice, or from an earlier term.
+func TestLateNotices(t *testing.T) {
 	var w settlement.Witness
 	notice := func(term int64, whole bool, limit int64) settlement.Notice {
 		return settlement.Notice{Lender: "lender/1", Term: term, Whole: whole,
 			Limits: grant.ExposureLimits{budget: {"router/1": limit}}}
 	}
 	now := time.Now()
-	require.ErrorIs(t, w.Note(now, notice(2, false, 5)), settlement.ErrNotAppointed, "a change before the whole")
+	require.ErrorIs(t, w.Note(now, notice(2, false, 5)), settlement.ErrNotAppointed, "changes before the full set of limits")
 	require.NoError(t, w.Note(now, notice(2, true, 20)))
 	require.NoError(t, w.Note(now, notice(2, false, 30)))
 	require.NoError(t, w.Note(now, notice(2, false, 25)))
@@ -245,37 +244,37 @@
 	require.Equal(t, settlement.Testimony{Known: true, Limits: notice(2, true, 30).Limits}, w.Testify("lender/1", 2))
 	require.Equal(t, settlement.Testimony{}, w.Testify("lender/1", 3))
 	w.Forget(now, func(string) bool { return true })
-	require.True(t, w.Testify("lender/1", 2).Known, "it was heard lately")
+	require.True(t, w.Testify("lender/1", 2).Known, "its last notice is recent")
 	w.Forget(now.Add(time.Second), func(string) bool { return false })
-	require.True(t, w.Testify("lender/1", 2).Known, "it is listed")
+	require.True(t, w.Testify("lender/1", 2).Known, "its list still exists")
 	w.Forget(now.Add(time.Second), func(string) bool { return true })
 	require.False(t, w.Testify("lender/1", 2).Known)
 }
 
-// Guards against a witness that forgot a lender and then takes none of its changes for good.
-func TestWitnessThatForgotIsToldAll(t *testing.T) {
+// Guards against a witness that dropped a lender and then rejects all its changes permanently.
+func TestWitnessThatLostLimitsReceivesAll(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		w := newWitnessed(t)
-		require.NoError(t, w.exposure.Appoint(t.Context(), "lender/2"))
-		require.NoError(t, w.use("router/1", 20, 20))
-		w.witnesses["lender/2"].Forget(time.Now().Add(time.Second), func(string) bool { return true })
-		require.Error(t, w.use("router/2", 10, 10))
-		require.NoError(t, w.use("router/2", 10, 10))
-		w.die("router/1", "router/2")
-		used, err := w.settle()
+		f := newWitnessFixture(t)
+		require.NoError(t, f.exposure.Appoint(t.Context(), "lender/2"))
+		require.NoError(t, f.use("router/1", 20, 20))
+		f.witnesses["lender/2"].Forget(time.Now().Add(time.Second), func(string) bool { return true })
+		require.Error(t, f.use("router/2", 10, 10))
+		require.NoError(t, f.use("router/2", 10, 10))
+		f.kill("router/1", "router/2")
+		used, err := f.settle()
 		require.NoError(t, err)
 		require.EqualValues(t, 30, used)
 	})
 }
 
-// Guards against refused lots in a burst: all of one router's lots that come at once get a raise.
-func TestManyLotsAtOnce(t *testing.T) {
+// Guards against refused lots in a burst: all concurrent lots of one router are covered by a raise.
+func TestConcurrentLotsShareRaises(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		w := newWitnessed(t)
-		require.NoError(t, w.exposure.Appoint(t.Context(), "lender/2"))
-		require.NoError(t, w.use("router/1", 1, 1))
-		tell, raises := w.exposure.Tell, 0
-		w.exposure.Tell = func(ctx context.Context, witness string, n settlement.Notice) error {
+		f := newWitnessFixture(t)
+		require.NoError(t, f.exposure.Appoint(t.Context(), "lender/2"))
+		require.NoError(t, f.use("router/1", 1, 1))
+		tell, raises := f.exposure.Tell, 0
+		f.exposure.Tell = func(ctx context.Context, witness string, n settlement.Notice) error {
 			raises++
 			time.Sleep(time.Millisecond)
 			return tell(ctx, witness, n)
@@ -283,7 +282,7 @@
 		var wg sync.WaitGroup
 		for n := range 40 {
 			wg.Go(func() {
-				own := &grant.Acquirer{Holder: w.lender, Now: time.Now, Chain: []grant.Granter{w.pages}, Exposer: w.exposure}
+				own := &grant.Acquirer{Holder: f.lender, Now: time.Now, Chain: []grant.Granter{f.pages}, Exposer: f.exposure}
 				_, err := own.Lend(t.Context(), budget, fmt.Sprint("burst-", n), "router/1", 2, 2)
 				assert.NoError(t, err)
 			})
