--- a/coord/settlement/register.go
+++ b/coord/settlement/register.go
@@ -6,7 +6,7 @@
 // borrowers is complete: a lender lends only to borrowers whose names are durably in the store,
 // and the list is sealed before any borrower is queried. Each report is final: a borrower that has
 // reported its usage accepts no more tokens of that lender. Both also hold for a live lender that
-// was taken for dead; its row is removed, and it stops when it notices that.
+// was presumed dead; its row is removed, and it stops when it notices that.
 //
 // The usage of a borrower that ended without a report is bounded by the lender's exposure limits.
 // If these are unavailable too, nothing is settled: all that the lender held counts as used.
@@ -26,7 +26,7 @@
 var Error = errs.Class("settlement")
 
 var (
-	// ErrSealed is returned when a lender's list is sealed because the lender was taken for dead.
+	// ErrSealed is returned when a lender's list is sealed because the lender was presumed dead.
 	ErrSealed = errs.New("the list of borrowers is sealed")
 	// ErrUnsettled is returned when a lender's rows can never be settled.
 	ErrUnsettled = errs.New("borrower usage is permanently unknown")
--- a/coord/settlement/settlement_test.go
+++ b/coord/settlement/settlement_test.go
@@ -108,10 +108,10 @@
 	require.EqualValues(t, 40, done.Used[budget])
 }
 
-// Guards against overspending when a paused lender is taken for dead: its unused tokens are freed and
+// Guards against overspending when a paused lender is presumed dead: its unused tokens are freed and
 // granted to others, and it resumes with stale state. Neither a router that has reported its usage
 // nor one that has just started may spend its tokens.
-func TestPausedLenderTakenForDead(t *testing.T) {
+func TestPausedLenderPresumedDead(t *testing.T) {
 	f := newFixture(t)
 	require.NoError(t, f.borrow("router/1", 40))
 	require.NoError(t, f.pages.Sync(t.Context(), page)) // it is granted more ahead of demand
