--- a/coord/recovery/recovery.go
+++ b/coord/recovery/recovery.go
@@ -1,12 +1,12 @@
 // Package recovery returns the unspent tokens of dead holders to their accounts,
 // on evidence only.
 //
-// A holder's silence proves nothing: it may be frozen and go on spending when it
-// wakes. So the holder is shut out first, at every place where tokens can be
-// spent: tokens are served only through agents, and each agent, once told, refuses
-// the holder for ever and says what it had served of the holder's tokens that the
-// holder's last durable report does not cover. When every agent has answered, and
-// no life of an agent was lost since that report, the rest is unspent for certain.
+// An unresponsive holder may only be paused and go on spending when it resumes. So
+// the holder is fenced first, everywhere tokens can be spent: tokens are served only
+// through agents, and each agent, once it has the fence, refuses the holder
+// permanently and returns what it had served of the holder's tokens that the holder's
+// last durable report does not cover. When every agent has answered, and no
+// incarnation of an agent was lost since that report, the rest is certainly unspent.
 package recovery
 
 import (
@@ -26,10 +26,10 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("recovery")
 
-// ErrIncomplete says that some evidence is still missing; try again later.
+// ErrIncomplete is returned while some evidence is missing; a later attempt may succeed.
 var ErrIncomplete = errs.New("evidence is incomplete")
 
-// Use is what one reservation used at one agent.
+// Use is the number of tokens that one reservation used at one agent.
 type Use struct {
 	Holder string `json:"holder"`
 	Budget string `json:"budget"`
@@ -37,10 +37,10 @@
 	Used   int64  `json:"used"`
 }
 
-// Evidence is an agent's answer: what the holder's tokens, and lots that the holder
-// had borrowed, were used for and nobody has reported durably.
+// Evidence is an agent's answer: the uses of the holder's tokens, and of lots that the
+// holder had borrowed, that are not reported durably.
 type Evidence struct {
-	// Running counts requests that still use them.
+	// Running counts the requests that still use such tokens.
 	Running int   `json:"running"`
 	Uses    []Use `json:"uses"`
 }
@@ -50,24 +50,24 @@
 	Lots []grant.LotReturn `json:"lots"`
 }
 
-// Fleet is the way to the other processes.
+// Fleet gives access to the other processes.
 type Fleet interface {
 	// Agents lists the VMs of all agents that may serve.
 	Agents() []string
-	// Peers lists the VMs of all routers, this one included, but not the
+	// Peers lists the VMs of all routers, including this one but not the
 	// dead holder's.
 	Peers() []string
-	// FenceAgent shuts the holder out at an agent. It is final there.
+	// FenceAgent fences the holder at an agent permanently.
 	FenceAgent(ctx context.Context, vm, holder string) (Evidence, error)
-	// FencePeer makes a router use no more lots of the holder.
+	// FencePeer makes a router stop using lots of the holder.
 	FencePeer(ctx context.Context, vm, holder string) (PeerEvidence, error)
 	// SettleLot settles a lot that a router lent to the holder.
 	SettleLot(ctx context.Context, vm string, r grant.LotReturn) error
-	// Forget tells an agent that the evidence is not needed any more.
+	// Forget lets an agent discard its evidence about the holder.
 	Forget(ctx context.Context, vm, holder string) error
 }
 
-// Recoverer recovers dead holders.
+// Recoverer recovers the tokens of dead holders.
 type Recoverer struct {
 	Store  store.Store
 	Layout account.Layout
@@ -76,7 +76,7 @@
 	Fleet  Fleet
 }
 
-// Result sums up one recovery. Amounts are tokens.
+// Result summarizes one recovery. Amounts are tokens.
 type Result struct {
 	Holder    string `json:"holder"`
 	Returned  int64  `json:"returned"`
@@ -84,51 +84,51 @@
 	Forfeited int64  `json:"forfeited"`
 }
 
-// Recover shuts a holder out and returns what it left unspent. While evidence is
-// missing it returns ErrIncomplete and changes no account, unless forfeit is set:
-// then what is not proved unspent is forfeited. The caller decides that the
+// Recover fences a holder and returns its unspent tokens to their accounts. While
+// evidence is missing it returns ErrIncomplete and changes no account, unless forfeit
+// is set: then what is not proved unspent is forfeited. The caller decides that the
 // holder is dead; a wrong decision costs the holder a restart, never tokens.
 func (r *Recoverer) Recover(ctx context.Context, holder string, forfeit bool) (Result, error) {
 	if err := r.Fences.Add(ctx, holder); err != nil {
 		return Result{}, err
 	}
-	c, err := r.collect(ctx, holder)
+	evidence, err := r.collect(ctx, holder)
 	if err != nil {
 		return Result{}, err
 	}
-	if c.missing != nil && !forfeit {
-		return Result{}, Error.Wrap(fmt.Errorf("%w: %w", ErrIncomplete, c.missing))
+	if evidence.missing != nil && !forfeit {
+		return Result{}, Error.Wrap(fmt.Errorf("%w: %w", ErrIncomplete, evidence.missing))
 	}
-	res := Result{Holder: holder}
+	result := Result{Holder: holder}
 	for page := range r.Layout.Pages {
-		if err := r.page(ctx, r.Layout.KeyOf(page), c, &res); err != nil {
-			return res, err
+		if err := r.recoverPage(ctx, r.Layout.KeyOf(page), evidence, &result); err != nil {
+			return result, err
 		}
 	}
-	if err := r.settleLots(ctx, c); err != nil {
-		return res, err
+	if err := r.settleLots(ctx, evidence); err != nil {
+		return result, err
 	}
 	for _, vm := range r.Fleet.Agents() {
-		_ = r.Fleet.Forget(ctx, vm, holder) // an agent that missed it only keeps more
+		_ = r.Fleet.Forget(ctx, vm, holder) // on failure the agent only keeps evidence that is not needed
 	}
-	return res, nil
+	return result, nil
 }
 
-// collected is all evidence about one holder.
-type collected struct {
-	holder string
-	uses   map[Use]int64 // key with Used 0
-	lots   map[string][]grant.LotReturn
-	lives  []incarnation.Entry
-	// answered are the agents that shut the holder out.
+// evidenceSet holds all evidence about one holder.
+type evidenceSet struct {
+	holder       string
+	uses         map[Use]int64 // keys have Used 0
+	lots         map[string][]grant.LotReturn
+	incarnations []incarnation.Entry
+	// answered is the set of agents that have fenced the holder.
 	answered map[string]bool
 	missing  error
 }
 
-func (r *Recoverer) collect(ctx context.Context, holder string) (*collected, error) {
-	c := &collected{holder: holder, uses: map[Use]int64{}, lots: map[string][]grant.LotReturn{}, answered: map[string]bool{}}
+func (r *Recoverer) collect(ctx context.Context, holder string) (*evidenceSet, error) {
+	c := &evidenceSet{holder: holder, uses: map[Use]int64{}, lots: map[string][]grant.LotReturn{}, answered: map[string]bool{}}
 	var err error
-	if c.lives, err = r.Lives.All(ctx); err != nil {
+	if c.incarnations, err = r.Lives.All(ctx); err != nil {
 		return nil, err
 	}
 	var mu sync.Mutex
@@ -150,23 +150,23 @@
 		})
 	}
 	wg.Wait()
-	c.requireAll()
+	c.requireRegisteredAgents()
 	return c, nil
 }
 
-// requireAll guards against an agent that started a moment ago and is not in the
-// lagging list yet: it may have read the fences before this one was added. Agents
-// register their life before they read the fences, so one that is not registered by
-// now will read this fence, and one that is must have answered.
-func (c *collected) requireAll() {
-	for _, e := range c.lives {
-		if e.Role == AgentRole && !e.Clean && !e.Gone && !c.answered[e.VM] {
-			c.missing = errors.Join(c.missing, fmt.Errorf("agent %s: no answer", e.VM))
+// requireRegisteredAgents records missing evidence for each registered agent that did not
+// answer. An agent that has just started may not be in the lagging list yet, and may have
+// read the fences before this one was added. Agents register their incarnation before they
+// read the fences, so an agent that is not registered by now will read this fence.
+func (c *evidenceSet) requireRegisteredAgents() {
+	for _, entry := range c.incarnations {
+		if entry.Role == AgentRole && !entry.Clean && !entry.Gone && !c.answered[entry.VM] {
+			c.missing = errors.Join(c.missing, fmt.Errorf("agent %s: no answer", entry.VM))
 		}
 	}
 }
 
-func (c *collected) addPeer(vm string, ev PeerEvidence, err error) {
+func (c *evidenceSet) addPeer(vm string, ev PeerEvidence, err error) {
 	if err != nil {
 		c.missing = errors.Join(c.missing, fmt.Errorf("router %s: %w", vm, err))
 		return
@@ -174,7 +174,7 @@
 	c.lots[vm] = ev.Lots
 }
 
-func (c *collected) addAgent(vm string, ev Evidence, err error) {
+func (c *evidenceSet) addAgent(vm string, ev Evidence, err error) {
 	if err == nil && ev.Running > 0 {
 		err = fmt.Errorf("%d requests still run", ev.Running)
 	}
@@ -190,8 +190,8 @@
 	}
 }
 
-// used sums the evidence about one row beyond its watermark.
-func (c *collected) used(budget string, through int64) int64 {
+// used sums the evidence about one row above its watermark.
+func (c *evidenceSet) used(budget string, through int64) int64 {
 	var n int64
 	for u, tokens := range c.uses {
 		if u.Holder == c.holder && u.Budget == budget && u.Seq > through {
@@ -203,52 +203,52 @@
 
 // complete reports whether the evidence covers everything since the revision at
 // which the oldest unreported reservation was made.
-func (c *collected) complete(since store.Revision) bool {
+func (c *evidenceSet) complete(since store.Revision) bool {
 	if c.missing != nil {
 		return false
 	}
-	for _, e := range c.lives {
-		if e.Role == AgentRole && e.LostSince(since) {
+	for _, entry := range c.incarnations {
+		if entry.Role == AgentRole && entry.LostSince(since) {
 			return false
 		}
 	}
 	return true
 }
 
-// AgentRole is the role under which agents register their lives.
+// AgentRole is the role under which agents register their incarnations.
 const AgentRole = "agent"
 
-func (r *Recoverer) page(ctx context.Context, key string, c *collected, res *Result) error {
-	var part Result // of the last try whose page had rows of the holder
+func (r *Recoverer) recoverPage(ctx context.Context, key string, c *evidenceSet, res *Result) error {
+	var applied Result // of the last attempt that found rows of the holder
 	_, err := store.Update(ctx, r.Store, key, func(old store.Item) ([]byte, error) {
 		p, err := account.Decode(old.Value)
 		if err != nil {
 			return nil, err
 		}
-		var changed Result
+		var attempt Result
 		for budget, a := range p.Accounts {
-			if err := c.recoverRow(budget, a, &changed); err != nil {
+			if err := c.recoverRow(budget, a, &attempt); err != nil {
 				return nil, err
 			}
 		}
-		if changed.Holder == "" {
+		if attempt.Holder == "" {
 			return old.Value, nil
 		}
-		part = changed
+		applied = attempt
 		return p.Encode()
 	})
 	if err != nil {
 		return err
 	}
-	res.Returned += part.Returned
-	res.Used += part.Used
-	res.Forfeited += part.Forfeited
+	res.Returned += applied.Returned
+	res.Used += applied.Used
+	res.Forfeited += applied.Forfeited
 	return nil
 }
 
-// recoverRow ends the holder's row of one account. Without complete evidence the
-// whole rest of the row is forfeited: what a lost agent served of it is unknown.
-func (c *collected) recoverRow(budget string, a *account.Account, res *Result) error {
+// recoverRow closes the holder's row of one account. Without complete evidence the
+// whole balance of the row is forfeited: what a lost agent served of it is unknown.
+func (c *evidenceSet) recoverRow(budget string, a *account.Account, res *Result) error {
 	row := a.Rows[c.holder]
 	if row == nil {
 		return nil
@@ -271,16 +271,16 @@
 	return nil
 }
 
-// settleLots settles the lots that the holder had borrowed. A lot whose evidence
-// is incomplete counts as used whole.
-func (r *Recoverer) settleLots(ctx context.Context, c *collected) error {
+// settleLots settles the lots that the holder had borrowed. A lot with incomplete
+// evidence counts as fully used.
+func (r *Recoverer) settleLots(ctx context.Context, c *evidenceSet) error {
 	for vm, lots := range c.lots {
-		for _, l := range lots {
-			l.Used = c.uses[Use{Holder: l.Lender, Budget: l.Budget, Seq: l.Seq}]
-			if !c.complete(store.Revision(l.Since)) {
-				l.Used = account.MaxTokens
+		for _, lot := range lots {
+			lot.Used = c.uses[Use{Holder: lot.Lender, Budget: lot.Budget, Seq: lot.Seq}]
+			if !c.complete(store.Revision(lot.Since)) {
+				lot.Used = account.MaxTokens
 			}
-			if err := r.Fleet.SettleLot(ctx, vm, l); err != nil {
+			if err := r.Fleet.SettleLot(ctx, vm, lot); err != nil {
 				return err
 			}
 		}
@@ -288,20 +288,19 @@
 	return nil
 }
 
-// Fences is the durable list of holders that are shut out. A process reads it
-// before it serves: an agent that starts after the others were told must refuse
-// the same holders.
+// Fences is the durable list of fenced holders. A process reads it before it serves:
+// an agent that starts after the others were fenced must refuse the same holders.
 type Fences struct {
 	Store store.Store
 	Key   string
 }
 
-// fenceList maps a VM to its newest life that is shut out; all earlier ones are too.
+// fenceList maps a VM to its newest fenced incarnation; all earlier ones are fenced too.
 type fenceList struct {
 	UpTo map[string]int64 `json:"up_to"`
 }
 
-// Add shuts a holder out durably.
+// Add fences a holder durably.
 func (f Fences) Add(ctx context.Context, holder string) error {
 	vm, count, err := incarnation.Parse(holder)
 	if err != nil {
@@ -318,7 +317,7 @@
 	return err
 }
 
-// Load returns, for each VM, its newest life that is shut out.
+// Load returns the newest fenced incarnation of each VM.
 func (f Fences) Load(ctx context.Context) (map[string]int64, error) {
 	item, err := f.Store.Get(ctx, f.Key)
 	if err != nil {
--- a/coord/recovery/recovery_test.go
+++ b/coord/recovery/recovery_test.go
@@ -15,7 +15,7 @@
 
 const budget = "pilots/2026"
 
-// fleet is two routers and two agents in two data centres, with one budget of 1000.
+// fleet has a router and an agent in each of two data centres, and one budget of 1000 tokens.
 type fleet struct {
 	*lab.Fleet
 	t        *testing.T
@@ -49,7 +49,7 @@
 	return n
 }
 
-// begin starts a request of 100 tokens at most.
+// begin starts a request of at most 100 tokens.
 func (f *fleet) begin(n *lab.Node) *lab.Request {
 	f.requests++
 	r, err := n.Serve(f.ctx, string(rune('a'+f.requests)), budget, 100)
@@ -64,7 +64,7 @@
 	return a
 }
 
-// spendAll spends what the node can get and returns how much that was.
+// spendAll spends all tokens that the node can obtain and returns how many these were.
 func (f *fleet) spendAll(n *lab.Node) int64 {
 	before := f.Served(budget)
 	for worst := int64(100); worst > 0; {
@@ -80,10 +80,10 @@
 	return f.Served(budget) - before
 }
 
-// A router dies with one request running and one that ended unreported. Its team
-// then finds the rest of the budget gone, or spends it twice. Cause: only the dead
-// router knew what its grant was used for.
-func TestDeadRouterLeavesExactRest(t *testing.T) {
+// Guards against losing the rest of a budget, or spending it twice, when a router dies with
+// one request running and one that ended unreported: only the dead router had recorded how
+// its grant was used.
+func TestDeadRouterRecoversExactBalance(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		f.begin(f.bergen).Finish(30)
@@ -104,10 +104,10 @@
 	})
 }
 
-// A router is frozen for so long that its VM drops out of the list; its grant goes
-// back and others spend it. Then it wakes and serves from the grant that it still
-// has in memory: the team is served more than it paid for.
-func TestFrozenRouterWakesAfterRecovery(t *testing.T) {
+// Guards against overspending after a router is paused for so long that its VM leaves the
+// list: its grant is recovered and spent by others, then it resumes and serves from the grant
+// that it still has in memory.
+func TestPausedRouterResumesAfterRecovery(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		f.begin(f.bergen).Finish(10)
@@ -118,16 +118,16 @@
 		f.spendAll(f.floro)
 		f.bergen.Frozen = false
 		_, err = f.bergen.Serve(f.ctx, "late", budget, 100)
-		require.Error(t, err, "its tokens belong to others now")
+		require.Error(t, err, "its tokens were granted to others")
 		f.bergen.SyncPage(f.ctx, f.Layout.KeyOf(0))
-		require.True(t, f.bergen.Holder.Fenced(), "it notices that its row is gone")
+		require.True(t, f.bergen.Holder.Fenced(), "its row no longer exists")
 		require.Equal(t, int64(1000), f.Served(budget))
 	})
 }
 
-// A router restarts while requests of its former life still run. Their tokens must
-// not come back before they ended, although the VM is there and healthy.
-func TestNewLifeWhileOldRequestsRun(t *testing.T) {
+// Guards against recovering the tokens of running requests when a router restarts: requests
+// of its previous incarnation still run although the VM is present and healthy.
+func TestRouterRestartWhileOldRequestsRun(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		old := f.bergen
@@ -146,9 +146,9 @@
 	})
 }
 
-// The router of a request and the agent that served it are lost together. Nobody
-// knows what was served, so the rest of the grant is forfeited and shown; spending it
-// again would overspend by what the lost agent had served.
+// Guards against overspending when a router and the agent that served its request are lost
+// together. What was served is unknown, so the rest of the grant is forfeited and reported;
+// granting it again would overspend by what the lost agent had served.
 func TestRouterAndAgentLostTogether(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -161,7 +161,7 @@
 		require.NoError(t, err)
 		res, err := f.Recover(f.ctx, "floro", f.bergen.Holder.ID(), false)
 		require.NoError(t, err)
-		require.Equal(t, holds, res.Forfeited, "its new life knows nothing of the old one's work")
+		require.Equal(t, holds, res.Forfeited, "the agent's new incarnation has no record of what the old one served")
 		require.Equal(t, holds, f.account().Forfeited)
 		f.Now = f.Now.Add(6 * time.Minute)
 		f.spendAll(f.floro)
@@ -171,16 +171,16 @@
 		require.Equal(t, holds-70, given)
 		again, err := f.Book().Release(f.ctx, budget, "ticket-7", holds-70)
 		require.NoError(t, err)
-		require.Equal(t, given, again, "an order counts once")
+		require.Equal(t, given, again, "a repeated order has no effect")
 		f.Now = f.Now.Add(6 * time.Minute)
 		f.spendAll(f.floro)
 		require.Equal(t, int64(1000), f.Served(budget))
 	})
 }
 
-// An agent had a lost life long before the dead router's oldest open reservation.
-// Its loss says nothing about that router, so nothing is forfeited.
-func TestOldAgentLossCostsNothing(t *testing.T) {
+// Guards against a needless forfeit: an agent's incarnation was lost long before the dead
+// router's oldest open reservation, so it served none of that router's unreported requests.
+func TestOldAgentLossForfeitsNothing(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		f.agents[0].Dead = true
@@ -189,7 +189,7 @@
 		f.Now = f.Now.Add(6 * time.Minute)
 		f.begin(f.bergen).Finish(1)
 		f.Now = f.Now.Add(6 * time.Minute)
-		f.bergen.Sync(f.ctx) // reports, and learns a revision after the loss
+		f.bergen.Sync(f.ctx) // reports, and reads a revision after the loss
 		f.begin(f.bergen).Finish(1)
 		f.Now = f.Now.Add(6 * time.Minute)
 		f.bergen.Sync(f.ctx) // reports with that revision
@@ -202,9 +202,9 @@
 	})
 }
 
-// An agent starts while a recovery runs: it read the fences before this one was
-// written, and the platform's list does not show it yet. If it is not asked, a
-// frozen router can wake and be served there with recovered tokens.
+// Guards against an agent that starts during a recovery: it read the fences before this one
+// was written, and the platform's list does not show it yet. If it is not fenced, a paused
+// router can resume and be served there with recovered tokens.
 func TestAgentStartedDuringRecoveryMustAnswer(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		f := newFleet(t)
@@ -220,13 +220,13 @@
 	})
 }
 
-// A router borrows a lot from a peer and dies. The lender must get back what the
-// lot was not used for, no more: the rest was served.
+// Guards against a lender that gets back more or less than the unused part of a lot when
+// the borrowing router dies.
 func TestDeadBorrowerReturnsLot(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		f.spendAllOwn(f.bergen)
-		f.Cut("bergen", "floro") // no store: only peers are left
+		f.Cut("bergen", "floro") // the store is unreachable, so only peers can lend
 		r := f.begin(f.bergen)
 		require.Equal(t, f.floro.Holder.ID(), r.Res.Parts[0].Holder, "served from a lot")
 		r.Finish(40)
