--- a/coord/witness/witness.go
+++ b/coord/witness/witness.go
@@ -1,4 +1,4 @@
-// Package witness remembers, beside an upstream, what was served of whose tokens.
+// Package witness records at an agent which reservations its upstream served and what they used.
 package witness
 
 import (
@@ -15,18 +15,18 @@
 var Error = errs.Class("witness")
 
 var (
-	// ErrFenced says that the spender, or a holder whose tokens are used, was
-	// shut out: its tokens were recovered, or will be.
+	// ErrFenced is returned when the spender, or a holder whose tokens are used, is
+	// fenced: its tokens were recovered, or will be.
 	ErrFenced = errs.New("holder is fenced")
-	// ErrRunning says that a run with the same id has not ended.
+	// ErrRunning is returned when a run with the same ID has not ended.
 	ErrRunning = errs.New("request is running")
-	// ErrCancelled says that the router has given the reservation up.
-	ErrCancelled = errs.New("reservation was given up")
-	// ErrFull says that too many outcomes are not reported yet.
+	// ErrCancelled is returned when the router has cancelled the reservation.
+	ErrCancelled = errs.New("reservation was cancelled")
+	// ErrFull is returned when too many runs have outcomes that are not reported yet.
 	ErrFull = errs.New("too many outcomes are not reported")
 )
 
-// FencedError is an ErrFenced that names the holder.
+// FencedError is an ErrFenced with the name of the holder.
 type FencedError struct{ Holder string }
 
 // Error implements error.
@@ -37,76 +37,76 @@
 
 // Run is one run of a request.
 type Run struct {
-	// ID is the request's identity.
+	// ID is the request ID.
 	ID string
 	// Spender is the router's incarnation.
 	Spender     string
 	Reservation grant.Reservation
 }
 
-// Witness remembers what each reservation used at this upstream, until the
+// Witness records what each reservation used at this upstream, until the
 // holder of the tokens has reported it durably. Tokens are served only through
-// agents, so together their witnesses are the whole evidence for a dead holder.
+// agents, so together their witnesses hold all evidence about a dead holder.
 //
-// It is also the fence: a holder that was thought dead and wakes up is refused
-// here, whatever it believes.
+// It also enforces fences: a holder that was presumed dead and resumes is refused
+// here, whatever its own state.
 type Witness struct {
-	limit int
-
-	mu      sync.Mutex
-	records map[string]*record   // by request id, the newest run
-	rows    map[row]*rowEvidence // by the source of the tokens
-	count   int                  // runs whose evidence is kept
-	fenced  map[string]bool
-	cancels map[cancelled]struct{}
-	// cancelOrder lists the cancels, the oldest first.
-	cancelOrder []cancelled
-	upTo        map[string]int64 // by VM, its newest life that is shut out
+	maxRuns int
+
+	mu       sync.Mutex
+	records  map[string]*record   // by request ID, the newest run
+	rows     map[row]*rowEvidence // by the row that holds the tokens
+	keptRuns int                  // runs whose evidence is kept
+	fenced   map[string]bool
+	cancels  map[cancelKey]struct{}
+	// cancelOrder lists the keys of cancels, oldest first.
+	cancelOrder []cancelKey
+	fencedUpTo  map[string]int64 // by VM, its newest fenced incarnation
 }
 
-// row is one holder's row of one budget.
+// row identifies one holder's row of one budget.
 type row struct{ holder, budget string }
 
-// rowEvidence is what a row's reservations used here.
+// rowEvidence holds what a row's reservations used here.
 type rowEvidence struct {
-	trimmed int64
-	bySeq   map[int64]*uses
+	trimmedThrough int64
+	bySeq          map[int64]*usage
 }
 
-// uses is what one reservation used here.
-type uses struct {
+// usage holds what one reservation used here.
+type usage struct {
 	spender string
 	running int
 	used    int64
 	runs    []*record
 }
 
-// record is a run and what became of it.
+// record is a run and its state.
 type record struct {
 	run  Run
 	done bool
-	left int // parts whose evidence is still kept
+	refs int // number of parts whose evidence is still kept
 }
 
-// New returns an empty witness of up to limit runs.
+// New returns an empty witness for up to limit runs.
 func New(limit int) *Witness {
-	return &Witness{limit: limit, records: map[string]*record{}, rows: map[row]*rowEvidence{},
-		fenced: map[string]bool{}, cancels: map[cancelled]struct{}{}, upTo: map[string]int64{}}
+	return &Witness{maxRuns: limit, records: map[string]*record{}, rows: map[row]*rowEvidence{},
+		fenced: map[string]bool{}, cancels: map[cancelKey]struct{}{}, fencedUpTo: map[string]int64{}}
 }
 
-// Begin notes that a request starts. It refuses a fenced source, an id that is
-// known here, and work for which there is no room.
+// Begin records the start of a run. Its errors are FencedError, ErrCancelled, ErrRunning and
+// ErrFull.
 func (w *Witness) Begin(run Run) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.refuseLocked(run); err != nil {
+	if err := w.checkLocked(run); err != nil {
 		return err
 	}
-	rec := &record{run: run, left: len(run.Reservation.Parts)}
+	rec := &record{run: run, refs: len(run.Reservation.Parts)}
 	w.records[run.ID] = rec
-	w.count++
+	w.keptRuns++
 	for _, p := range run.Reservation.Parts {
-		u := w.usesLocked(row{p.Holder, run.Reservation.Budget}, p.Seq)
+		u := w.ensureUsageLocked(row{p.Holder, run.Reservation.Budget}, p.Seq)
 		u.spender = run.Spender
 		u.running++
 		u.runs = append(u.runs, rec)
@@ -114,51 +114,51 @@
 	return nil
 }
 
-func (w *Witness) refuseLocked(run Run) error {
+func (w *Witness) checkLocked(run Run) error {
 	holders := []string{run.Spender}
 	for _, p := range run.Reservation.Parts {
 		holders = append(holders, p.Holder)
 	}
-	if i := slices.IndexFunc(holders, w.shutOutLocked); i >= 0 {
+	if i := slices.IndexFunc(holders, w.fencedLocked); i >= 0 {
 		return &FencedError{Holder: holders[i]}
 	}
 	for _, p := range run.Reservation.Parts {
-		if _, gone := w.cancels[cancelled{row{p.Holder, run.Reservation.Budget}, p.Seq}]; gone {
+		if _, isCancelled := w.cancels[cancelKey{row{p.Holder, run.Reservation.Budget}, p.Seq}]; isCancelled {
 			return Error.Wrap(ErrCancelled)
 		}
 	}
 	switch rec := w.records[run.ID]; {
 	case rec != nil && !rec.done:
 		return Error.Wrap(ErrRunning)
-	case w.count >= w.limit:
+	case w.keptRuns >= w.maxRuns:
 		return Error.Wrap(ErrFull)
 	}
 	return nil
 }
 
-func (w *Witness) shutOutLocked(holder string) bool {
+func (w *Witness) fencedLocked(holder string) bool {
 	if w.fenced[holder] {
 		return true
 	}
 	vm, count, err := incarnation.Parse(holder)
-	return err != nil || count <= w.upTo[vm]
+	return err != nil || count <= w.fencedUpTo[vm]
 }
 
-func (w *Witness) usesLocked(r row, seq int64) *uses {
+func (w *Witness) ensureUsageLocked(r row, seq int64) *usage {
 	ev := w.rows[r]
 	if ev == nil {
-		ev = &rowEvidence{bySeq: map[int64]*uses{}}
+		ev = &rowEvidence{bySeq: map[int64]*usage{}}
 		w.rows[r] = ev
 	}
 	u := ev.bySeq[seq]
 	if u == nil {
-		u = &uses{}
+		u = &usage{}
 		ev.bySeq[seq] = u
 	}
 	return u
 }
 
-// End notes what the request used.
+// End records what the request used.
 func (w *Witness) End(id string, used int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -167,18 +167,18 @@
 		return
 	}
 	rec.done = true
-	if rec.left == 0 { // it cost nothing, so nobody reports it
+	if rec.refs == 0 { // it used no tokens, so no holder reports it
 		w.forgetLocked(rec)
 	}
 	r := rec.run.Reservation
 	for _, p := range r.Split(used) {
-		u := w.usesLocked(row{p.Holder, r.Budget}, p.Seq)
+		u := w.ensureUsageLocked(row{p.Holder, r.Budget}, p.Seq)
 		u.running--
 		u.used += p.Tokens
 	}
 }
 
-// Trim forgets the evidence that holders have reported durably, given their
+// Trim discards the evidence that holders have reported durably, up to their
 // watermarks of a budget.
 func (w *Witness) Trim(budget string, watermarks map[string]int64) {
 	w.mu.Lock()
@@ -186,10 +186,10 @@
 	for holder, through := range watermarks {
 		r := row{holder, budget}
 		ev := w.rows[r]
-		if ev == nil || ev.trimmed >= through {
+		if ev == nil || ev.trimmedThrough >= through {
 			continue
 		}
-		ev.trimmed = through
+		ev.trimmedThrough = through
 		for seq, u := range ev.bySeq {
 			if seq <= through && u.running == 0 {
 				w.dropLocked(r, ev, seq, u)
@@ -198,35 +198,34 @@
 	}
 }
 
-// dropLocked forgets one reservation, and the runs that no other part keeps.
-func (w *Witness) dropLocked(r row, ev *rowEvidence, seq int64, u *uses) {
+// dropLocked discards one reservation, and the runs that no other part refers to.
+func (w *Witness) dropLocked(r row, ev *rowEvidence, seq int64, u *usage) {
 	delete(ev.bySeq, seq)
 	if len(ev.bySeq) == 0 {
 		delete(w.rows, r)
 	}
 	for _, rec := range u.runs {
-		if rec.left--; rec.left == 0 {
+		if rec.refs--; rec.refs == 0 {
 			w.forgetLocked(rec)
 		}
 	}
 }
 
 func (w *Witness) forgetLocked(rec *record) {
-	w.count--
+	w.keptRuns--
 	if w.records[rec.run.ID] == rec {
 		delete(w.records, rec.run.ID)
 	}
 }
 
-// Resolve returns what became of a reservation here. When it is not known, its run has
-// not begun, and never will: the run may still wait in a queue or on a connection that
-// its router has given up, and the router, told that nothing ran, spends the tokens
-// again.
+// Resolve returns the state of a reservation here. An unknown reservation has not begun and is
+// cancelled: its run may still wait in a queue or on a connection that its router has given up,
+// and the router, which gets the reply that nothing ran, spends the tokens again.
 func (w *Witness) Resolve(r grant.Reservation) (used int64, running, known bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, p := range r.Parts {
-		u := w.findLocked(row{p.Holder, r.Budget}, p.Seq)
+		u := w.findUsageLocked(row{p.Holder, r.Budget}, p.Seq)
 		if u == nil {
 			w.cancelLocked(row{p.Holder, r.Budget}, p.Seq)
 			continue
@@ -238,29 +237,29 @@
 	return used, running, known
 }
 
-func (w *Witness) findLocked(r row, seq int64) *uses {
+func (w *Witness) findUsageLocked(r row, seq int64) *usage {
 	if ev := w.rows[r]; ev != nil {
 		return ev.bySeq[seq]
 	}
 	return nil
 }
 
-// cancelled is one reservation that was given up.
-type cancelled struct {
+// cancelKey identifies a cancelled reservation.
+type cancelKey struct {
 	row
 	seq int64
 }
 
-// cancelLocked refuses a reservation from now on. The oldest cancellations are
-// forgotten beyond the limit; by then their runs have passed their deadlines.
+// cancelLocked refuses a reservation from now on. Beyond the limit the oldest
+// cancellations are discarded; by then their runs have passed their deadlines.
 func (w *Witness) cancelLocked(r row, seq int64) {
-	c := cancelled{r, seq}
+	c := cancelKey{r, seq}
 	if _, ok := w.cancels[c]; ok {
 		return
 	}
 	w.cancels[c] = struct{}{}
 	w.cancelOrder = append(w.cancelOrder, c)
-	if len(w.cancelOrder) > w.limit {
+	if len(w.cancelOrder) > w.maxRuns {
 		delete(w.cancels, w.cancelOrder[0])
 		w.cancelOrder = w.cancelOrder[1:]
 	}
@@ -272,26 +271,26 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.fenced[holder] = true
-	var out recovery.Evidence
+	var evidence recovery.Evidence
 	for r, ev := range w.rows {
 		for seq, u := range ev.bySeq {
 			if r.holder != holder && u.spender != holder {
 				continue
 			}
-			out.Running += u.running
-			out.Uses = append(out.Uses, recovery.Use{Holder: r.holder, Budget: r.budget, Seq: seq, Used: u.used})
+			evidence.Running += u.running
+			evidence.Uses = append(evidence.Uses, recovery.Use{Holder: r.holder, Budget: r.budget, Seq: seq, Used: u.used})
 		}
 	}
-	return out
+	return evidence
 }
 
 // Restore sets the fences that were in force before this process started: for each
-// VM its newest life that is shut out.
+// VM its newest fenced incarnation.
 func (w *Witness) Restore(upTo map[string]int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for vm, count := range upTo {
-		w.upTo[vm] = max(w.upTo[vm], count)
+		w.fencedUpTo[vm] = max(w.fencedUpTo[vm], count)
 	}
 }
 
@@ -320,18 +319,18 @@
 	return out
 }
 
-// State is a witness as dumps show it.
+// State is a summary of a witness for debug dumps.
 type State struct {
 	Runs   int      `json:"runs"`
 	Rows   int      `json:"rows"`
 	Fenced []string `json:"fenced"`
 }
 
-// State returns the witness's counts.
+// State returns the witness's counts and fenced holders.
 func (w *Witness) State() State {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	s := State{Runs: w.count, Rows: len(w.rows)}
+	s := State{Runs: w.keptRuns, Rows: len(w.rows)}
 	for h := range w.fenced {
 		s.Fenced = append(s.Fenced, h)
 	}
--- a/coord/witness/witness_test.go
+++ b/coord/witness/witness_test.go
@@ -13,9 +13,9 @@
 	return grant.Reservation{Budget: "b", Parts: parts}
 }
 
-// A holder that was shut out wakes and sends work; a peer sends work on one of its
-// lots; a new life of it sends its own. Only the last may be served.
-func TestFenceShutsOutOneLife(t *testing.T) {
+// Guards against serving fenced tokens: a fenced holder resumes and sends work, and a peer
+// sends work on one of its lots. Work of the holder's next incarnation must be served.
+func TestFenceBlocksOneIncarnation(t *testing.T) {
 	w := witness.New(10)
 	w.Fence("r#1")
 	own := reservation(grant.Part{Holder: "r#1", Seq: 1, Tokens: 5})
@@ -29,8 +29,8 @@
 	require.NoError(t, fresh.Begin(witness.Run{ID: "c", Spender: "r#2", Reservation: next}))
 }
 
-// Evidence is forgotten only up to what the holder has reported durably. Forgetting
-// more would let recovery return tokens that were served.
+// Guards against recovery returning tokens that were served: evidence may be discarded only
+// up to what the holder has reported durably.
 func TestEvidenceIsKeptUntilReported(t *testing.T) {
 	w := witness.New(10)
 	for seq := int64(1); seq <= 3; seq++ {
@@ -48,10 +48,10 @@
 	require.Zero(t, w.State().Rows)
 }
 
-// A request waits in the agent's queue when its connection breaks. The router asks what
-// became of it, hears that it is not known here, and gives the tokens to others. If the
-// request left the queue afterwards it would be served with tokens spent elsewhere.
-func TestGivenUpRequestNeverBegins(t *testing.T) {
+// Guards against serving a request with tokens that are spent elsewhere: its connection breaks
+// while it waits in the agent's queue, the router queries it, gets the reply that it is
+// unknown here, and reuses the tokens. The request must not begin afterwards.
+func TestCancelledRequestNeverBegins(t *testing.T) {
 	w := witness.New(10)
 	r := reservation(grant.Part{Holder: "r#1", Seq: 7, Tokens: 10})
 	_, _, known := w.Resolve(r)
@@ -67,8 +67,8 @@
 	require.False(t, running)
 }
 
-// The same request runs twice here, and its outcomes wait to be reported. The bound on
-// what is kept must refuse new work rather than forget.
+// Guards against lost evidence: when the same request has run twice and its outcomes are not
+// reported yet, the bound must refuse new work rather than discard evidence.
 func TestBoundRefusesWork(t *testing.T) {
 	w := witness.New(2)
 	run := witness.Run{ID: "a", Spender: "r#1", Reservation: reservation(grant.Part{Holder: "r#1", Seq: 1, Tokens: 10})}
@@ -85,5 +85,5 @@
 	w.Trim("b", map[string]int64{"r#1": 2})
 	require.NoError(t, w.Begin(witness.Run{ID: "free", Spender: "q#1"}))
 	w.End("free", 0)
-	require.Zero(t, w.State().Runs, "what costs nothing is not reported, so it must not stay")
+	require.Zero(t, w.State().Runs, "a run that uses no tokens is never reported, so it must not be kept")
 }
