--- a/coord/account/account.go
+++ b/coord/account/account.go
@@ -1,10 +1,10 @@
-// Package account holds the durable state of prepaid budgets: what was credited,
-// what is granted to which holder, and what was settled.
+// Package account holds the durable state of prepaid budgets: the credits, the
+// grants to each holder, and the settled use.
 //
 // Accounts share pages, the unit of compare-and-swap in the store. All
-// operations are pure changes of a page in memory; a caller applies them with
+// operations change only a page in memory; a caller applies them with
 // store.Update. Each holder writes only its own row, with totals that only
-// grow, so writing the same row again after a lost answer changes nothing.
+// grow, so rewriting a row after a lost response changes nothing.
 package account
 
 import (
@@ -19,72 +19,72 @@
 var Error = errs.Class("account")
 
 var (
-	// ErrNoAccount says that the page has no such budget.
+	// ErrNoAccount is returned when the page has no such budget.
 	ErrNoAccount = errs.New("no such budget")
-	// ErrExists says that the budget exists with another owner.
+	// ErrExists is returned when the budget exists and belongs to another team.
 	ErrExists = errs.New("budget exists for another team")
-	// ErrCreditDiffers says that the id of a top-up was used with another amount.
+	// ErrCreditDiffers is returned when a top-up ID was used with another amount.
 	ErrCreditDiffers = errs.New("top-up id was used with another amount")
-	// ErrBroken says that a page breaks the invariant; it is never written
-	// and never spent from.
-	ErrBroken = errs.New("invariant broken")
-	// ErrNoRow says that the holder has no row.
+	// ErrBroken is returned for a page that violates the invariant. Such a page
+	// is never written and never spent from.
+	ErrBroken = errs.New("account invariant violated")
+	// ErrNoRow is returned when the holder has no row.
 	ErrNoRow = errs.New("holder has no row")
-	// ErrBackwards says that a report would lower a total that only grows.
-	ErrBackwards = errs.New("report goes backwards")
-	// ErrBadAmount says that an amount is not positive or too large.
+	// ErrBackwards is returned for a report that would lower a total that only grows.
+	ErrBackwards = errs.New("report lowers a total")
+	// ErrBadAmount is returned when an amount is not positive or too large.
 	ErrBadAmount = errs.New("amount must be positive and below 2^53")
 )
 
-// MaxTokens bounds every amount, so that totals fit JSON numbers exactly.
+// MaxTokens bounds every amount, so that JSON numbers represent totals exactly.
 const MaxTokens = int64(1) << 53
 
-// Row is what one holder (one incarnation of a process) has of a budget. All
-// amounts are tokens and totals since the row was made.
+// Row is the share of a budget that one holder (one incarnation of a process)
+// has. All amounts are tokens and totals since the row was created.
 type Row struct {
-	// Granted is what the account handed to the holder.
+	// Granted is what the account granted to the holder.
 	Granted int64 `json:"g"`
-	// Returned is what the holder gave back unspent.
+	// Returned is what the holder returned unspent.
 	Returned int64 `json:"r,omitempty"`
-	// Settled is what reservations numbered up to Through used.
+	// Settled is what the reservations numbered up to Through used.
 	Settled int64 `json:"s,omitempty"`
-	// Through is the watermark of settled reservations: every one numbered
-	// up to it is in Settled, none above it is.
+	// Through is the watermark of settled reservations: Settled includes every
+	// one numbered up to it and none above it.
 	Through int64 `json:"t,omitempty"`
 	// Since is a store revision from before the oldest reservation above
-	// Through was made: evidence from earlier times is not needed.
+	// Through was made: earlier evidence is not needed.
 	Since int64 `json:"v,omitempty"`
-	// Demand is the holder's recent use in tokens a second.
+	// Demand is the holder's recent use in tokens per second.
 	Demand float64 `json:"d,omitempty"`
 }
 
-// Balance is what the holder may still spend, by the row.
+// Balance is what the holder may still spend according to the row.
 func (r *Row) Balance() int64 { return r.Granted - r.Returned - r.Settled }
 
 // Account is one prepaid budget.
 type Account struct {
 	Team string `json:"team"`
-	// Credits maps the id of each top-up to its tokens; a repeated id counts once.
+	// Credits maps the ID of each top-up to its tokens; a repeated ID counts once.
 	Credits map[string]int64 `json:"credits,omitempty"`
-	// Prepaid is the part of the credit that the operators' configuration gives,
-	// and Version the configuration that last changed it.
+	// Prepaid is the part of the credit that the operators' configuration sets,
+	// and Version the configuration version that last changed it.
 	Prepaid int64 `json:"prepaid,omitempty"`
 	Version int64 `json:"version,omitempty"`
 	// Folded is the settled total of rows that were removed.
 	Folded int64 `json:"folded,omitempty"`
 	// Forfeited is what recovery could not prove unspent; it is never granted.
 	Forfeited int64 `json:"forfeited,omitempty"`
-	// Released maps the id of each operator's order to the forfeited tokens
-	// that it gave back.
+	// Released maps the ID of each operator's release order to the forfeited
+	// tokens that it released.
 	Released map[string]int64 `json:"released,omitempty"`
 	// Rows maps a holder to its row.
 	Rows map[string]*Row `json:"rows,omitempty"`
 }
 
-// Credit is the sum of all top-ups and of what the configuration gives.
+// Credit is the sum of all top-ups and the prepaid part.
 func (a *Account) Credit() int64 { return sum(a.Credits) + a.Prepaid }
 
-// Settled is what was used, as far as holders reported it.
+// Settled is the use that holders have reported.
 func (a *Account) Settled() int64 {
 	n := a.Folded
 	for _, r := range a.Rows {
@@ -107,7 +107,7 @@
 	return a.Credit() - a.Settled() - a.Outstanding() - a.Forfeited
 }
 
-// Unspent is what is left of the budget, wherever it lies, without forfeits.
+// Unspent is what is left of the budget, free or outstanding, without forfeits.
 func (a *Account) Unspent() int64 { return a.Credit() - a.Settled() - a.Forfeited }
 
 // Check verifies the invariant: settled + outstanding + forfeited <= credits,
@@ -125,10 +125,11 @@
 	return nil
 }
 
-// TopUp credits n tokens once for each id. It reports whether the credit is new.
+// TopUp credits n tokens once for each ID and reports whether the credit is new. Its
+// errors are ErrCreditDiffers and ErrBadAmount.
 func (a *Account) TopUp(id string, n int64) (bool, error) {
-	if have, ok := a.Credits[id]; ok {
-		if have != n {
+	if credited, ok := a.Credits[id]; ok {
+		if credited != n {
 			return false, Error.Wrap(ErrCreditDiffers)
 		}
 		return false, nil
@@ -143,15 +144,15 @@
 	return true, nil
 }
 
-// SetPrepaid makes n tokens the configuration's part of the credit, and reports whether
-// that changed anything. A configuration older than the one that last changed it has no
-// effect: its reader is late, and would undo what operators decided since. A limit that
-// is lowered takes back what is free, never what holders may already be spending.
+// SetPrepaid sets the configuration's part of the credit to n tokens and reports whether
+// that changed it. A version older than the one that last changed it has no effect: a
+// process with a stale configuration would otherwise revert later decisions of operators.
+// Lowering it takes back only free tokens, never those that holders may be spending.
 func (a *Account) SetPrepaid(version, n int64) bool {
 	if version <= a.Version || n < 0 || n > MaxTokens {
 		return false
 	}
-	a.Version = version // goes along with the next write; alone it is not worth one
+	a.Version = version // stored with the next change; does not cause a write by itself
 	if n == a.Prepaid {
 		return false
 	}
@@ -159,35 +160,36 @@
 	return true
 }
 
-// Grant hands up to n free tokens to the holder and returns how many.
+// Grant grants up to n free tokens to the holder and returns how many.
 func (a *Account) Grant(holder string, n int64) int64 {
 	n = min(n, a.Free())
 	if n <= 0 {
 		return 0
 	}
-	a.row(holder).Granted += n
+	a.ensureRow(holder).Granted += n
 	return n
 }
 
-// Report merges a holder's own totals into its row.
+// Report writes a holder's own totals into its row. Its errors are ErrNoRow,
+// ErrBackwards and ErrBroken.
 func (a *Account) Report(holder string, r Row) error {
-	have := a.Rows[holder]
-	if have == nil {
+	row := a.Rows[holder]
+	if row == nil {
 		return Error.Wrap(ErrNoRow)
 	}
-	if r.Settled < have.Settled || r.Through < have.Through || r.Returned < have.Returned {
+	if r.Settled < row.Settled || r.Through < row.Through || r.Returned < row.Returned {
 		return Error.Wrap(ErrBackwards)
 	}
-	have.Settled, have.Through, have.Returned = r.Settled, r.Through, r.Returned
-	have.Since, have.Demand = r.Since, r.Demand
-	if have.Balance() < 0 {
+	row.Settled, row.Through, row.Returned = r.Settled, r.Through, r.Returned
+	row.Since, row.Demand = r.Since, r.Demand
+	if row.Balance() < 0 {
 		return Error.Wrap(ErrBroken)
 	}
 	return nil
 }
 
-// Fold removes the row of a holder that has nothing left and keeps its settled
-// total. It reports whether it did.
+// Fold removes the row of a holder with a zero balance and adds its settled
+// total to Folded. It reports whether it removed the row.
 func (a *Account) Fold(holder string) bool {
 	r := a.Rows[holder]
 	if r == nil || r.Balance() != 0 {
@@ -198,9 +200,9 @@
 	return true
 }
 
-// Recover ends a dead holder's row. Used is what the evidence shows beyond the
+// Recover removes a dead holder's row. Used is what the evidence shows beyond the
 // row's Settled (reservations above Through), and forfeit is what could not be
-// proved unspent. The rest becomes free again; it is returned.
+// proved unspent. The rest becomes free again; its amount is returned.
 func (a *Account) Recover(holder string, used, forfeit int64) (int64, error) {
 	r := a.Rows[holder]
 	if r == nil {
@@ -218,11 +220,11 @@
 	return rest, nil
 }
 
-// Release gives up to n forfeited tokens back on an operator's order, once for
-// each id, and returns how many the order gave back.
+// Release frees up to n forfeited tokens on an operator's order, once for each ID,
+// and returns how many that order freed.
 func (a *Account) Release(id string, n int64) (int64, error) {
-	if done, ok := a.Released[id]; ok {
-		return done, nil
+	if released, ok := a.Released[id]; ok {
+		return released, nil
 	}
 	if n <= 0 {
 		return 0, Error.Wrap(ErrBadAmount)
@@ -239,7 +241,7 @@
 // Holders lists the holders with rows, sorted.
 func (a *Account) Holders() []string { return slices.Sorted(maps.Keys(a.Rows)) }
 
-func (a *Account) row(holder string) *Row {
+func (a *Account) ensureRow(holder string) *Row {
 	if a.Rows == nil {
 		a.Rows = map[string]*Row{}
 	}
@@ -262,6 +264,6 @@
 	return n
 }
 
-// Join makes an empty row for the holder, so that its demand counts before it
+// Join creates an empty row for the holder, so that its demand counts before it
 // has tokens.
-func (a *Account) Join(holder string) { a.row(holder) }
+func (a *Account) Join(holder string) { a.ensureRow(holder) }
--- a/coord/account/account_test.go
+++ b/coord/account/account_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// Any order of operations, repeats included, keeps settled + outstanding + forfeited
-// within the credits, and no token appears or disappears.
+// Guards against overspending and lost tokens: any order of operations, repeats included,
+// keeps settled + outstanding + forfeited within the credits.
 func TestInvariantUnderAnyOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := &account.Account{Team: "pilots"}
@@ -54,9 +54,9 @@
 	_ = a.Report(h, next)
 }
 
-// A late report of a holder arrives after a newer one. It must not lower what is
-// settled: the difference would be granted and spent again.
-func TestReportNeverGoesBack(t *testing.T) {
+// Guards against granting and spending tokens twice: a holder's late report arrives after
+// a newer one and would lower what is settled.
+func TestLateReportIsRejected(t *testing.T) {
 	a := &account.Account{}
 	_, err := a.TopUp("x", 100)
 	require.NoError(t, err)
@@ -66,18 +66,18 @@
 	require.Error(t, a.Report("r#1", account.Row{Settled: 101, Through: 9}))
 }
 
-// A page in the store breaks the invariant, by a fault or by hand. It must be
-// refused on reading: granting from it could overspend.
-func TestBrokenPageIsRefused(t *testing.T) {
+// Guards against overspending from a page in the store that violates the invariant after
+// a fault or a manual edit: it must be rejected when it is read.
+func TestInvalidPageIsRejected(t *testing.T) {
 	_, err := account.Decode([]byte(`{"accounts":{"b":{"team":"t","credits":{"x":10},"rows":{"r#1":{"g":11}}}}}`))
 	require.ErrorIs(t, err, account.ErrBroken)
 	require.ErrorContains(t, err, `"b"`)
 }
 
-// Budgets are created until their page nears the store's megabyte. New ones must be
-// refused while the old ones still have room: a page that cannot be written any
-// more would stop every team on it.
-func TestPageNearTheMegabyte(t *testing.T) {
+// Guards against a page that can no longer be written and stops every team on it: budgets
+// are created until their page nears the store's limit of a megabyte. New ones must be
+// refused while the existing ones still have space.
+func TestPageNearStoreLimit(t *testing.T) {
 	ctx := t.Context()
 	book := account.Book{Store: memstore.New(), Layout: account.Layout{Prefix: "p/", Pages: 1}}
 	id := func(i int) string { return fmt.Sprintf("team/%0200d", i) }
@@ -91,7 +91,7 @@
 	_, err = book.Store.CompareAndSwap(ctx, book.Layout.KeyOf(0), 0, value, 0)
 	require.NoError(t, err)
 	require.ErrorIs(t, book.Create(ctx, "team/new", "team"), account.ErrPageFull)
-	require.NoError(t, book.Create(ctx, id(7), "team"), "one that is there already")
+	require.NoError(t, book.Create(ctx, id(7), "team"), "the budget exists already")
 	require.NoError(t, book.TopUp(ctx, id(0), "second", 1000))
 	for h := range 33 {
 		err := book.Update(ctx, id(0), func(a *account.Account) error {
--- a/coord/account/page.go
+++ b/coord/account/page.go
@@ -10,29 +10,29 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrPageFull says that a new budget would bring its page near the store's
-// value limit.
+// ErrPageFull is returned when a new budget would bring its page near the
+// store's value limit.
 var ErrPageFull = errs.New("page is full; raise the number of pages for a new fleet")
 
-// Page sizes. A page that is near the megabyte takes no new budgets, because
-// the rows of those that it has still need room: without that a grant or a
-// settlement of an old budget would fail, which shows as refusals of teams that
-// did nothing. Between the marks lies room for the rows of a page's busy budgets.
+// Page sizes. A page near the store's limit of a megabyte accepts no new budgets:
+// the rows of its existing budgets need the space between the two limits. Without
+// it a grant or a settlement of an existing budget would fail, and its team would
+// be refused although it did not change anything.
 const (
-	// PageFullBytes is the size from which a page takes no new budget.
+	// PageFullBytes is the size above which a page accepts no new budget.
 	PageFullBytes = store.MaxValueBytes / 2
 )
 
-// Page is the set of accounts that share one value of the store.
+// Page is the set of accounts that share one value in the store.
 type Page struct {
 	Accounts map[string]*Account `json:"accounts"`
 }
 
-// Layout tells which page a budget is in. It is fixed for the life of a fleet.
+// Layout maps budgets to pages. It is fixed for the lifetime of a fleet.
 type Layout struct {
 	// Prefix is the key prefix of all pages.
 	Prefix string
-	// Pages is their number.
+	// Pages is the number of pages.
 	Pages int
 }
 
@@ -44,8 +44,8 @@
 // KeyOf returns the store key of the numbered page.
 func (l Layout) KeyOf(page int) string { return fmt.Sprintf("%s%05d", l.Prefix, page) }
 
-// Decode reads a page and refuses one that breaks the invariant. A nil value
-// is an empty page.
+// Decode decodes a page and rejects one that violates the invariant. An empty
+// value is an empty page.
 func Decode(value []byte) (*Page, error) {
 	p := &Page{}
 	if len(value) > 0 {
@@ -59,8 +59,8 @@
 	return p, p.check()
 }
 
-// Encode writes a page; it refuses one that breaks the invariant. The bytes
-// are the same for equal pages.
+// Encode encodes the page and rejects one that violates the invariant. Equal
+// pages have equal encodings.
 func (p *Page) Encode() ([]byte, error) {
 	if err := p.check(); err != nil {
 		return nil, err
@@ -72,7 +72,7 @@
 func (p *Page) check() error {
 	for id, a := range p.Accounts {
 		if a == nil {
-			return Error.New("budget %q: empty account", id)
+			return Error.New("budget %q: account is null", id)
 		}
 		if err := a.Check(); err != nil {
 			return Error.New("budget %q: %w", id, err)
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// Get returns the budget's account.
+// Get returns the budget's account, or ErrNoAccount.
 func (p *Page) Get(budget string) (*Account, error) {
 	a := p.Accounts[budget]
 	if a == nil {
@@ -114,8 +114,8 @@
 	return p.Get(budget)
 }
 
-// Update applies change to the budget's account until it is durable. Change
-// must be idempotent.
+// Update applies change to the budget's account, again after a conflicting write,
+// until the result is durable. Change must be idempotent.
 func (b Book) Update(ctx context.Context, budget string, change func(*Account) error) error {
 	return b.updatePage(ctx, budget, func(p *Page, _ int) error {
 		a, err := p.Get(budget)
@@ -126,7 +126,8 @@
 	})
 }
 
-// Create makes an empty budget for a team. Making it again is no error.
+// Create creates an empty budget for a team. It does nothing if the team's budget
+// exists. Its errors include ErrExists and ErrPageFull.
 func (b Book) Create(ctx context.Context, budget, team string) error {
 	return b.updatePage(ctx, budget, func(p *Page, size int) error {
 		if a := p.Accounts[budget]; a != nil {
@@ -143,7 +144,7 @@
 	})
 }
 
-// TopUp credits the budget, once for each id; when it returns nil the credit is
+// TopUp credits the budget once for each ID. When it returns nil the credit is
 // durable.
 func (b Book) TopUp(ctx context.Context, budget, id string, tokens int64) error {
 	return b.Update(ctx, budget, func(a *Account) error {
@@ -152,14 +153,15 @@
 	})
 }
 
-// Release gives forfeited tokens back by an operator's order, once for each id.
+// Release frees forfeited tokens on an operator's order, once for each ID, and
+// returns how many that order freed.
 func (b Book) Release(ctx context.Context, budget, id string, tokens int64) (int64, error) {
-	var given int64
+	var released int64
 	err := b.Update(ctx, budget, func(a *Account) (err error) {
-		given, err = a.Release(id, tokens)
+		released, err = a.Release(id, tokens)
 		return err
 	})
-	return given, err
+	return released, err
 }
 
 func (b Book) updatePage(ctx context.Context, budget string, change func(p *Page, size int) error) error {
