--- a/coord/retrybudget/main_test.go
+++ b/coord/retrybudget/main_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// seed makes each run of the properties the same. -rapid.seed=N looks elsewhere.
+// seed makes property tests deterministic; -rapid.seed=N overrides it.
 const seed = "20261203"
 
-// checks is the number of fleets that a property plays.
+// checks is the number of fleets that each property test generates.
 const checks = "400"
 
 func TestMain(m *testing.M) {
--- a/coord/retrybudget/retrybudget.go
+++ b/coord/retrybudget/retrybudget.go
@@ -1,6 +1,6 @@
-// Package retrybudget bounds how often the processes of a fleet send requests more than
-// once. Without a bound, a service that fails gets each request several times just when it
-// can serve least, and its failure feeds itself.
+// Package retrybudget limits the retries of all processes of a fleet. Without a limit, a
+// failing service receives each request several times when its capacity is lowest, and the
+// additional load prolongs the failure.
 package retrybudget
 
 import (
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// Rule is the bound for a whole fleet. The sends beyond the first of each request that
-// arrive in any window are at most Ratio x requests + Extra; the requests are those in that
-// window or in the one before it, whichever has more.
+// Rule is the limit for a whole fleet. In any window, at most Ratio x requests + Extra
+// retries arrive; the requests are those in that window or in the one before it, whichever
+// has more. Every send of a request after the first counts as a retry.
 type Rule struct {
 	Ratio  float64
 	Extra  float64
@@ -20,119 +20,120 @@
 }
 
 const (
-	// transit is how long a send may take to arrive. Sends of more than a window can
-	// arrive within one, so they count for this much longer.
-	transit = time.Second
-	// parts is the number of parts of a window in which what requests pay is kept.
-	parts = 40
-	// rounding is what a sum of fractions may lack of a whole number.
-	rounding = 1e-9
+	// maxTransit is how long a send may take to arrive. Sends of a longer period than a window
+	// can arrive within one window, so each counts for this much longer.
+	maxTransit = time.Second
+	// depositsPerWindow is the number of intervals of a window for which deposits are kept.
+	depositsPerWindow = 40
+	// epsilon is the tolerated rounding error of a sum of fractions.
+	epsilon = 1e-9
 )
 
-// Share is how a process takes part in Extra.
+// Share determines the part of Extra that a process may use.
 type Share struct {
-	// Among is the number of processes that share it, 0 if it is not known.
+	// Among is the number of processes that share Extra, 0 if unknown.
 	Among int
-	// Since is when this process became one of them.
+	// Since is the time at which this process became one of them.
 	Since time.Time
 }
 
-// Decision is whether one more send of a request was allowed, and what decided it.
+// Decision is the result of a request for a retry and the figures that it is based on.
 type Decision struct {
 	Allowed bool
-	// Paid is how many repeats the process's own requests had paid for.
+	// Paid is the number of retries that deposits of the process's own requests covered.
 	Paid float64
-	// Used is how many of its part of Extra it had used, of Part.
+	// Used is the number of retries already taken from Part, the process's part of Extra.
 	Used, Part int
 }
 
-// payment is what the requests of a part of a window paid for, in repeats.
-type payment struct {
-	began   time.Time
-	repeats float64
+// deposit is the number of retries that the requests of one interval of a window cover.
+type deposit struct {
+	start   time.Time
+	retries float64
 }
 
-// Budget is one process's share of the bound for one service. It is safe for concurrent use.
+// Budget is one process's share of the limit for one service. It is safe for concurrent use.
 type Budget struct {
 	mu sync.Mutex
-	// paid are the payments that have not been used, oldest first.
-	paid []payment
-	// used are the last repeats that took of Extra, oldest first.
-	used []time.Time
+	// deposits holds the deposits that are not used up, oldest first.
+	deposits []deposit
+	// extraUsed holds the times of the last retries taken from Extra, oldest first.
+	extraUsed []time.Time
 }
 
-// Request counts one request of a caller. It pays for half of what Ratio allows, and the
-// payment ends before a window does: what arrives in a window was then paid for in that
-// window and in the one before it, half in each, and never exceeds Ratio of the larger. The sum
-// over all processes is bounded likewise, however callers move between them.
+// Request records one request of a caller. It deposits half of Ratio, and the deposit expires in
+// less than a window: the retries that arrive in a window are covered by deposits of that
+// window and of the one before it, half from each, and never exceed Ratio of the larger. The sum
+// over all processes is limited in the same way, however callers move between them.
 func (b *Budget) Request(now time.Time, r Rule) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.expireLocked(now, r)
-	if n := len(b.paid); n == 0 || now.Sub(b.paid[n-1].began) >= r.Window/parts {
-		b.paid = append(b.paid, payment{began: now})
+	if n := len(b.deposits); n == 0 || now.Sub(b.deposits[n-1].start) >= r.Window/depositsPerWindow {
+		b.deposits = append(b.deposits, deposit{start: now})
 	}
-	b.paid[len(b.paid)-1].repeats += r.Ratio / 2
+	b.deposits[len(b.deposits)-1].retries += r.Ratio / 2
 }
 
-// Repeat decides whether one more repeat fits, and counts it if so. It is paid for by this
-// process's own requests or taken from its part of Extra, so that no message is needed.
+// Repeat decides whether one more retry is allowed, and counts it if so. It is covered by
+// deposits of this process's own requests or by its part of Extra, so no message to other
+// processes is needed.
 func (b *Budget) Repeat(now time.Time, r Rule, share Share) Decision {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.expireLocked(now, r)
-	d := Decision{Paid: b.sumLocked(), Used: b.usedSinceLocked(now.Add(-r.Window - transit)), Part: r.part(now, share)}
+	d := Decision{Paid: b.balanceLocked(), Used: b.extraUsedSinceLocked(now.Add(-r.Window - maxTransit)), Part: r.extraShare(now, share)}
 	switch {
-	case d.Paid >= 1-rounding:
-		b.payLocked()
+	case d.Paid >= 1-epsilon:
+		b.withdrawLocked()
 		d.Allowed = true
 	case d.Used < d.Part:
-		b.takeLocked(now, r)
+		b.useExtraLocked(now, r)
 		d.Allowed = true
 	}
 	return d
 }
 
-// part is how many repeats of Extra a process may use in a window.
-func (r Rule) part(now time.Time, share Share) int {
-	if share.Among <= 0 || now.Sub(share.Since) < r.Window+transit {
-		// Nobody knows what an earlier life of this process used in the window, and
-		// whether the others divide by one more already.
+// extraShare returns how many retries of Extra a process may use in a window.
+func (r Rule) extraShare(now time.Time, share Share) int {
+	if share.Among <= 0 || now.Sub(share.Since) < r.Window+maxTransit {
+		// What an earlier incarnation of this process used in the window is unknown, as is
+		// whether the other processes already count this one in their division.
 		return 0
 	}
 	return int(r.Extra / float64(share.Among))
 }
 
-// expireLocked drops payments whose time has passed.
+// expireLocked drops expired deposits.
 func (b *Budget) expireLocked(now time.Time, r Rule) {
-	valid := slices.IndexFunc(b.paid, func(p payment) bool { return now.Sub(p.began) < r.Window-transit })
+	valid := slices.IndexFunc(b.deposits, func(d deposit) bool { return now.Sub(d.start) < r.Window-maxTransit })
 	if valid < 0 {
-		valid = len(b.paid)
+		valid = len(b.deposits)
 	}
-	b.paid = b.paid[valid:]
+	b.deposits = b.deposits[valid:]
 }
 
-func (b *Budget) sumLocked() (repeats float64) {
-	for _, p := range b.paid {
-		repeats += p.repeats
+func (b *Budget) balanceLocked() (total float64) {
+	for _, d := range b.deposits {
+		total += d.retries
 	}
-	return repeats
+	return total
 }
 
-// payLocked takes one repeat from the oldest payments.
-func (b *Budget) payLocked() {
-	for due := 1.0; due > rounding && len(b.paid) > 0; {
-		oldest := &b.paid[0]
-		taken := math.Min(due, oldest.repeats)
+// withdrawLocked takes one retry from the oldest deposits.
+func (b *Budget) withdrawLocked() {
+	for due := 1.0; due > epsilon && len(b.deposits) > 0; {
+		oldest := &b.deposits[0]
+		taken := math.Min(due, oldest.retries)
 		due -= taken
-		if oldest.repeats -= taken; oldest.repeats < rounding {
-			b.paid = b.paid[1:]
+		if oldest.retries -= taken; oldest.retries < epsilon {
+			b.deposits = b.deposits[1:]
 		}
 	}
 }
 
-func (b *Budget) usedSinceLocked(since time.Time) (n int) {
-	for _, at := range b.used {
+func (b *Budget) extraUsedSinceLocked(since time.Time) (n int) {
+	for _, at := range b.extraUsed {
 		if at.After(since) {
 			n++
 		}
@@ -140,9 +141,9 @@
 	return n
 }
 
-// takeLocked notes a repeat that takes of Extra. No more than Extra are kept, by their times:
-// a window that operators make longer finds those that an earlier, shorter one was done with.
-func (b *Budget) takeLocked(now time.Time, r Rule) {
-	b.used = append(b.used, now)
-	b.used = b.used[max(0, len(b.used)-int(r.Extra)):]
+// useExtraLocked records a retry taken from Extra. At most Extra times are kept, regardless of the
+// window, so that they still count when operators lengthen the window.
+func (b *Budget) useExtraLocked(now time.Time, r Rule) {
+	b.extraUsed = append(b.extraUsed, now)
+	b.extraUsed = b.extraUsed[max(0, len(b.extraUsed)-int(r.Extra)):]
 }
