--- a/coord/retrybudget/retrybudget_test.go
+++ b/coord/retrybudget/retrybudget_test.go
@@ -120,8 +120,8 @@
 func TestRestartDoesNotRenewExtra(t *testing.T) {
 	const processes = 4
 	var s service
-	for life := range 4 {
-		began := start.Add(time.Duration(life) * 2 * time.Second)
+	for incarnation := range 4 {
+		began := start.Add(time.Duration(incarnation) * 2 * time.Second)
 		for range processes {
 			var b retrybudget.Budget
 			for at := began; at.Before(began.Add(2 * time.Second)); at = at.Add(200 * time.Millisecond) {
--- a/coord/settlement/settler.go
+++ b/coord/settlement/settler.go
@@ -22,7 +22,7 @@
 	// the witness did not answer. If it is nil, a lender with a missing report cannot be settled.
 	AskWitness func(ctx context.Context, witness, lender string, term int64) (Testimony, error)
 	// Over reports whether the incarnation of a borrower or witness has certainly ended.
-	Over func(life string) bool
+	Over func(incarnation string) bool
 	// Words caches the answers of borrowers and witnesses between attempts.
 	Words *Words
 }
