--- a/coord/ledger/charge.go
+++ b/coord/ledger/charge.go
@@ -1,11 +1,11 @@
-// Package ledger makes charges durable, each exactly once. Router and agent both
-// keep the charge of a request until the ledger has acknowledged it, and both may
-// send it as often as they like; the ledger drops repeats by the request's id.
+// Package ledger records each charge durably and exactly once. Router and agent
+// both keep the charge of a request until the ledger has acknowledged it, and both
+// may send it any number of times; the ledger drops duplicates by request ID.
 //
 // A shard is a log of segments in the store. A segment is created by
 // compare-and-swap on an absent key, so the log itself is the fence: of two owners
 // that write segment n only one succeeds, and the other reads the winner's segment
-// before it can write n+1. No clock and no election decides who is right.
+// before it can write n+1. Correctness depends on neither clocks nor elections.
 package ledger
 
 import (
@@ -18,41 +18,41 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("ledger")
 
-// ErrFull says that as many charges wait as may be kept; the caller must take no new
-// work rather than lose one.
+// ErrFull means that the limit of unacknowledged charges is reached. The caller must
+// refuse new work rather than lose its charge.
 var ErrFull = errs.New("too many charges wait for the ledger")
 
 // Charge is the bill of one request.
 type Charge struct {
-	// ID is the request's identity: team and idempotency key. It is unique.
+	// ID identifies the request by team and idempotency key. It is unique.
 	ID     string `json:"id"`
 	Team   string `json:"team"`
 	Budget string `json:"budget"`
-	// Service is what was used.
+	// Service is the service that ran the request.
 	Service string `json:"service"`
-	// Tokens is the amount.
+	// Tokens is the billed amount.
 	Tokens int64 `json:"tokens"`
 	// Floor is the number of a segment of the shard that existed before
-	// the request started: the charge cannot be in that one or an earlier.
+	// the request started: neither it nor an earlier one can hold the charge.
 	Floor int64 `json:"floor,omitempty"`
-	// Unix is the second of settlement, for reports only.
+	// Unix is the time of settlement in Unix seconds, for reports only.
 	Unix int64 `json:"unix"`
 }
 
-// Segment is one group commit.
+// Segment is the batch of charges written by one group commit.
 type Segment struct {
-	// Writer is the owner's incarnation, Nonce its count of writes; together
-	// they tell a lost answer from another owner's segment.
+	// Writer is the owner's incarnation and Nonce its write counter. Together they
+	// tell a write whose response was lost from another owner's segment.
 	Writer  string   `json:"writer"`
 	Nonce   int64    `json:"nonce"`
 	Charges []Charge `json:"charges"`
 }
 
-// Layout tells where shards are. It is fixed for the life of a fleet.
+// Layout defines the store keys of the shards. It is fixed for the lifetime of a fleet.
 type Layout struct {
 	// Prefix is the key prefix of the whole ledger.
 	Prefix string
-	// Shards is their number.
+	// Shards is the number of shards.
 	Shards int
 }
 
--- a/coord/ledger/group.go
+++ b/coord/ledger/group.go
@@ -5,31 +5,32 @@
 	"time"
 )
 
-// Group collects the charges that reach a shard's owner during one interval and
-// appends them together, so that the store sees about one write a second for a
-// shard whatever the request rate is.
+// Group batches the charges that reach a shard's owner within one interval into one
+// append, so that the store receives about one write per second and shard whatever
+// the request rate.
 type Group struct {
 	shard    *Shard
 	interval time.Duration
-	requests chan groupRequest
+	requests chan appendRequest
 }
 
-type groupRequest struct {
+type appendRequest struct {
 	charges []Charge
 	done    chan error
 }
 
-// groupQueue bounds the appends that wait for a flush.
-const groupQueue = 1024
+// appendQueueSize bounds the appends queued for a flush and those in one flush.
+const appendQueueSize = 1024
 
-// NewGroup returns the group commit of a shard. Run must be running for Append.
+// NewGroup returns a Group for the shard. Append blocks unless Run is running.
 func NewGroup(s *Shard, interval time.Duration) *Group {
-	return &Group{shard: s, interval: interval, requests: make(chan groupRequest, groupQueue)}
+	return &Group{shard: s, interval: interval, requests: make(chan appendRequest, appendQueueSize)}
 }
 
-// Append waits until the charges are durable and returns the last segment.
+// Append waits until the charges are durable and returns the shard's last segment.
+// After an error the outcome is unknown.
 func (g *Group) Append(ctx context.Context, charges []Charge) (int64, error) {
-	r := groupRequest{charges: charges, done: make(chan error, 1)}
+	r := appendRequest{charges: charges, done: make(chan error, 1)}
 	select {
 	case g.requests <- r:
 	case <-ctx.Done():
@@ -43,11 +44,12 @@
 	}
 }
 
-// Waiting counts the appends that wait for a flush, and the most that may. More than
-// that are not dropped: their callers wait, within their contexts.
-func (g *Group) Waiting() (n, most int) { return len(g.requests), cap(g.requests) }
+// Waiting returns the number of appends queued for a flush and the queue's capacity.
+// Appends beyond the capacity are not dropped: their callers block until their
+// contexts end.
+func (g *Group) Waiting() (n, capacity int) { return len(g.requests), cap(g.requests) }
 
-// Run flushes once an interval until the context ends.
+// Run flushes queued appends once per interval until ctx is done.
 func (g *Group) Run(ctx context.Context) {
 	for {
 		select {
@@ -59,12 +61,12 @@
 	}
 }
 
-// collect gathers what comes within the interval after the first request.
-func (g *Group) collect(ctx context.Context, first groupRequest) []groupRequest {
-	batch := []groupRequest{first}
+// collect returns first and the requests that arrive within the interval after it.
+func (g *Group) collect(ctx context.Context, first appendRequest) []appendRequest {
+	batch := []appendRequest{first}
 	t := time.NewTimer(g.interval)
 	defer t.Stop()
-	for len(batch) < groupQueue {
+	for len(batch) < appendQueueSize {
 		select {
 		case r := <-g.requests:
 			batch = append(batch, r)
@@ -77,7 +79,7 @@
 	return batch
 }
 
-func (g *Group) flush(ctx context.Context, batch []groupRequest) {
+func (g *Group) flush(ctx context.Context, batch []appendRequest) {
 	var all []Charge
 	for _, r := range batch {
 		all = append(all, r.charges...)
--- a/coord/ledger/ledger_test.go
+++ b/coord/ledger/ledger_test.go
@@ -28,23 +28,22 @@
 	return totals["pilots/2026"]
 }
 
-// Two routers both believe that they own a shard; the older one was frozen and wakes
-// with charges that the newer one has written meanwhile. The team must not be billed
-// twice, and no charge of either may be lost.
+// Guards against double billing and lost charges with two owners of a shard: the old
+// owner resumes after a pause and appends charges that the new one has already written.
 func TestTwoOwnersAtOnce(t *testing.T) {
 	s, ctx := memstore.New(), t.Context()
-	old := ledger.OpenShard(s, layout, 0, "old#1", 100)
-	require.NoError(t, old.Append(ctx, []ledger.Charge{charge("a", 1)}))
-	young := ledger.OpenShard(s, layout, 0, "young#1", 100)
-	require.NoError(t, young.Append(ctx, []ledger.Charge{charge("b", 10), charge("c", 100)}))
-	require.NoError(t, old.Append(ctx, []ledger.Charge{charge("b", 10), charge("d", 1000)}))
-	require.NoError(t, young.Append(ctx, []ledger.Charge{charge("d", 1000), charge("a", 1)}))
+	oldOwner := ledger.OpenShard(s, layout, 0, "old#1", 100)
+	require.NoError(t, oldOwner.Append(ctx, []ledger.Charge{charge("a", 1)}))
+	newOwner := ledger.OpenShard(s, layout, 0, "young#1", 100)
+	require.NoError(t, newOwner.Append(ctx, []ledger.Charge{charge("b", 10), charge("c", 100)}))
+	require.NoError(t, oldOwner.Append(ctx, []ledger.Charge{charge("b", 10), charge("d", 1000)}))
+	require.NoError(t, newOwner.Append(ctx, []ledger.Charge{charge("d", 1000), charge("a", 1)}))
 	require.Equal(t, int64(1111), total(t, s))
 }
 
-// Router and agent both bring the charge of a request, and the client's retry
-// brings it a third time, in one batch and in later ones. The bill must have it once.
-func TestSameChargeFromAllWitnesses(t *testing.T) {
+// Guards against double billing: the router, the agent and the client's retry each
+// send the charge of one request, in the same batch or in later ones.
+func TestDuplicateChargesAreBilledOnce(t *testing.T) {
 	s, ctx := memstore.New(), t.Context()
 	shard := ledger.OpenShard(s, layout, 0, "r#1", 100)
 	require.NoError(t, shard.Append(ctx, []ledger.Charge{charge("a", 5), charge("a", 5)}))
@@ -52,9 +51,9 @@
 	require.Equal(t, int64(5), total(t, s))
 }
 
-// A segment's answer is lost after it took effect, so the sender brings the same
-// charges again. They must be found in the log instead of billed twice.
-func TestLostAnswerOfASegment(t *testing.T) {
+// Guards against double billing when the response to a segment write is lost: the
+// write took effect, and the sender sends the same charges again.
+func TestLostResponseToASegmentWrite(t *testing.T) {
 	s, ctx := memstore.New(), t.Context()
 	shard := ledger.OpenShard(s, layout, 0, "r#1", 100)
 	s.SetFaults(memstore.Faults{LoseWrites: 1})
@@ -64,10 +63,10 @@
 	require.Equal(t, int64(13), total(t, s))
 }
 
-// An agent was cut off for an hour with a charge that the router had brought at once.
-// By then the owner has long dropped that id from memory. The repeat must be found in
-// the log itself.
-func TestRepeatAfterTheWindow(t *testing.T) {
+// Guards against double billing of late duplicates: an agent partitioned for an hour
+// sends a charge that the router delivered at once, when the owner no longer has its
+// ID in memory. The duplicate must be found in the log.
+func TestDuplicateOutsideTheIDWindow(t *testing.T) {
 	s, ctx := memstore.New(), t.Context()
 	shard := ledger.OpenShard(s, layout, 0, "r#1", 3)
 	require.NoError(t, shard.Append(ctx, []ledger.Charge{charge("first", 1)}))
@@ -82,46 +81,46 @@
 	}
 	require.NoError(t, shard.Append(ctx, []ledger.Charge{late}))
 	require.Equal(t, int64(71), total(t, s))
-	require.Equal(t, int64(1), shard.State().Scans, "found in the log, not in memory")
+	require.Equal(t, int64(1), shard.State().Scans, "the duplicate must be found by a log scan")
 }
 
-// The shard's owner changes after many segments. The new one starts from a snapshot
-// and must still drop repeats of charges from before it.
+// Guards against double billing after an ownership change: the new owner starts from
+// a snapshot and must still drop duplicates of charges written before it.
 func TestNewOwnerStartsFromSnapshot(t *testing.T) {
 	s, ctx := memstore.New(), t.Context()
-	old := ledger.OpenShard(s, layout, 0, "old#1", 10)
+	oldOwner := ledger.OpenShard(s, layout, 0, "old#1", 10)
 	const segments = 300
 	for i := range segments {
-		require.NoError(t, old.Append(ctx, []ledger.Charge{charge(fmt.Sprint(i), 1)}))
+		require.NoError(t, oldOwner.Append(ctx, []ledger.Charge{charge(fmt.Sprint(i), 1)}))
 	}
-	young := ledger.OpenShard(s, layout, 0, "young#1", 10)
+	newOwner := ledger.OpenShard(s, layout, 0, "young#1", 10)
 	before := s.Calls().Reads
 	repeat, fresh := charge("299", 1), charge("new", 1)
 	repeat.Floor, fresh.Floor = 299, 300
-	require.NoError(t, young.Append(ctx, []ledger.Charge{repeat, fresh}))
-	require.Less(t, s.Calls().Reads-before, int64(8), "it did not read the whole log")
+	require.NoError(t, newOwner.Append(ctx, []ledger.Charge{repeat, fresh}))
+	require.Less(t, s.Calls().Reads-before, int64(8), "the new owner read the whole log")
 	require.Equal(t, int64(segments+1), total(t, s))
 }
 
-// direct sends charges to a shard, or fails.
-type direct struct {
+// directSender appends charges to a shard in the same process, or fails while down.
+type directSender struct {
 	shard *ledger.Shard
 	down  atomic.Bool
 }
 
-func (d *direct) Send(ctx context.Context, _ int, c []ledger.Charge) (int64, error) {
+func (d *directSender) Send(ctx context.Context, _ int, c []ledger.Charge) (int64, error) {
 	if d.down.Load() {
 		return 0, errors.New("down")
 	}
 	return d.shard.Last(), d.shard.Append(ctx, c)
 }
 
-// The store is down for so long that charges fill their bound. New work must be
-// refused before it runs; dropping a charge instead would serve tokens unbilled.
+// Guards against unbilled tokens when the store is down until the outbox is full: new
+// work must be refused before it runs instead of dropping a charge.
 func TestOutboxRefusesWorkRatherThanLoseCharges(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		s := memstore.New()
-		d := &direct{shard: ledger.OpenShard(s, layout, 0, "r#1", 100)}
+		d := &directSender{shard: ledger.OpenShard(s, layout, 0, "r#1", 100)}
 		d.down.Store(true)
 		o := ledger.NewOutbox(layout, d, 3)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -143,8 +142,8 @@
 	})
 }
 
-// Many requests end within a second. The store must see about one write for all of
-// them, whatever their number.
+// Guards against one store write per request: requests that end within one interval
+// must share about one write, whatever their number.
 func TestGroupCommit(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		s := memstore.New()
@@ -162,8 +161,8 @@
 	})
 }
 
-// Any interleaving of owners, repeats, lost answers and new owners bills each id
-// exactly once.
+// Checks that each ID is billed exactly once under any interleaving of owners,
+// duplicates, lost responses and ownership changes.
 func TestLedgerBillsOnceUnderAnyInterleaving(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, ctx := memstore.New(), context.Background()
@@ -199,6 +198,6 @@
 
 func appendUntilDurable(ctx context.Context, t *rapid.T, s *ledger.Shard, c []ledger.Charge) {
 	for s.Append(ctx, c) != nil {
-		t.Log("again")
+		t.Log("append failed, retrying")
 	}
 }
--- a/coord/ledger/main_test.go
+++ b/coord/ledger/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// seed makes each run of the properties the same. -rapid.seed=N looks elsewhere.
+// seed makes the property tests deterministic; -rapid.seed=N overrides it.
 const seed = "20261202"
 
 func TestMain(m *testing.M) {
--- a/coord/ledger/outbox.go
+++ b/coord/ledger/outbox.go
@@ -9,22 +9,22 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Sender takes charges of one shard to the shard's owner. A nil error says that
-// all of them are durable; floor is then the shard's last segment. Any other
-// error says that the outcome is unknown.
+// Sender delivers charges of one shard to the shard's owner. A nil error means that
+// all of them are durable; floor is then the shard's last segment. After any other
+// error the outcome is unknown.
 type Sender interface {
 	Send(ctx context.Context, shard int, charges []Charge) (floor int64, err error)
 }
 
-// Retry pauses of an outbox.
+// Retry backoff of an outbox.
 const (
-	outboxPauseMin = 50 * time.Millisecond
-	outboxPauseMax = 5 * time.Second
+	outboxBackoffMin = 50 * time.Millisecond
+	outboxBackoffMax = 5 * time.Second
 )
 
-// Outbox keeps charges until the ledger has acknowledged them. Its size is
-// bounded: Admit refuses new work while the charges of the work in progress may
-// need the room, so that no charge is ever dropped.
+// Outbox holds charges until the ledger has acknowledged them. Its size is
+// bounded: Admit reserves a place for the charge of each request and refuses new
+// work when none is left, so that no charge is ever dropped.
 type Outbox struct {
 	layout Layout
 	sender Sender
@@ -38,8 +38,8 @@
 	wake     map[int]chan struct{}
 }
 
-// NewOutbox returns an outbox that holds up to limit charges, those of admitted
-// work included.
+// NewOutbox returns an outbox that holds up to limit charges, including those of
+// admitted requests.
 func NewOutbox(l Layout, s Sender, limit int) *Outbox {
 	o := &Outbox{layout: l, sender: s, limit: limit,
 		waiting: map[int][]Charge{}, floors: map[int]int64{}, wake: map[int]chan struct{}{}}
@@ -49,8 +49,8 @@
 	return o
 }
 
-// Admit books room for the charge of one request. The caller must call Put or
-// Cancel once for it.
+// Admit reserves a place for the charge of one request, or returns ErrFull. After a
+// nil error the caller must call Put or Cancel exactly once.
 func (o *Outbox) Admit() error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -61,14 +61,14 @@
 	return nil
 }
 
-// Cancel gives back the room of a request that is not charged.
+// Cancel releases the place of an admitted request that is not charged.
 func (o *Outbox) Cancel() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.admitted--
 }
 
-// Put hands over the charge of an admitted request.
+// Put enqueues the charge of an admitted request.
 func (o *Outbox) Put(c Charge) {
 	shard := o.layout.Shard(c.Team)
 	o.mu.Lock()
@@ -82,16 +82,16 @@
 	}
 }
 
-// Prime learns the last segment of each shard. A process calls it before it takes
-// work: with a floor of 0 the owner would have to look through the whole log for a
-// repeat of each of its first charges.
+// Prime fetches the last segment of each shard. A process calls it before it accepts
+// work: with a floor of 0 the owner would have to search the whole log for a
+// duplicate of each of its first charges.
 func (o *Outbox) Prime(ctx context.Context) error {
 	var group errgroup.Group
 	for shard := range o.layout.Shards {
 		group.Go(func() error {
 			floor, err := o.sender.Send(ctx, shard, nil)
 			if err == nil {
-				o.drop(shard, nil, floor)
+				o.removeAcknowledged(shard, nil, floor)
 			}
 			return err
 		})
@@ -99,21 +99,21 @@
 	return group.Wait()
 }
 
-// Floor returns the last segment known of the team's shard.
+// Floor returns the last known segment of the team's shard.
 func (o *Outbox) Floor(team string) int64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.floors[o.layout.Shard(team)]
 }
 
-// Waiting counts the charges that are not acknowledged.
+// Waiting returns the number of unacknowledged charges.
 func (o *Outbox) Waiting() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.count
 }
 
-// Run sends the charges of all shards until the context ends.
+// Run sends the charges of all shards until ctx is done.
 func (o *Outbox) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for shard := range o.layout.Shards {
@@ -123,7 +123,7 @@
 }
 
 func (o *Outbox) runShard(ctx context.Context, shard int) {
-	pause := backoff.New(outboxPauseMin, outboxPauseMax)
+	pause := backoff.New(outboxBackoffMin, outboxBackoffMax)
 	for {
 		select {
 		case <-ctx.Done():
@@ -146,8 +146,8 @@
 	return len(o.waiting[shard]) > 0
 }
 
-// Flush sends everything that waits, once; a planned stop calls it until Waiting
-// is 0 or its time is over.
+// Flush sends one batch per shard with waiting charges and stops at the first error.
+// A planned stop calls it until Waiting is 0 or its time is over.
 func (o *Outbox) Flush(ctx context.Context) error {
 	for shard := range o.layout.Shards {
 		if o.pending(shard) {
@@ -162,31 +162,32 @@
 func (o *Outbox) flush(ctx context.Context, shard int) error {
 	o.mu.Lock()
 	batch := o.waiting[shard]
-	batch = batch[:min(len(batch), segmentCharges)]
+	batch = batch[:min(len(batch), maxSegmentCharges)]
 	o.mu.Unlock()
 	floor, err := o.sender.Send(ctx, shard, batch)
 	if err != nil {
 		return err
 	}
-	o.drop(shard, batch, floor)
+	o.removeAcknowledged(shard, batch, floor)
 	return nil
 }
 
-// drop removes the acknowledged head of a shard's charges.
-func (o *Outbox) drop(shard int, batch []Charge, floor int64) {
+// removeAcknowledged removes the batch from a shard's waiting charges and raises the
+// shard's floor.
+func (o *Outbox) removeAcknowledged(shard int, batch []Charge, floor int64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	sent := map[string]struct{}{}
 	for _, c := range batch {
 		sent[c.ID] = struct{}{}
 	}
-	kept := o.waiting[shard][:0:0]
+	remaining := o.waiting[shard][:0:0]
 	for _, c := range o.waiting[shard] {
 		if _, ok := sent[c.ID]; !ok {
-			kept = append(kept, c)
+			remaining = append(remaining, c)
 		}
 	}
-	o.count -= len(o.waiting[shard]) - len(kept)
-	o.waiting[shard] = kept
+	o.count -= len(o.waiting[shard]) - len(remaining)
+	o.waiting[shard] = remaining
 	o.floors[shard] = max(o.floors[shard], floor)
 }
--- a/coord/ledger/report.go
+++ b/coord/ledger/report.go
@@ -7,27 +7,27 @@
 	"github.com/arbutusmill/arbutusmill/coord/store"
 )
 
-// Reader reads the ledger without owning any of it, for operators.
+// Reader reads the ledger without owning a shard, for operator tools.
 type Reader struct {
 	Store  store.Store
 	Layout Layout
 }
 
-// Each calls visit for every charge of the shard that keeps the team's, or of
-// all shards when team is empty. Visit returns false to stop.
+// Each calls visit for each charge of the team, or of all teams when team is
+// empty, until visit returns false.
 func (r Reader) Each(ctx context.Context, team string, visit func(Charge) bool) error {
 	for _, n := range r.shards(team) {
-		on := true
+		more := true
 		shard := OpenShard(r.Store, r.Layout, n, "", 0)
 		err := shard.walk(ctx, 1, func(_ int64, seg Segment) bool {
 			for _, c := range seg.Charges {
 				if team == "" || c.Team == team {
-					on = on && visit(c)
+					more = more && visit(c)
 				}
 			}
-			return on
+			return more
 		})
-		if err != nil || !on {
+		if err != nil || !more {
 			return err
 		}
 	}
@@ -35,7 +35,7 @@
 }
 
 // Totals returns the billed tokens by budget: snapshots plus the segments after
-// them, two store calls a shard in a ledger of any age.
+// them, which takes two store calls per shard whatever the length of the log.
 func (r Reader) Totals(ctx context.Context, team string) (map[string]int64, error) {
 	out := map[string]int64{}
 	for _, n := range r.shards(team) {
@@ -61,7 +61,7 @@
 	return out, nil
 }
 
-// shards lists the shards to read: a team's own, or all.
+// shards lists the shards to read: the team's shard, or all when team is empty.
 func (r Reader) shards(team string) []int {
 	if team != "" {
 		return []int{r.Layout.Shard(team)}
--- a/coord/ledger/shard.go
+++ b/coord/ledger/shard.go
@@ -9,92 +9,91 @@
 	"github.com/arbutusmill/arbutusmill/coord/store"
 )
 
-// Bounds of a shard.
 const (
-	// segmentCharges bounds a segment, well below the store's value limit.
-	segmentCharges = 4000
-	// listPage is the number of segments read by one store call.
+	// maxSegmentCharges keeps a segment well below the store's value limit.
+	maxSegmentCharges = 4000
+	// listPage is the number of segments that one store call reads.
 	listPage = 32
 	// snapshotEvery is the number of segments between two snapshots.
 	snapshotEvery = 256
 )
 
-// Snapshot is the totals of all segments up to Upto.
+// Snapshot holds the totals of all segments up to Upto, inclusive.
 type Snapshot struct {
 	Upto int64 `json:"upto"`
-	// Budgets maps a budget to its billed tokens.
+	// Budgets maps each budget to its billed tokens.
 	Budgets map[string]int64 `json:"budgets"`
 }
 
-// Shard is the owner's side of one shard. Only one process should own a shard at a
-// time; two that both think so lose time, never charges. It is safe for
-// concurrent use; appends take turns.
+// Shard is the owner's view of one shard. Only one process should own a shard at a
+// time; concurrent owners slow each other down but lose no charge. It is safe for
+// concurrent use; appends are serialized.
 type Shard struct {
 	store  store.Store
 	layout Layout
 	number int
 	writer string
-	// window is the number of segments whose ids are kept in memory.
+	// window is the number of segments whose charge IDs are kept in memory.
 	window int64
 
-	turn sync.Mutex // held during an append
+	appendMu sync.Mutex // held during an append
 
-	mu     sync.Mutex
-	loaded bool
-	last   int64            // the last segment known
-	ids    map[string]int64 // id → segment, for segments above last-window
-	bySeg  map[int64][]string
-	totals map[string]int64
-	snap   int64
-	nonce  int64
-	scans  int64
+	mu           sync.Mutex
+	loaded       bool
+	last         int64            // the last segment read or written
+	ids          map[string]int64 // charge ID → segment, for segments above last-window
+	idsBySegment map[int64][]string
+	totals       map[string]int64
+	snapshotAt   int64 // the last segment when a snapshot was last loaded or attempted
+	nonce        int64
+	scans        int64
 }
 
-// OpenShard returns a shard that loads its state at the first append. Window is
-// the number of recent segments whose request ids stay in memory; older repeats
-// are found by reading the log, from the charge's Floor.
+// OpenShard returns a shard that loads its state on the first append. Window is
+// the number of recent segments whose charge IDs stay in memory; older duplicates
+// are found by reading the log from the charge's Floor.
 func OpenShard(s store.Store, l Layout, number int, writer string, window int) *Shard {
 	return &Shard{store: s, layout: l, number: number, writer: writer, window: int64(window),
-		ids: map[string]int64{}, bySeg: map[int64][]string{}, totals: map[string]int64{}}
+		ids: map[string]int64{}, idsBySegment: map[int64][]string{}, totals: map[string]int64{}}
 }
 
-// Last returns the number of the last segment known here.
+// Last returns the number of the last segment read or written.
 func (s *Shard) Last() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.last
 }
 
-// Append makes the charges durable, leaving out those that the log has. When it
-// returns nil, every one of them is in the log exactly once. After an error the
-// outcome is unknown and the caller sends them again.
+// Append writes the charges that are not yet in the log. When it returns nil, each
+// of them is in the log exactly once. After an error the outcome is unknown and the
+// caller must append them again.
 func (s *Shard) Append(ctx context.Context, charges []Charge) error {
-	s.turn.Lock()
-	defer s.turn.Unlock()
-	if err := s.catchUp(ctx); err != nil {
+	s.appendMu.Lock()
+	defer s.appendMu.Unlock()
+	if err := s.ensureLoaded(ctx); err != nil {
 		return err
 	}
 	for len(charges) > 0 {
-		n := min(len(charges), segmentCharges)
-		if err := s.appendSome(ctx, charges[:n]); err != nil {
+		n := min(len(charges), maxSegmentCharges)
+		if err := s.appendSegment(ctx, charges[:n]); err != nil {
 			return err
 		}
 		charges = charges[n:]
 	}
-	s.snapshot(ctx)
+	s.snapshotIfDue(ctx)
 	return nil
 }
 
-// appendSome writes one segment. When another owner took the number, it reads
-// that owner's segment, which may hold some of the charges, and tries the next.
-func (s *Shard) appendSome(ctx context.Context, charges []Charge) error {
+// appendSegment writes one segment. If another owner has written that number, it
+// reads that owner's segment, which may hold some of the charges, and tries the next.
+func (s *Shard) appendSegment(ctx context.Context, charges []Charge) error {
 	for {
-		fresh, err := s.fresh(ctx, charges)
-		if err != nil || len(fresh) == 0 {
+		unrecorded, err := s.dropRecorded(ctx, charges)
+		if err != nil || len(unrecorded) == 0 {
 			return err
 		}
 		s.nonce++
-		seg := Segment{Writer: s.writer, Nonce: s.nonce, Charges: fresh}
+		seg := Segment{Writer: s.writer, Nonce: s.nonce, Charges: unrecorded}
 		value, err := json.Marshal(seg)
 		if err != nil {
 			return Error.Wrap(err)
@@ -106,18 +105,18 @@
 			return nil
 		}
 		if !errors.Is(err, store.ErrConflict) {
-			// The write may have taken effect. The next try then finds this
-			// number taken, and reads its own charges there.
+			// The write may have taken effect. The next attempt then conflicts on
+			// this number and finds its own charges in the segment.
 			return err
 		}
-		if err := s.readOn(ctx); err != nil {
+		if err := s.readNewSegments(ctx); err != nil {
 			return err
 		}
 	}
 }
 
-// fresh returns the charges that the log does not have, without repeats.
-func (s *Shard) fresh(ctx context.Context, charges []Charge) ([]Charge, error) {
+// dropRecorded returns the charges that are not in the log, without duplicates.
+func (s *Shard) dropRecorded(ctx context.Context, charges []Charge) ([]Charge, error) {
 	var out []Charge
 	seen := map[string]bool{}
 	for _, c := range charges {
@@ -125,21 +124,21 @@
 			continue
 		}
 		seen[c.ID] = true
-		known, err := s.known(ctx, c)
+		found, err := s.recorded(ctx, c)
 		if err != nil {
 			return nil, err
 		}
-		if !known {
+		if !found {
 			out = append(out, c)
 		}
 	}
 	return out, nil
 }
 
-// known reports whether the log has the charge. A charge that started before the
-// ids in memory begin is looked up in the log itself: a witness that was cut
-// off for an hour may bring a charge that the other one brought at once.
-func (s *Shard) known(ctx context.Context, c Charge) (bool, error) {
+// recorded reports whether the charge is in the log. A charge whose Floor is before
+// the window is looked up in the log itself: a sender that was partitioned for an
+// hour may send a charge that the other sender delivered at once.
+func (s *Shard) recorded(ctx context.Context, c Charge) (bool, error) {
 	s.mu.Lock()
 	_, ok := s.ids[c.ID]
 	first := s.last - s.window + 1
@@ -153,7 +152,7 @@
 	return s.scan(ctx, c.ID, c.Floor+1, first)
 }
 
-// scan looks for id in the segments from (inclusive) to (exclusive).
+// scan searches the segments in [from, to) for id.
 func (s *Shard) scan(ctx context.Context, id string, from, to int64) (bool, error) {
 	found := false
 	err := s.walk(ctx, from, func(n int64, seg Segment) bool {
@@ -168,7 +167,7 @@
 	return found, err
 }
 
-// walk calls visit for the segments from number from on, until it returns false.
+// walk calls visit for each segment starting at from, until visit returns false.
 func (s *Shard) walk(ctx context.Context, from int64, visit func(n int64, seg Segment) bool) error {
 	from = max(from, 1)
 	for {
@@ -192,20 +191,20 @@
 	}
 }
 
-// catchUp loads the shard at first use.
-func (s *Shard) catchUp(ctx context.Context) error {
+// ensureLoaded loads the shard on first use.
+func (s *Shard) ensureLoaded(ctx context.Context) error {
 	s.mu.Lock()
 	loaded, empty := s.loaded, s.last == 0
 	s.mu.Unlock()
 	if loaded {
 		return nil
 	}
-	if empty { // else an earlier try got past the snapshot
+	if empty { // else an earlier attempt loaded the snapshot and failed later
 		if err := s.loadSnapshot(ctx); err != nil {
 			return err
 		}
 	}
-	if err := s.readOn(ctx); err != nil {
+	if err := s.readNewSegments(ctx); err != nil {
 		return err
 	}
 	s.mu.Lock()
@@ -220,15 +219,15 @@
 		return err
 	}
 	s.mu.Lock()
-	s.last, s.snap, s.totals = snap.Upto, snap.Upto, snap.Budgets
+	s.last, s.snapshotAt, s.totals = snap.Upto, snap.Upto, snap.Budgets
 	s.mu.Unlock()
-	// The ids of the window before the snapshot are needed too.
+	// The window also covers segments before the snapshot.
 	return s.walk(ctx, snap.Upto-s.window+1, func(n int64, seg Segment) bool {
 		if n > snap.Upto {
 			return false
 		}
 		s.mu.Lock()
-		s.remember(n, seg)
+		s.indexIDs(n, seg)
 		s.mu.Unlock()
 		return true
 	})
@@ -251,8 +250,8 @@
 	return snap, nil
 }
 
-// readOn applies the segments that others wrote since.
-func (s *Shard) readOn(ctx context.Context) error {
+// readNewSegments applies the segments that were written after the last known one.
+func (s *Shard) readNewSegments(ctx context.Context) error {
 	return s.walk(ctx, s.Last()+1, func(n int64, seg Segment) bool {
 		s.apply(n, seg)
 		return true
@@ -266,37 +265,38 @@
 		return
 	}
 	s.last = n
-	s.remember(n, seg)
+	s.indexIDs(n, seg)
 	for _, c := range seg.Charges {
 		s.totals[c.Budget] += c.Tokens
 	}
-	for _, id := range s.bySeg[n-s.window] {
+	for _, id := range s.idsBySegment[n-s.window] {
 		delete(s.ids, id)
 	}
-	delete(s.bySeg, n-s.window)
+	delete(s.idsBySegment, n-s.window)
 }
 
-// remember keeps the ids of a segment; the lock is held.
-func (s *Shard) remember(n int64, seg Segment) {
+// indexIDs adds the charge IDs of a segment to the window; s.mu must be held.
+func (s *Shard) indexIDs(n int64, seg Segment) {
 	for _, c := range seg.Charges {
 		s.ids[c.ID] = n
-		s.bySeg[n] = append(s.bySeg[n], c.ID)
+		s.idsBySegment[n] = append(s.idsBySegment[n], c.ID)
 	}
 }
 
-// snapshot writes the totals now and then, so that a new owner need not read the
-// whole log. It is an optimisation: a failure, or a loser's write, costs nothing.
-func (s *Shard) snapshot(ctx context.Context) {
+// snapshotIfDue writes the totals every snapshotEvery segments, so that a new owner
+// need not read the whole log. Errors are ignored: a missing snapshot only makes
+// loading slower, and the compare-and-swap discards a write that lost a race.
+func (s *Shard) snapshotIfDue(ctx context.Context) {
 	s.mu.Lock()
-	if s.last-s.snap < snapshotEvery {
+	if s.last-s.snapshotAt < snapshotEvery {
 		s.mu.Unlock()
 		return
 	}
 	value, err := json.Marshal(Snapshot{Upto: s.last, Budgets: s.totals})
 	upto := s.last
-	// Whatever becomes of the write, the next try is due after as many segments
-	// again: a snapshot that cannot be written must not be made for each append.
-	s.snap = upto
+	// The next attempt is due after snapshotEvery more segments even if this write
+	// fails: a snapshot that cannot be written must not be encoded on each append.
+	s.snapshotAt = upto
 	s.mu.Unlock()
 	if err != nil {
 		return
@@ -306,14 +306,14 @@
 	if err != nil {
 		return
 	}
-	var have Snapshot
-	if old.Revision != 0 && (json.Unmarshal(old.Value, &have) != nil || have.Upto >= upto) {
+	var stored Snapshot
+	if old.Revision != 0 && (json.Unmarshal(old.Value, &stored) != nil || stored.Upto >= upto) {
 		return
 	}
 	_, _ = s.store.CompareAndSwap(ctx, key, old.Revision, value, 0)
 }
 
-// ShardState is a shard as dumps show it.
+// ShardState is the state of a shard in debug dumps.
 type ShardState struct {
 	Shard   int   `json:"shard"`
 	Last    int64 `json:"last_segment"`
@@ -322,7 +322,7 @@
 	Scans   int64 `json:"log_scans"`
 }
 
-// State returns the shard's counts.
+// State returns the shard's state for debug dumps.
 func (s *Shard) State() ShardState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
