--- a/coord/claim/claim.go
+++ b/coord/claim/claim.go
@@ -1,7 +1,7 @@
-// Package claim makes sure that a non-idempotent request runs at most once in the
-// whole fleet. Whoever wants to run one first creates its claim in the store, by
-// compare-and-swap on an absent key; only the creator may run it. When it ended,
-// the claim keeps a bounded answer, so that a retry gets the answer and not a run.
+// Package claim ensures that a non-idempotent request runs at most once in the whole
+// fleet. Before a process runs one, it creates the request's claim in the store, by
+// compare-and-swap on an absent key; only the creator may run it. After the run the
+// claim holds a response of bounded size, which retries receive without another run.
 package claim
 
 import (
@@ -19,68 +19,69 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("claim")
 
-// ErrUnavailable says that the store did not confirm the claim, so the request
+// ErrUnavailable means that the store did not confirm the claim, so the request
 // must not run.
 var ErrUnavailable = errs.New("claim is not durable")
 
-// State is how far a claimed request is.
+// State is the progress of a claimed request.
 type State string
 
-// The states.
 const (
-	// Started requests may or may not have had their effect.
+	// Started means that the request may or may not have taken effect.
 	Started State = "started"
-	// Ended requests had their effect once; the answer is kept.
+	// Ended means that the request took effect once and its response is stored.
 	Ended State = "ended"
-	// Withdrawn requests never left; another try may run.
+	// Withdrawn means that the request was never sent; another attempt may run it.
 	Withdrawn State = "withdrawn"
 )
 
-// Claim is the value under a request's key.
+// Claim is the value stored under a request's key.
 type Claim struct {
 	// Owner is the incarnation that may run the request.
 	Owner string `json:"owner"`
-	// Nonce tells two tries of one owner apart.
+	// Nonce distinguishes the attempts of one owner.
 	Nonce int64 `json:"nonce"`
-	// Digest is that of the request; a key reused for another request differs.
+	// Digest is the request's digest. It reveals an idempotency key that is reused for
+	// a different request.
 	Digest string `json:"digest"`
 	State  State  `json:"state"`
-	// Answer is what the first run answered, once Ended.
+	// Answer is the response of the run, set once the state is Ended.
 	Answer json.RawMessage `json:"answer,omitempty"`
 }
 
-// Register is where claims are kept.
+// Register stores claims under Prefix.
 type Register struct {
 	Store  store.Store
 	Prefix string
 }
 
-// Pauses between tries within one call.
+// Retry backoff within one call.
 const (
-	pauseMin = 5 * time.Millisecond
-	pauseMax = 200 * time.Millisecond
+	backoffMin = 5 * time.Millisecond
+	backoffMax = 200 * time.Millisecond
 )
 
-// Take claims the request. When mine is true the caller, and nobody else, may run
-// it. Else the returned claim is another's, as it stands. ErrUnavailable means that
-// nobody was given the right by this call.
-func (r Register) Take(ctx context.Context, id string, want Claim) (got Claim, mine bool, err error) {
+// Take claims the request. When acquired is true, only the caller may run it. Else
+// the returned claim is the current claim of another attempt. After ErrUnavailable
+// nobody may run the request because of this call.
+func (r Register) Take(ctx context.Context, id string, want Claim) (got Claim, acquired bool, err error) {
 	want.State = Started
 	value, err := json.Marshal(want)
 	if err != nil {
 		return Claim{}, false, Error.Wrap(err)
 	}
-	pause := backoff.New(pauseMin, pauseMax)
+	pause := backoff.New(backoffMin, backoffMax)
 	for {
-		got, mine, err := r.takeOnce(ctx, id, want, value)
+		got, acquired, err := r.acquireOnce(ctx, id, want, value)
 		if err == nil || pause.Wait(ctx) != nil {
-			return got, mine, err
+			return got, acquired, err
 		}
 	}
 }
 
-// takeOnce reads first: after a lost answer it finds its own claim there.
-func (r Register) takeOnce(ctx context.Context, id string, want Claim, value []byte) (Claim, bool, error) {
+// acquireOnce reads the key first: if the response to an earlier write was lost, it
+// finds its own claim there.
+func (r Register) acquireOnce(ctx context.Context, id string, want Claim, value []byte) (Claim, bool, error) {
 	item, err := r.Store.Get(ctx, r.Prefix+id)
 	if err != nil {
 		return Claim{}, false, Error.Wrap(errors.Join(ErrUnavailable, err))
@@ -103,14 +104,15 @@
 	return want, true, nil
 }
 
-// End records how the claimed request ended. Only the owner's own claim is changed.
-func (r Register) End(ctx context.Context, id string, mine Claim, state State, answer json.RawMessage) error {
+// End sets the state and the response of a claim. It changes nothing if the stored
+// claim has another owner or nonce than own.
+func (r Register) End(ctx context.Context, id string, own Claim, state State, answer json.RawMessage) error {
 	_, err := store.Update(ctx, r.Store, r.Prefix+id, func(old store.Item) ([]byte, error) {
 		var have Claim
 		if err := json.Unmarshal(old.Value, &have); err != nil {
 			return nil, Error.Wrap(err)
 		}
-		if have.Owner != mine.Owner || have.Nonce != mine.Nonce {
+		if have.Owner != own.Owner || have.Nonce != own.Nonce {
 			return old.Value, nil
 		}
 		have.State, have.Answer = state, answer
