--- a/coord/store/memstore/memstore.go
+++ b/coord/store/memstore/memstore.go
@@ -1,5 +1,5 @@
-// Package memstore is a Store in memory, for tests and for stand-ins of the
-// platform. It can be told to fail the ways the platform fails.
+// Package memstore implements an in-memory store.Store for tests and for stand-ins
+// of the platform. It can inject the platform's failures.
 package memstore
 
 import (
@@ -14,25 +14,25 @@
 	"github.com/arbutusmill/arbutusmill/coord/store"
 )
 
-// Faults are the failures to play. The zero value plays none.
+// Faults are the failures to inject. The zero value injects none.
 type Faults struct {
-	// Down makes every call fail without effect.
+	// Down makes every call fail without effect, with store.ErrUnknown.
 	Down bool `json:"down"`
-	// LoseWrites makes that many next writes take effect and then lose
-	// their answers.
+	// LoseWrites is the number of next writes that take effect and then
+	// return store.ErrUnknown, as if the response were lost.
 	LoseWrites int `json:"lose_writes"`
-	// Delay is added to each call.
+	// Delay is the latency added to each call.
 	Delay time.Duration `json:"delay_ns"`
 }
 
-// Calls counts the calls answered or refused so far.
+// Calls counts the calls so far, including failed ones.
 type Calls struct {
 	Reads   int64 `json:"reads"`
 	Writes  int64 `json:"writes"`
 	Watches int64 `json:"watches"`
-	// WrittenBytes sums the sizes of the values of all write calls.
+	// WrittenBytes is the total size of the values in all write calls.
 	WrittenBytes int64 `json:"written_bytes"`
-	// ReadBytes sums the sizes of the values of all read calls.
+	// ReadBytes is the total size of the values that all read calls returned.
 	ReadBytes int64 `json:"read_bytes"`
 }
 
@@ -51,7 +51,7 @@
 	expires time.Time
 }
 
-// Store keeps keys in memory. Use New.
+// Store is an in-memory store.Store. New creates one; the zero value is not usable.
 type Store struct {
 	mu       sync.Mutex
 	rev      store.Revision
@@ -59,8 +59,8 @@
 	keys     []string // sorted
 	leases   map[store.LeaseID]*lease
 	watchers map[*watcher]struct{}
-	// history holds the newest events, oldest first; what came up to compacted
-	// is gone.
+	// history holds the newest events, oldest first. Events up to revision
+	// compacted are discarded.
 	history   []store.Event
 	compacted store.Revision
 	faults    Faults
@@ -78,28 +78,28 @@
 	}
 }
 
-// SetFaults replaces the failures to play. A store that goes down also closes
-// its watches.
+// SetFaults replaces the failures to inject. Down also closes all watches.
 func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 	if f.Down {
 		for w := range s.watchers {
-			s.dropLocked(w)
+			s.closeWatchLocked(w)
 		}
 	}
 }
 
-// Calls returns the counts so far.
+// Calls returns the call counters.
 func (s *Store) Calls() Calls {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// enter counts a call and plays the faults that come before its effect.
-func (s *Store) enter(ctx context.Context, count func(*Calls)) error {
+// beginCall counts a call, injects the faults that precede its effect and removes
+// expired leases.
+func (s *Store) beginCall(ctx context.Context, count func(*Calls)) error {
 	s.mu.Lock()
 	count(&s.calls)
 	delay := s.faults.Delay
@@ -123,8 +123,8 @@
 	return backoff.Sleep(ctx, d)
 }
 
-// loseLocked reports whether the answer of the write just made is lost.
-func (s *Store) loseLocked() bool {
+// loseResponseLocked reports whether the response of the current write is lost.
+func (s *Store) loseResponseLocked() bool {
 	if s.faults.LoseWrites == 0 {
 		return false
 	}
@@ -134,7 +134,7 @@
 
 // Get implements store.Store.
 func (s *Store) Get(ctx context.Context, key string) (store.Item, error) {
-	if err := s.enter(ctx, func(c *Calls) { c.Reads++ }); err != nil {
+	if err := s.beginCall(ctx, func(c *Calls) { c.Reads++ }); err != nil {
 		return store.Item{}, err
 	}
 	s.mu.Lock()
@@ -146,7 +146,7 @@
 
 // List implements store.Store.
 func (s *Store) List(ctx context.Context, prefix, from string, limit int) ([]store.Item, error) {
-	if err := s.enter(ctx, func(c *Calls) { c.Reads++ }); err != nil {
+	if err := s.beginCall(ctx, func(c *Calls) { c.Reads++ }); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
@@ -166,8 +166,8 @@
 
 // Snapshot implements store.Store.
 func (s *Store) Snapshot(ctx context.Context, prefix string) ([]store.Item, store.Revision, error) {
-	// The revision is read first: a write between the two reads is then sent
-	// again by the watch instead of being missed.
+	// Read the revision first, so that the watch sends a write between the two
+	// reads again instead of missing it.
 	rev := s.Revision()
 	items, err := s.List(ctx, prefix, "", math.MaxInt)
 	return items, rev, err
@@ -178,7 +178,7 @@
 	return s.List(ctx, prefix, "", math.MaxInt)
 }
 
-// Revision returns the number of the last write.
+// Revision returns the revision of the last write.
 func (s *Store) Revision() store.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -190,7 +190,7 @@
 	if len(value) > store.MaxValueBytes {
 		return 0, store.Error.Wrap(store.ErrTooLarge)
 	}
-	if err := s.enter(ctx, func(c *Calls) { c.Writes++; c.WrittenBytes += int64(len(value)) }); err != nil {
+	if err := s.beginCall(ctx, func(c *Calls) { c.Writes++; c.WrittenBytes += int64(len(value)) }); err != nil {
 		return 0, err
 	}
 	s.mu.Lock()
@@ -202,7 +202,7 @@
 		return 0, store.Error.Wrap(store.ErrNoLease)
 	}
 	s.putLocked(key, value, id)
-	if s.loseLocked() {
+	if s.loseResponseLocked() {
 		return 0, store.Error.Wrap(store.ErrUnknown)
 	}
 	return s.rev, nil
@@ -210,7 +210,7 @@
 
 // Delete implements store.Store.
 func (s *Store) Delete(ctx context.Context, key string, expect store.Revision) error {
-	if err := s.enter(ctx, func(c *Calls) { c.Writes++ }); err != nil {
+	if err := s.beginCall(ctx, func(c *Calls) { c.Writes++ }); err != nil {
 		return err
 	}
 	s.mu.Lock()
@@ -219,7 +219,7 @@
 		return store.Error.Wrap(store.ErrConflict)
 	}
 	s.deleteLocked(key)
-	if s.loseLocked() {
+	if s.loseResponseLocked() {
 		return store.Error.Wrap(store.ErrUnknown)
 	}
 	return nil
--- a/coord/store/memstore/watch.go
+++ b/coord/store/memstore/watch.go
@@ -8,11 +8,11 @@
 	"github.com/arbutusmill/arbutusmill/coord/store"
 )
 
-// watchBuffer bounds the events that wait for a slow watcher. One that falls
-// further behind is closed, and reads its keys again.
+// watchBuffer is the number of events buffered for a slow watcher. A watch that falls
+// further behind is closed, and its client must read the keys again.
 const watchBuffer = 256
 
-// progressInterval is the pause between the progress events of a watch.
+// progressInterval is the interval between progress events of a watch.
 const progressInterval = time.Second
 
 type watcher struct {
@@ -21,18 +21,18 @@
 	closed bool
 }
 
-// historyEvents bounds the events that are kept for watches from older revisions.
-const historyEvents = 4096
+// maxHistoryEvents is the number of events kept for watches from older revisions.
+const maxHistoryEvents = 4096
 
-// Watch implements store.Store. It begins with the events after the given revision; if
-// they are gone, the watch ends with ErrCompacted.
+// Watch implements store.Store. It starts with the events after the given revision; if
+// these are no longer in the history, the watch ends with store.ErrCompacted.
 func (s *Store) Watch(ctx context.Context, prefix string, after store.Revision) (<-chan store.Event, error) {
-	if err := s.enter(ctx, func(c *Calls) { c.Watches++ }); err != nil {
+	if err := s.beginCall(ctx, func(c *Calls) { c.Watches++ }); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	replay := s.sinceLocked(prefix, after)
+	replay := s.eventsAfterLocked(prefix, after)
 	w := &watcher{prefix: prefix, events: make(chan store.Event, len(replay)+watchBuffer)}
 	s.watchers[w] = struct{}{}
 	for _, e := range replay {
@@ -40,14 +40,14 @@
 	}
 	if after < s.compacted {
 		s.sendLocked(w, store.Event{Err: store.Error.Wrap(store.ErrCompacted)})
-		s.dropLocked(w)
+		s.closeWatchLocked(w)
 	}
-	go s.tend(ctx, w)
+	go s.sendProgressUntilDone(ctx, w)
 	return w.events, nil
 }
 
-// sinceLocked lists the kept events of a prefix after a revision.
-func (s *Store) sinceLocked(prefix string, after store.Revision) []store.Event {
+// eventsAfterLocked returns the events of a prefix in the history after a revision.
+func (s *Store) eventsAfterLocked(prefix string, after store.Revision) []store.Event {
 	if after < s.compacted {
 		return nil
 	}
@@ -60,37 +60,38 @@
 	return out
 }
 
-// Compact forgets the history and ends all watches.
+// Compact discards the history and ends all watches.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history, s.compacted = nil, s.rev
 	for w := range s.watchers {
-		s.dropLocked(w)
+		s.closeWatchLocked(w)
 	}
 }
 
-// tend sends progress events until the watch ends.
-func (s *Store) tend(ctx context.Context, w *watcher) {
+// sendProgressUntilDone sends progress events until the watch ends, and closes the
+// watch when ctx is done.
+func (s *Store) sendProgressUntilDone(ctx context.Context, w *watcher) {
 	t := time.NewTicker(progressInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			s.mu.Lock()
-			s.dropLocked(w)
+			s.closeWatchLocked(w)
 			s.mu.Unlock()
 			return
 		case <-t.C:
-			if !s.progress(w) {
+			if !s.sendProgress(w) {
 				return
 			}
 		}
 	}
 }
 
-// progress sends one progress event; it reports whether the watch goes on.
-func (s *Store) progress(w *watcher) bool {
+// sendProgress sends one progress event and reports whether the watch is still open.
+func (s *Store) sendProgress(w *watcher) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireLocked(time.Now())
@@ -100,7 +101,7 @@
 
 func (s *Store) notifyLocked(ev store.Event) {
 	s.history = append(s.history, ev)
-	if over := len(s.history) - historyEvents; over > 0 {
+	if over := len(s.history) - maxHistoryEvents; over > 0 {
 		s.compacted = s.history[over-1].Revision
 		s.history = append([]store.Event(nil), s.history[over:]...)
 	}
@@ -118,11 +119,11 @@
 	select {
 	case w.events <- ev:
 	default:
-		s.dropLocked(w)
+		s.closeWatchLocked(w)
 	}
 }
 
-func (s *Store) dropLocked(w *watcher) {
+func (s *Store) closeWatchLocked(w *watcher) {
 	if w.closed {
 		return
 	}
@@ -133,7 +134,7 @@
 
 // GrantLease implements store.Store.
 func (s *Store) GrantLease(ctx context.Context, ttl time.Duration) (store.LeaseID, error) {
-	if err := s.enter(ctx, func(c *Calls) { c.Writes++ }); err != nil {
+	if err := s.beginCall(ctx, func(c *Calls) { c.Writes++ }); err != nil {
 		return 0, err
 	}
 	s.mu.Lock()
@@ -146,7 +147,7 @@
 
 // KeepAlive implements store.Store.
 func (s *Store) KeepAlive(ctx context.Context, id store.LeaseID) error {
-	if err := s.enter(ctx, func(c *Calls) { c.Writes++ }); err != nil {
+	if err := s.beginCall(ctx, func(c *Calls) { c.Writes++ }); err != nil {
 		return err
 	}
 	s.mu.Lock()
@@ -161,7 +162,7 @@
 
 // EndLease implements store.Store.
 func (s *Store) EndLease(ctx context.Context, id store.LeaseID) error {
-	if err := s.enter(ctx, func(c *Calls) { c.Writes++ }); err != nil {
+	if err := s.beginCall(ctx, func(c *Calls) { c.Writes++ }); err != nil {
 		return err
 	}
 	s.mu.Lock()
@@ -171,7 +172,7 @@
 	return nil
 }
 
-// expireLocked removes the leases that lapsed, and their keys.
+// expireLocked removes expired leases and their keys.
 func (s *Store) expireLocked(now time.Time) {
 	for id, l := range s.leases {
 		if now.After(l.expires) {
--- a/coord/store/update.go
+++ b/coord/store/update.go
@@ -9,32 +9,33 @@
 	"github.com/arbutusmill/arbutusmill/coord/backoff"
 )
 
-// Change computes a key's next value from the current one (nil when absent).
-// It is called again after each conflict and after each lost answer, so it must
-// be idempotent: given a value that already holds its effect, it returns that
-// value unchanged.
+// Change computes a key's next value from the current item, whose value is nil when
+// the key is absent. It is called again after each conflict and each unknown
+// outcome, so it must be idempotent: given a value that already holds its effect,
+// it returns that value unchanged.
 type Change func(old Item) (next []byte, err error)
 
-// Retry bounds of Update: the first pause and the longest one.
+// Retry backoff of Update.
 const (
-	updatePauseMin = 2 * time.Millisecond
-	updatePauseMax = 200 * time.Millisecond
+	updateBackoffMin = 2 * time.Millisecond
+	updateBackoffMax = 200 * time.Millisecond
 )
 
-// Update applies change to the key until its effect is durable or the context
-// ends. It guards against the answer that is lost after a write took effect: it
-// reads the key again, and change finds its own effect there instead of
-// applying it twice.
+// Update applies change to the key and retries until its effect is durable or the
+// context ends. After a response that was lost although the write took effect, it
+// reads the key again, and change finds its own effect there instead of applying
+// it twice.
 //
-// When the context ends before the outcome is known, the error wraps ErrUnknown.
+// If the context ends before the outcome is known, the error wraps ErrUnknown.
 func Update(ctx context.Context, s Store, key string, change Change) (Item, error) {
 	return UpdateFrom(ctx, s, key, Item{}, change)
 }
 
 // UpdateFrom is Update with a known item in place of the first read; an item with
-// revision 0 is not known. If it is out of date, the write fails and the key is read.
+// revision 0 counts as unknown. If the item is stale, the write conflicts and the key
+// is read.
 func UpdateFrom(ctx context.Context, s Store, key string, known Item, change Change) (Item, error) {
-	pause := backoff.New(updatePauseMin, updatePauseMax)
+	pause := backoff.New(updateBackoffMin, updateBackoffMax)
 	for {
 		item, err := updateOnce(ctx, s, key, known, change)
 		known = Item{}
