--- a/coord/virtualtime/context_own.go
+++ b/coord/virtualtime/context_own.go
@@ -2,6 +2,6 @@
 
 package virtualtime
 
-// oneTimerContext is false where each thread has a race context of its own for timers, or
-// there is no race detector.
-const oneTimerContext = false
+// sharedTimerContext is false if each thread has its own race detector context for timers,
+// or if there is no race detector.
+const sharedTimerContext = false
--- a/coord/virtualtime/context_shared.go
+++ b/coord/virtualtime/context_shared.go
@@ -2,7 +2,7 @@
 
 package virtualtime
 
-// oneTimerContext tells that all timers of a bubble use one context of the race detector. Two
-// timers that run at the same moment on two threads overwrite its shadow stack, which ends the
-// process: SIGSEGV, "unexpected return pc", or "ThreadSanitizer: CHECK failed".
-const oneTimerContext = true
+// sharedTimerContext is true if all timers of a bubble share one race detector context. Two
+// timers that run on two threads at once overwrite its shadow stack and crash the process
+// with SIGSEGV, "unexpected return pc", or "ThreadSanitizer: CHECK failed".
+const sharedTimerContext = true
--- a/coord/virtualtime/virtualtime.go
+++ b/coord/virtualtime/virtualtime.go
@@ -1,5 +1,5 @@
-// Package virtualtime runs tests in virtual time: a second of a test's clock takes no real
-// time, and passes only when all goroutines of the test wait.
+// Package virtualtime runs tests in virtual time: the clock of a test takes no real time
+// and advances only when all goroutines of the test are blocked.
 package virtualtime
 
 import (
@@ -10,13 +10,13 @@
 
 // Test runs f in a synctest bubble. Tests call it instead of synctest.Test.
 //
-// Where the race detector cannot follow timers of one bubble on several threads, the bubble
-// gets one thread. The detector still finds races there, since it goes by the order that
-// synchronization gives and not by what ran at the same moment. The setting holds for the
-// whole process, so parallel tests must not call Test.
+// Where the race detector does not support timers of one bubble on several threads, the
+// test runs with GOMAXPROCS 1. The detector still finds races, because it checks the order
+// that synchronization establishes and not whether accesses overlap in time. GOMAXPROCS
+// applies to the whole process, so parallel tests must not call Test.
 func Test(t *testing.T, f func(t *testing.T)) {
 	t.Helper()
-	if oneTimerContext {
+	if sharedTimerContext {
 		defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	}
 	synctest.Test(t, f)
--- a/coord/virtualtime/virtualtime_test.go
+++ b/coord/virtualtime/virtualtime_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// many lets 16 goroutines of one bubble do the same thing at the same virtual moments.
-func many(t *testing.T, do func()) {
+// runConcurrently calls do in 16 goroutines of one bubble at the same virtual times.
+func runConcurrently(t *testing.T, do func()) {
 	const bubbles, goroutines, times = 10, 16, 2000
 	for range bubbles {
 		virtualtime.Test(t, func(t *testing.T) {
@@ -27,9 +27,9 @@
 	}
 }
 
-// Guards against a test process that the race detector ends while timers of one moment run.
-func TestTimersOfOneMoment(t *testing.T) {
-	many(t, func() {
+// Guards against a crash in the race detector when timers fire at the same virtual time.
+func TestSimultaneousTimers(t *testing.T) {
+	runConcurrently(t, func() {
 		timer := time.NewTimer(time.Millisecond)
 		time.Sleep(time.Millisecond)
 		select {
@@ -39,9 +39,9 @@
 	})
 }
 
-// Guards against the same end where a timer is due as soon as it is set.
-func TestTimersDueAtOnce(t *testing.T) {
-	many(t, func() {
+// Guards against the same crash with timers that are due as soon as they are set.
+func TestTimersDueImmediately(t *testing.T) {
+	runConcurrently(t, func() {
 		select {
 		case <-time.NewTimer(0).C:
 		default:
@@ -54,8 +54,8 @@
 
 func TestClockIsVirtual(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		began := time.Now()
+		start := time.Now()
 		time.Sleep(time.Hour)
-		require.Equal(t, time.Hour, time.Since(began))
+		require.Equal(t, time.Hour, time.Since(start))
 	})
 }
