--- a/pool/choose.go
+++ b/pool/choose.go
@@ -10,71 +10,72 @@
 )
 
 const (
-	// mostChoices bounds the choices for one request, when the chosen upstream takes no new
-	// work any more by the time that the process beside it has answered.
-	mostChoices = 3
-	// mostMoves bounds how often a prompt goes elsewhere because an engine has more to read
-	// than was believed; each move is a message that the caller waits for.
-	mostMoves = 2
-	// mostDenied bounds the engines that may give no leave to one prompt, likewise.
-	mostDenied = 6
+	// maxChoices bounds the choices for one request when the chosen upstream stops accepting
+	// work before its lender has answered.
+	maxChoices = 3
+	// maxRedirects bounds how often a prompt is moved because an engine's backlog is larger
+	// than estimated; each move costs a message that the caller waits for.
+	maxRedirects = 2
+	// maxDenials bounds the engines that may deny admission to one prompt, for the same reason.
+	maxDenials = 6
 )
 
-// Pick implements serving.Upstreams' choice.
+// Pick implements serving.Upstreams: it chooses an upstream and begins an attempt there.
 func (p *Pool) Pick(r *serving.Request, attempts []serving.Attempt) (serving.Target, bool) {
-	for range mostChoices {
+	for range maxChoices {
 		c := p.candidates(r, attempts)
-		choice, ok := c.choose()
+		choice, ok := c.choosePreferred()
 		if !ok {
-			c.logHeld(nil)
+			c.reportHeld(nil)
 			return serving.Target{}, false
 		}
-		// Its data centre may have been emptied while others were asked.
+		// Its data centre may have been emptied while lenders were asked.
 		if u := c.ups[choice.Index]; !p.Directory.Takes(u) {
 			continue
 		}
-		if target, ok := p.take(c, choice); ok {
-			c.tellHome(choice)
-			c.logHeld(&target.Life)
+		if target, ok := p.beginAttempt(c, choice); ok {
+			c.notifyPreferred(choice)
+			c.reportHeld(&target.Life)
 			return target, true
 		}
 	}
 	return serving.Target{}, false
 }
 
-// take begins an attempt at the chosen upstream; see takeLocked.
-func (p *Pool) take(c *candidates, choice placement.Choice) (serving.Target, bool) {
+// beginAttempt begins an attempt at the chosen upstream; see takeLocked.
+func (p *Pool) beginAttempt(c *candidates, choice placement.Choice) (serving.Target, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.takeLocked(p.Now(), c.r, c.ups, choice, c.granted)
+	return p.beginAttemptLocked(p.Now(), c.r, c.ups, choice, c.granted)
 }
 
-// Serves reports whether any upstream may take the request, now or soon.
-func (p *Pool) Serves(r *serving.Request) bool { return len(p.allowed(r, nil)) > 0 }
+// Serves reports whether any upstream may take the request, now or later.
+func (p *Pool) Serves(r *serving.Request) bool { return len(p.eligible(r, nil)) > 0 }
 
-// candidates is one choice: the upstreams that may be chosen, and what is known of them.
+// candidates holds the eligible upstreams of one choice and their state.
 type candidates struct {
 	pool  *Pool
 	r     *serving.Request
 	ups   []directory.Upstream
 	views []placement.Upstream
 	rates placement.Rates
-	// granted says that the process beside the chosen upstream has given leave.
+	// granted is set when the chosen upstream's lender has admitted the prompt.
 	granted bool
-	// held is what limits hold back, denied how many of those the process beside an upstream denied.
+	// held counts the upstreams excluded by limits, denied those among them whose lender denied
+	// the prompt.
 	held   Held
 	denied int
 }
 
 func (p *Pool) candidates(r *serving.Request, attempts []serving.Attempt) *candidates {
-	ups := p.allowed(r, attempts)
+	ups := p.eligible(r, attempts)
 	views, held := p.views(r, ups)
 	return &candidates{pool: p, r: r, ups: ups, views: views, held: held, rates: p.rates(r)}
 }
 
-// allowed are the upstreams of the request's service in the regions where it may be served,
-// without those that it was sent to.
-func (p *Pool) allowed(r *serving.Request, attempts []serving.Attempt) []directory.Upstream {
+// eligible returns the upstreams of the request's service in its allowed regions, without those
+// already tried.
+func (p *Pool) eligible(r *serving.Request, attempts []serving.Attempt) []directory.Upstream {
 	ups := p.Directory.Of(r.Service.Name)
 	if len(attempts) == 0 && r.Regions == nil {
 		return ups
@@ -92,28 +93,28 @@
 	return out
 }
 
-// choose finds the best by what is known here, and for prompts asks the process beside it.
-func (c *candidates) choose() (placement.Choice, bool) {
+// choosePreferred chooses by local state and, for prompts, confirms the choice with the upstream's lender.
+func (c *candidates) choosePreferred() (placement.Choice, bool) {
 	choice, ok := c.best()
 	if !ok || c.pool.Ask == nil || c.r.Prompt <= 0 {
 		return choice, ok
 	}
-	return c.ask(choice)
+	return c.announceAndChoose(choice)
 }
 
 func (c *candidates) best() (placement.Choice, bool) {
 	return placement.Choose(c.r, c.views, c.rates, rand.IntN)
 }
 
-// ask announces the prompt at the chosen engine, and chooses again by what that has cached and
-// still has to read, or if it is cold and has had what it bears. An announcement at an engine that is
-// not taken is withdrawn.
-func (c *candidates) ask(choice placement.Choice) (placement.Choice, bool) {
-	moves := 0
-	for range mostMoves + mostDenied + 1 {
+// announceAndChoose announces the prompt to the chosen engine's lender and chooses again with the cache
+// and backlog that it reports, or without that engine if it denies the prompt. Announcements to
+// engines that are not chosen are withdrawn.
+func (c *candidates) announceAndChoose(choice placement.Choice) (placement.Choice, bool) {
+	redirects := 0
+	for range maxRedirects + maxDenials + 1 {
 		u, view := c.ups[choice.Index], &c.views[choice.Index]
-		told, answered := c.pool.announce(c.r, u, choice)
-		if c.turnedAway(u, told, answered) {
+		reply, answered := c.pool.announce(c.r, u, choice)
+		if c.rejected(u, reply, answered) {
 			view.Closed = true
 			next, ok := c.best()
 			if !ok {
@@ -123,47 +124,47 @@
 			continue
 		}
 		c.granted = answered
-		if !answered || moves == mostMoves {
+		if !answered || redirects == maxRedirects {
 			return choice, true
 		}
-		view.Told = &told
-		c.learn(told)
-		next, _ := c.best() // the one that was just asked is there
+		view.Told = &reply
+		c.addRemoteCache(reply)
+		next, _ := c.best() // not empty: the engine just asked is still a candidate
 		if next.Index == choice.Index {
 			return next, true
 		}
-		c.pool.Withdraw(u.Address, c.pool.announcement(c.r, u, choice), told)
-		moves++
+		c.pool.Withdraw(u.Address, c.pool.announcement(c.r, u, choice), reply)
+		redirects++
 		choice = next
 	}
 	return placement.Choice{}, false
 }
 
-// turnedAway reports whether an upstream must not get the prompt by what the process beside it
-// told, or since it did not answer.
-func (c *candidates) turnedAway(u directory.Upstream, told prefill.Told, answered bool) bool {
+// rejected reports whether an upstream must not get the prompt, because its lender denied it or
+// did not answer.
+func (c *candidates) rejected(u directory.Upstream, reply prefill.Told, answered bool) bool {
 	if !answered {
-		return c.pool.needsLeave(c.r, u) || c.pool.unreachedLimit(c.r, u)
+		return c.pool.requiresAdmission(c.r, u) || c.pool.exceedsUnreachedLimit(c.r, u)
 	}
-	c.pool.adoptLimit(u.Life, told.Limit)
-	if told.Denied && told.Next > 0 {
-		c.pool.denied(u.Life, c.r.Rank, told.Next)
-		c.held.add(told.Next)
-		c.deniedByLimit()
+	c.pool.adoptLimit(u.Life, reply.Limit)
+	if reply.Denied && reply.Next > 0 {
+		c.pool.recordDenial(u.Life, c.r.Rank, reply.Next)
+		c.held.add(reply.Next)
+		c.countLimitDenial()
 	}
-	return told.Denied
+	return reply.Denied
 }
 
-// deniedByLimit leaves all upstreams that name a limit alone after a few have denied the prompt for
-// theirs, if there are others.
-func (c *candidates) deniedByLimit() {
-	if c.denied++; c.denied < mostLimitsAsked {
+// countLimitDenial excludes all upstreams with a limit after maxLimitDenials of them have denied the
+// prompt for it, if there are others.
+func (c *candidates) countLimitDenial() {
+	if c.denied++; c.denied < maxLimitDenials {
 		return
 	}
 	limited := make([]bool, len(c.ups))
 	others := false
 	for i, u := range c.ups {
-		limited[i] = c.pool.limitKnown(u.Life).PerSecond > 0
+		limited[i] = c.pool.currentLimit(u.Life).PerSecond > 0
 		others = others || !limited[i] && !c.views[i].Closed && !c.views[i].Avoid
 	}
 	for i := range c.views {
@@ -171,37 +172,37 @@
 	}
 }
 
-// logHeld tells of a choice that limits had a part in.
-func (c *candidates) logHeld(chosen *directory.Life) {
+// reportHeld reports a choice in which limits excluded upstreams.
+func (c *candidates) reportHeld(chosen *directory.Life) {
 	if c.held.Held > 0 {
 		c.held.Chosen = chosen
 		c.pool.Limits.Held(c.r, c.held)
 	}
 }
 
-// learn takes in which other engine keeps more of the prompt.
-func (c *candidates) learn(told prefill.Told) {
-	if told.ElsewhereTokens == 0 {
+// addRemoteCache records which other engine has more of the prompt cached.
+func (c *candidates) addRemoteCache(reply prefill.Told) {
+	if reply.ElsewhereTokens == 0 {
 		return
 	}
 	for i := range c.views {
-		if v := &c.views[i]; v.Life == told.Elsewhere {
-			v.Cached = max(v.Cached, told.ElsewhereTokens)
+		if v := &c.views[i]; v.Life == reply.Elsewhere {
+			v.Cached = max(v.Cached, reply.ElsewhereTokens)
 		}
 	}
 }
 
-// tellHome tells the process beside the engine that the prompt prefers that another one reads its
-// shared parts, unless that engine is believed to keep them, or knows.
-func (c *candidates) tellHome(choice placement.Choice) {
+// notifyPreferred informs the lender of the prompt's preferred engine that another engine prefills the
+// shared parts, unless the preferred one probably has them cached or its lender already has that record.
+func (c *candidates) notifyPreferred(choice placement.Choice) {
 	p, shared := c.pool, placement.Shared(c.r.Parts)
 	if p.ReadElsewhere == nil || choice.Home < 0 || choice.Home == choice.Index {
 		return
 	}
-	home := c.views[choice.Home]
-	known := home.Cached
-	if home.Told != nil {
-		known = max(home.Told.Cached, home.Told.ElsewhereTokens)
+	preferred := c.views[choice.Home]
+	known := preferred.Cached
+	if preferred.Told != nil {
+		known = max(preferred.Told.Cached, preferred.Told.ElsewhereTokens)
 	}
 	if prefill.TokensOf(shared)-known < placement.FetchLeast {
 		return
@@ -209,19 +210,19 @@
 	p.ReadElsewhere(c.ups[choice.Home].Address, prefill.Elsewhere{Parts: shared, By: c.ups[choice.Index].Life})
 }
 
-// announce tells the process beside an engine of a prompt. An answer about another life of the
-// engine is none: either the entry is late or that process is, and a cache that is gone would
-// draw prompts there.
+// announce announces a prompt to an engine's lender. A reply about another incarnation of the
+// engine is ignored: the directory entry or the lender is out of date, and the cache of an ended
+// incarnation would attract prompts.
 func (p *Pool) announce(r *serving.Request, u directory.Upstream, c placement.Choice) (prefill.Told, bool) {
-	told, ok := p.Ask(u.Address, p.announcement(r, u, c))
-	return told, ok && told.Born == u.Born
+	reply, ok := p.Ask(u.Address, p.announcement(r, u, c))
+	return reply, ok && reply.Born == u.Born
 }
 
 func (p *Pool) announcement(r *serving.Request, u directory.Upstream, c placement.Choice) prefill.Announcement {
 	a := prefill.Announcement{Prompt: r.Prompt, Parts: r.Parts, Fetched: c.Fetched,
 		Most: p.Cold.Most(r.Service.Cold.PerSecond), Cold: p.cold(p.Now(), r, u),
-		Rank: r.Rank, Limit: p.limitKnown(u.Life)}
-	if rate, known := p.readingOf(r.Service.Name).perMs(p.PrefillPerMs); known {
+		Rank: r.Rank, Limit: p.currentLimit(u.Life)}
+	if rate, known := p.prefillRateOf(r.Service.Name).tokensPerMs(p.PrefillPerMs); known {
 		a.PerMs = rate
 	}
 	return a
--- a/pool/limit.go
+++ b/pool/limit.go
@@ -10,44 +10,44 @@
 	"github.com/arbutusmill/arbutusmill/serving"
 )
 
-// Limits is what a Pool needs to hold upstreams to the limits that they name. Its methods must not
+// Limits shares the rate limits that upstreams state and reports on them. Its methods must not
 // block.
 type Limits interface {
-	// Share is the part of an upstream's limit that is this router's, where nobody counts for all.
+	// Share returns this router's share of an upstream's limit, for upstreams without a lender.
 	Share(upstream string, perSecond float64) float64
-	// Tell tells the process beside the upstream at an address what an answer of its life that started
-	// at born said. known is called with what that process knows, if it answers.
+	// Tell reports to the lender of the upstream at an address the limit that the incarnation started
+	// at born stated. known is called with the lender's state, if it answers.
 	Tell(address string, born int64, w ratelimit.Word, known func(ratelimit.Known))
-	// Changed is called when what is known of a limit has changed, in requests a second; 0 is none.
-	// from says who told.
-	Changed(life directory.Life, was, now float64, from LimitSource)
-	// Unreadable is called for each limit that cannot be read; again says that the last one was the
-	// same. What was named before holds.
-	Unreadable(life directory.Life, err error, again bool)
-	// Held is called for each choice in which limits kept the request from some upstreams.
+	// Changed is called when a known limit has changed, in requests per second; 0 is none. from is the
+	// source of the new value.
+	Changed(incarnation directory.Life, was, now float64, from LimitSource)
+	// Unreadable is called for each limit that cannot be parsed; again is set if the previous one
+	// failed in the same way. The limit stated before stays in force.
+	Unreadable(incarnation directory.Life, err error, again bool)
+	// Held is called for each choice in which limits excluded upstreams.
 	Held(r *serving.Request, h Held)
 }
 
-// LimitSource is who told of a limit.
+// LimitSource is the source of a limit.
 type LimitSource string
 
-// The sources.
+// The sources: an answer of the upstream, or its lender.
 const (
 	FromAnswer LimitSource = "answer"
 	FromBeside LimitSource = "beside"
 )
 
-// Held is a choice that limits had a part in.
+// Held describes a choice in which limits excluded upstreams.
 type Held struct {
-	// Held is how many of the upstreams that might have served the request had no room.
+	// Held is how many of the Of eligible upstreams had no capacity left within their limits.
 	Held, Of int
-	// Chosen is the one that it goes to; nil if there is none.
+	// Chosen is the upstream that gets the request; nil if there is none.
 	Chosen *directory.Life
-	// Next is in how long one of them may have room; 0 if that is not known.
+	// Next is the time until one of them may have capacity; 0 if unknown.
 	Next time.Duration
 }
 
-// add counts one more upstream, which may have room in that time; 0 is not known.
+// add counts one more excluded upstream, which may have capacity after next; 0 is unknown.
 func (h *Held) add(next time.Duration) {
 	h.Held++
 	if next > 0 && (h.Next == 0 || next < h.Next) {
@@ -55,104 +55,104 @@
 	}
 }
 
-// leastRetryAfter is about the time of a caller's way back and here again.
-const leastRetryAfter = 50 * time.Millisecond
+// minRetryAfter is about a caller's round-trip time.
+const minRetryAfter = 50 * time.Millisecond
 
-// mostLimitsAsked bounds the processes beside upstreams that may deny one prompt for a limit while
-// others name none: each is a message that the caller waits for.
-const mostLimitsAsked = 2
+// maxLimitDenials bounds the lenders that may deny one prompt for a limit while other upstreams state
+// none: each denial costs a message that the caller waits for.
+const maxLimitDenials = 2
 
-// limitNamed notes the limit that an answer of an upstream names.
-func (p *Pool) limitNamed(r *run, perSecond float64, err error) {
+// observeLimit records the limit that an upstream's answer states.
+func (p *Pool) observeLimit(r *attempt, perSecond float64, err error) {
 	if err != nil {
 		p.Limits.Unreadable(r.upstream, err, p.sameLimitError(r.upstream, err.Error()))
 		return
 	}
-	word := ratelimit.Word{PerSecond: perSecond, Under: r.under}
+	report := ratelimit.Word{PerSecond: perSecond, Under: r.limitMark}
 	p.mu.Lock()
 	s := p.stateLocked(r.upstream)
 	s.limitError = ""
 	was := s.limiter.Known().PerSecond
-	changed := s.limiter.HearOwn(p.Now(), word)
+	changed := s.limiter.HearOwn(p.Now(), report)
 	p.mu.Unlock()
 	if !changed {
 		return
 	}
 	p.Limits.Changed(r.upstream, was, perSecond, FromAnswer)
-	p.Limits.Tell(r.address, r.upstream.Born, word, func(k ratelimit.Known) { p.adoptLimit(r.upstream, k) })
+	p.Limits.Tell(r.address, r.upstream.Born, report, func(k ratelimit.Known) { p.adoptLimit(r.upstream, k) })
 }
 
-// sameLimitError notes why a limit cannot be read, and reports whether the last one could not for the
-// same reason.
-func (p *Pool) sameLimitError(life directory.Life, text string) bool {
+// sameLimitError records why a limit cannot be parsed, and reports whether the previous one failed
+// for the same reason.
+func (p *Pool) sameLimitError(incarnation directory.Life, text string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := p.stateLocked(life)
+	s := p.stateLocked(incarnation)
 	same := s.limitError == text
 	s.limitError = text
 	return same
 }
 
-// adoptLimit takes what the process beside an upstream knows of its limit.
-func (p *Pool) adoptLimit(life directory.Life, k ratelimit.Known) {
+// adoptLimit takes over the limit that an upstream's lender reports.
+func (p *Pool) adoptLimit(incarnation directory.Life, k ratelimit.Known) {
 	if k.Mark.Source == 0 {
-		return // it tells of no limits
+		return // the lender reports no limits
 	}
 	p.mu.Lock()
-	s := p.stateLocked(life)
+	s := p.stateLocked(incarnation)
 	was := s.limiter.Known().PerSecond
 	changed := s.limiter.Adopt(p.Now(), k)
 	p.mu.Unlock()
 	if changed {
-		p.Limits.Changed(life, was, k.PerSecond, FromBeside)
+		p.Limits.Changed(incarnation, was, k.PerSecond, FromBeside)
 	}
 }
 
-// limitKnown is what is known of an upstream's limit.
-func (p *Pool) limitKnown(life directory.Life) ratelimit.Known {
+// currentLimit returns the known limit of an upstream.
+func (p *Pool) currentLimit(incarnation directory.Life) ratelimit.Known {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.stateLocked(life).limiter.Known()
+	return p.stateLocked(incarnation).limiter.Known()
 }
 
-// denial is the last word of the process beside an upstream that its limit had no room: for requests
-// of that rank and less urgent ones it need not be asked again until then.
+// denial is the latest denial by an upstream's lender because of the limit. Until it expires, the
+// lender is not asked again for requests of that rank or less urgent ones.
 type denial struct {
 	rank  int
 	until time.Time
 }
 
-// left is for how long the denial holds for requests of a rank.
-func (d denial) left(now time.Time, rank int) time.Duration {
+// remaining returns how much longer the denial holds for requests of a rank.
+func (d denial) remaining(now time.Time, rank int) time.Duration {
 	if rank < d.rank {
 		return 0
 	}
 	return d.until.Sub(now)
 }
 
-// denied notes a denial.
-func (p *Pool) denied(life directory.Life, rank int, next time.Duration) {
+// recordDenial records a denial that holds for next.
+func (p *Pool) recordDenial(incarnation directory.Life, rank int, next time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stateLocked(life).denial = denial{rank: rank, until: p.Now().Add(next)}
+	p.stateLocked(incarnation).denial = denial{rank: rank, until: p.Now().Add(next)}
 }
 
-// limitShareLocked is the part of an upstream's limit that this router may use without leave.
+// limitShareLocked returns the share of an upstream's limit that this router may use without admission.
 func (p *Pool) limitShareLocked(r *serving.Request, u directory.Upstream, s *state) float64 {
 	share := p.Limits.Share(u.Life.String(), s.limiter.Known().PerSecond)
-	if p.asksLeave(r, u) {
+	if p.usesAdmission(r, u) {
 		share *= ratelimit.UnreachedShare
 	}
 	return share
 }
 
-// limitedLocked reports whether an upstream's limit has no room for a request, and in how long it may.
+// limitedLocked reports whether an upstream's limit excludes a request, and the time until it may allow it.
 func (p *Pool) limitedLocked(now time.Time, r *serving.Request, u directory.Upstream, s *state) (limited bool, next time.Duration) {
 	if !s.limiter.Limited() {
 		return false, 0
 	}
-	if p.asksLeave(r, u) {
-		next = s.denial.left(now, r.Rank)
+	if p.usesAdmission(r, u) {
+		next = s.denial.remaining(now, r.Rank)
 		return next > 0, next
 	}
 	share := p.limitShareLocked(r, u, s)
@@ -162,31 +162,31 @@
 	return true, s.limiter.Next(now, share, r.Rank)
 }
 
-// unreachedLimit reports whether a request may not go to an upstream whose limit is counted by a
-// process that does not answer.
-func (p *Pool) unreachedLimit(r *serving.Request, u directory.Upstream) bool {
+// exceedsUnreachedLimit reports whether a request exceeds this router's share of the limit of an
+// upstream whose lender does not answer.
+func (p *Pool) exceedsUnreachedLimit(r *serving.Request, u directory.Upstream) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.stateLocked(u.Life)
 	return s.limiter.Limited() && !s.limiter.Room(p.Now(), p.limitShareLocked(r, u, s), r.Rank)
 }
 
-// takeLimitLocked counts a request that goes to an upstream without leave, and reports whether it
-// may: others may have taken the room since the choice was made.
+// takeLimitLocked counts a request that goes to an upstream without admission, and reports whether the
+// limit allows it: other requests may have used the capacity since the choice.
 func (p *Pool) takeLimitLocked(now time.Time, r *serving.Request, u directory.Upstream, s *state) bool {
 	return !s.limiter.Limited() || s.limiter.Take(now, p.limitShareLocked(r, u, s), r.Rank)
 }
 
-// Limited implements serving.Upstreams: the refusal of a request which upstreams would serve but for
-// the limits that they name.
+// Limited implements serving.Upstreams: it returns the refusal of a request that only the upstreams'
+// limits exclude, or nil if no limit excludes it.
 func (p *Pool) Limited(r *serving.Request, attempts []serving.Attempt) *contract.Refusal {
-	_, held := p.views(r, p.allowed(r, attempts))
+	_, held := p.views(r, p.eligible(r, attempts))
 	if held.Held == 0 {
 		return nil
 	}
 	refusal := contract.Refuse(contract.UpstreamLimit, "the upstreams of %s take no more requests now: %d of %d say so", r.Service.Name, held.Held, held.Of)
 	if held.Next > 0 {
-		refusal = refusal.After(max(leastRetryAfter, held.Next+backoff.Jitter(held.Next)/2))
+		refusal = refusal.After(max(minRetryAfter, held.Next+backoff.Jitter(held.Next)/2))
 	}
 	return refusal
 }
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -1,6 +1,6 @@
-// Package pool is what a router knows of its upstreams by its own requests: how many
-// run there, how much they have to read, what they probably have cached, and how they
-// failed. It asks nobody.
+// Package pool tracks the state of a router's upstreams, as observed from the router's own
+// requests: how many run there, how many prompt tokens are pending, what is probably cached, and
+// which requests failed. Calls to lenders go through functions that are set in Pool.
 package pool
 
 import (
@@ -18,107 +18,106 @@
 	"github.com/arbutusmill/arbutusmill/warmup"
 )
 
-// How failing upstreams are left alone.
+// Back-off from failing upstreams.
 const (
-	// avoidFirst is for how long an upstream is avoided after it could not be
+	// initialAvoid is how long an upstream is avoided after it could not be
 	// reached or did not answer; it doubles with each further failure up to
-	// avoidMost, which bounds how late a returned one gets work again.
-	avoidFirst = 250 * time.Millisecond
-	avoidMost  = 2 * time.Second
-	// failureWeight is the weight of one answer in the share of failures: some
-	// ten answers decide.
+	// maxAvoid, which bounds how late a recovered one gets work again.
+	initialAvoid = 250 * time.Millisecond
+	maxAvoid     = 2 * time.Second
+	// failureWeight is the weight of one answer in the moving share of failures, which
+	// covers about ten answers.
 	failureWeight = 0.1
 	// failureHalfLife is the time in which the share of failures halves without
 	// further answers, so that an avoided upstream is tried again.
 	failureHalfLife = 2 * time.Second
-	// failureForgotten is the share below which it counts as none: between idle
-	// upstreams the smallest difference would decide for ever.
-	failureForgotten = 0.01
+	// minFailureShare is the share below which it counts as 0: between idle
+	// upstreams any remaining difference would decide every choice.
+	minFailureShare = 0.01
 )
 
-// cacheShare is the part of an engine's memory that is believed to hold cached parts
-// of this router's requests. The rest is for running requests and for what other
-// routers send; to believe too much costs a prompt read again, to believe too little
-// scatters requests.
+// cacheShare is the share of an engine's memory that is assumed to hold cached parts
+// of this router's requests. The rest is for running requests and other routers'
+// prompts. Too high a share costs repeated prefills, too low a share scatters requests
+// over engines.
 const cacheShare = 0.5
 
-// Pool chooses upstreams by this router's own experience.
+// Pool chooses upstreams by the outcomes and load of this router's own requests.
 type Pool struct {
 	Directory *directory.Directory
-	// PrefillPerMs is the tokens that an engine reads in a millisecond, by the
-	// settings.
+	// PrefillPerMs is the prefill rate in the settings, in tokens per millisecond.
 	PrefillPerMs float64
-	// Routers returns how many routers there are.
+	// Routers returns the number of routers.
 	Routers func() int
 	// Here is the router's data centre.
 	Here string
-	// Ask tells the process beside an engine of a prompt; false if nobody answered.
-	// Withdraw takes that back. Both may be nil.
+	// Ask announces a prompt to an engine's lender; it returns false without an answer.
+	// Withdraw revokes an announcement. Both may be nil.
 	Ask      func(address string, a prefill.Announcement) (prefill.Told, bool)
-	Withdraw func(address string, a prefill.Announcement, told prefill.Told)
-	// ReadElsewhere tells the process beside an engine that another one reads parts of a prompt
-	// which prefers that engine. It may be nil.
+	Withdraw func(address string, a prefill.Announcement, reply prefill.Told)
+	// ReadElsewhere informs the lender of a prompt's preferred engine that another engine prefills
+	// parts of the prompt. It may be nil.
 	ReadElsewhere func(address string, e prefill.Elsewhere)
-	// Exposed, if set, is told when an engine is to be left to short prompts and when not
-	// any more, and what decided it: how long streams of its service are held up, as a share
-	// of their goal, and how many times as long as others it takes. It must not block.
-	Exposed func(life directory.Life, exposed bool, heldUp, slowness float64)
-	// Limits shares and tells the limits that upstreams name.
+	// Exposed, if set, is called when an engine starts or stops to be reserved for short prompts,
+	// with the reasons: heldUp is how long prefills delay streams of its service, as a share of
+	// their gap goal, and slowness the ratio of its event interval to the usual one. It must not block.
+	Exposed func(incarnation directory.Life, stallProne bool, heldUp, slowness float64)
+	// Limits shares and reports the limits that upstreams state.
 	Limits Limits
-	// Region returns the region of a data centre, "" if it is not known.
+	// Region returns the region of a data centre, "" if unknown.
 	Region func(datacentre string) string
-	// Cold bounds what cold upstreams are sent.
+	// Cold bounds the request rate to cold upstreams.
 	Cold warmup.Bound
-	// Beside reports whether a process beside the upstream at an address is known, which gives
-	// leave to send prompts there. It may be nil.
+	// Beside reports whether the upstream at an address has a known lender, which admits the
+	// prompts sent there. It may be nil.
 	Beside func(address string) bool
-	// Share is how many of the requests in a second that a cold upstream bears are this
-	// router's, where there is nobody to give leave.
+	// Share returns how many of the most requests per second that a cold upstream without a
+	// lender can take are this router's.
 	Share func(upstream string, most int) int
-	// Now is the clock.
+	// Now returns the current time.
 	Now func() time.Time
 
 	mu     sync.Mutex
 	states map[directory.Life]*state
 
-	// pauses are those of streams, readings the rates of reading, by service.
-	pauses   sync.Map // string to *pauses
-	readings sync.Map // string to *reading
+	// gaps and prefillRates are keyed by service.
+	gaps         sync.Map // string to *serviceGaps
+	prefillRates sync.Map // string to *prefillRate
 }
 
-// state is what is known of one life of an upstream.
+// state is the observed state of one incarnation of an upstream.
 type state struct {
-	running   int
-	unread    int64
-	fails     int
-	avoid     time.Time
-	failShare float64
-	failAt    time.Time
-	cache     prefill.Cache
-	// pace is the time for an event of a stream that nothing holds up, eventTime that for
-	// any; 0 if not known.
-	pace, eventTime time.Duration
-	// reports is how many reports of streams made them.
+	running     int
+	unread      int64
+	fails       int
+	avoidUntil  time.Time
+	failShare   float64
+	failShareAt time.Time
+	cache       prefill.Cache
+	// baseInterval is the time between two events of a stream that nothing delays, eventInterval
+	// that of all streams; 0 if unknown.
+	baseInterval, eventInterval time.Duration
+	// reports is the number of stream reports that the intervals are based on.
 	reports int
-	// slowness is how many times as long as usual it takes, as of the last choice; exposed
-	// says that its streams are held up too long while it reads prompts.
-	slowness float64
-	exposed  bool
-	// sent are the requests without leave while it is cold.
-	sent warmup.Window
-	// limiter holds what goes there without leave to this router's share of the limit that it names.
+	// slowness is the ratio of its event interval to the usual one, as of the last choice;
+	// stallProne is set if prefills delay its streams for too long.
+	slowness   float64
+	stallProne bool
+	// unadmitted counts the requests sent without admission while it is cold.
+	unadmitted warmup.Window
+	// limiter holds requests without admission to this router's share of the upstream's limit.
 	limiter ratelimit.Limiter
-	// limitError is why the last limit that it named cannot be read; "" if it can.
+	// limitError is the parse error of the last stated limit, or "".
 	limitError string
-	// denial is the last one of the process beside it for that limit.
+	// denial is its lender's latest denial for that limit.
 	denial denial
 }
 
-// shareOfTime is the part of the time left that one attempt gets when the request may
-// be tried at another upstream after it.
-const shareOfTime = 0.5
+// attemptTimeShare is the share of the remaining time that one attempt gets when the request may
+// be retried at another upstream.
+const attemptTimeShare = 0.5
 
-// views is what is known of the upstreams, and what their limits hold back.
+// views returns the upstreams as inputs of a placement, and a summary of those excluded by limits.
 func (p *Pool) views(r *serving.Request, ups []directory.Upstream) ([]placement.Upstream, Held) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -133,56 +132,58 @@
 			held.add(next)
 		}
 	}
-	p.addSpeedLocked(r.Service.Name, views, states)
+	p.addIntervalsLocked(r.Service.Name, views, states)
 	return views, held
 }
 
-// addSpeedLocked adds what is known of how fast the upstreams of a service are.
-func (p *Pool) addSpeedLocked(service string, views []placement.Upstream, states []*state) {
-	paces := make([]time.Duration, len(views))
-	eventTimes := make([]time.Duration, len(views))
+// addIntervalsLocked adds the event intervals of a service's upstreams, and whether they are stall-prone.
+func (p *Pool) addIntervalsLocked(service string, views []placement.Upstream, states []*state) {
+	baseIntervals := make([]time.Duration, len(views))
+	intervals := make([]time.Duration, len(views))
 	for i, s := range states {
-		paces[i], eventTimes[i] = s.pace, s.eventTime
+		baseIntervals[i], intervals[i] = s.baseInterval, s.eventInterval
 	}
-	usual, usualEvent := usualPace(slices.Clone(paces)), usualPace(slices.Clone(eventTimes))
-	held := p.pausesOf(service).share()
+	usualBase, usualInterval := baselineInterval(slices.Clone(baseIntervals)), baselineInterval(slices.Clone(intervals))
+	gapShare := p.gapsOf(service).share()
 	for i, s := range states {
-		s.slowness = slowness(paces[i], usual)
-		p.judgeLocked(views[i].Life, s, held)
-		views[i].Exposed = s.exposed
-		views[i].EventTime = cmp.Or(eventTimes[i], usualEvent)
+		s.slowness = slowness(baseIntervals[i], usualBase)
+		p.updateStallProneLocked(views[i].Life, s, gapShare)
+		views[i].Exposed = s.stallProne
+		views[i].EventTime = cmp.Or(intervals[i], usualInterval)
 	}
 }
 
-// judgeLocked decides whether an engine's streams are held up too long.
-func (p *Pool) judgeLocked(life directory.Life, s *state, held float64) {
-	exposed := s.reports >= leastReports && placement.Exposed(s.exposed, held, s.slowness)
-	if exposed == s.exposed {
+// updateStallProneLocked decides whether prefills delay an engine's streams for too long.
+func (p *Pool) updateStallProneLocked(incarnation directory.Life, s *state, gapShare float64) {
+	stallProne := s.reports >= minReports && placement.Exposed(s.stallProne, gapShare, s.slowness)
+	if stallProne == s.stallProne {
 		return
 	}
-	s.exposed = exposed
+	s.stallProne = stallProne
 	if p.Exposed != nil {
-		p.Exposed(life, exposed, held, s.slowness)
+		p.Exposed(incarnation, stallProne, gapShare, s.slowness)
 	}
 }
 
-// pausesOf are those of a service's streams.
-func (p *Pool) pausesOf(service string) *pauses { return of[pauses](&p.pauses, service) }
+// gapsOf returns the gaps of a service's streams.
+func (p *Pool) gapsOf(service string) *serviceGaps { return loadOrNew[serviceGaps](&p.gaps, service) }
 
-// readingOf is how fast a service's engines read prompts.
-func (p *Pool) readingOf(service string) *reading { return of[reading](&p.readings, service) }
+// prefillRateOf returns the estimate of the prefill rate of a service's engines.
+func (p *Pool) prefillRateOf(service string) *prefillRate {
+	return loadOrNew[prefillRate](&p.prefillRates, service)
+}
 
-// of returns a service's part of a map, made when it is first asked for.
-func of[T any](all *sync.Map, service string) *T {
-	if known, ok := all.Load(service); ok {
-		return known.(*T)
+// loadOrNew returns a service's value in a map, created on first use.
+func loadOrNew[T any](byService *sync.Map, service string) *T {
+	if existing, ok := byService.Load(service); ok {
+		return existing.(*T)
 	}
-	made, _ := all.LoadOrStore(service, new(T))
-	return made.(*T)
+	created, _ := byService.LoadOrStore(service, new(T))
+	return created.(*T)
 }
 
 func (p *Pool) rates(r *serving.Request) placement.Rates {
-	perMs, _ := p.readingOf(r.Service.Name).perMs(p.PrefillPerMs)
+	perMs, _ := p.prefillRateOf(r.Service.Name).tokensPerMs(p.PrefillPerMs)
 	rates := placement.Rates{
 		PrefillPerMs: perMs,
 		FetchPerMs:   perMs,
@@ -204,34 +205,34 @@
 		Running:      s.running,
 		Unread:       s.unread,
 		Cached:       s.cache.Match(r.Parts),
-		Avoid:        now.Before(s.avoid),
+		Avoid:        now.Before(s.avoidUntil),
 		FailureShare: s.failureShare(now),
-		Closed:       p.closedLocked(now, r, u, s),
+		Closed:       p.coldShareUsedLocked(now, r, u, s),
 	}
 }
 
-func (p *Pool) stateLocked(life directory.Life) *state {
+func (p *Pool) stateLocked(incarnation directory.Life) *state {
 	if p.states == nil {
 		p.states = map[directory.Life]*state{}
 	}
-	s := p.states[life]
+	s := p.states[incarnation]
 	if s == nil {
 		s = &state{}
-		p.states[life] = s
+		p.states[incarnation] = s
 	}
 	return s
 }
 
-// takeLocked begins an attempt at the chosen upstream. granted says that the process beside it has
-// given leave. It reports false if there is no room any more within the upstream's limit.
-func (p *Pool) takeLocked(now time.Time, r *serving.Request, ups []directory.Upstream, c placement.Choice, granted bool) (serving.Target, bool) {
+// beginAttemptLocked begins an attempt at the chosen upstream. granted is set if its lender has
+// admitted the request. It reports false if the upstream's limit is used up by now.
+func (p *Pool) beginAttemptLocked(now time.Time, r *serving.Request, ups []directory.Upstream, c placement.Choice, granted bool) (serving.Target, bool) {
 	u := ups[c.Index]
 	s := p.stateLocked(u.Life)
 	if !granted && !p.takeLimitLocked(now, r, u, s) {
 		return serving.Target{}, false
 	}
-	if p.cold(now, r, u) && !p.asksLeave(r, u) {
-		s.sent.Count(now)
+	if p.cold(now, r, u) && !p.usesAdmission(r, u) {
+		s.unadmitted.Count(now)
 	}
 	s.running++
 	s.unread += c.Unread
@@ -243,83 +244,83 @@
 		t.FetchFrom = ups[c.FetchFrom].Address
 	}
 	if r.Route.Idempotent() && r.Route.MaxRuns > 1 && r.Prompt <= 0 {
-		t.Until = now.Add(time.Duration(shareOfTime * float64(r.Until.Sub(now))))
+		t.Until = now.Add(time.Duration(attemptTimeShare * float64(r.Until.Sub(now))))
 	}
-	one := &run{pool: p, upstream: u.Life, address: u.Address, under: s.limiter.Known().Mark, choice: c, goal: r.Route.GapGoal, slowness: max(1, s.slowness), pauses: p.pausesOf(r.Service.Name),
-		reading: p.readingOf(r.Service.Name), sent: now}
-	t.Event, t.Limit, t.Done = one.event, one.limit, one.done
+	att := &attempt{pool: p, upstream: u.Life, address: u.Address, limitMark: s.limiter.Known().Mark, choice: c, goal: r.Route.GapGoal, slowness: max(1, s.slowness), gaps: p.gapsOf(r.Service.Name),
+		prefillRate: p.prefillRateOf(r.Service.Name), sent: now}
+	t.Event, t.Limit, t.Done = att.event, att.limit, att.done
 	return t, true
 }
 
-// read notes that a request's prompt was read: its first event came, or it ended.
-func (p *Pool) read(life directory.Life, tokens int64) {
+// prefillDone records that a request's prompt is prefilled: its first event arrived, or it ended.
+func (p *Pool) prefillDone(incarnation directory.Life, tokens int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stateLocked(life).unread -= tokens
+	p.stateLocked(incarnation).unread -= tokens
 }
 
-// load is what this router has at an upstream.
-func (p *Pool) load(life directory.Life) serving.Load {
+// load returns the load of this router's requests at an upstream.
+func (p *Pool) load(incarnation directory.Life) serving.Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := p.stateLocked(life)
+	s := p.stateLocked(incarnation)
 	return serving.Load{Running: s.running, Unread: s.unread}
 }
 
-// paced notes the pace of an engine's stream.
-func (p *Pool) paced(life directory.Life, of pace) {
+// observeIntervals records a report of the event intervals of an engine's stream.
+func (p *Pool) observeIntervals(incarnation directory.Life, iv eventIntervals) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stateLocked(life).paced(of)
+	p.stateLocked(incarnation).observeIntervals(iv)
 }
 
-// done notes how an attempt ended.
-func (p *Pool) done(life directory.Life, a serving.Attempt) {
+// attemptDone records the result of an attempt.
+func (p *Pool) attemptDone(incarnation directory.Life, a serving.Attempt) {
 	if a.Result == serving.Misdirected {
-		p.Directory.Reject(life)
+		p.Directory.Reject(incarnation)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := p.stateLocked(life)
+	s := p.stateLocked(incarnation)
 	s.running--
 	now := p.Now()
 	switch a.Result {
 	case serving.Whole, serving.Declined:
 		s.fails = 0
-		s.answered(now, 0)
+		s.observeResult(now, 0)
 	case serving.Failed, serving.Broken:
-		s.answered(now, 1)
+		s.observeResult(now, 1)
 	case serving.Unreached, serving.Unknown, serving.OutOfTime:
-		s.answered(now, 1)
-		s.avoid = now.Add(min(avoidMost, avoidFirst<<min(s.fails, 4)))
+		s.observeResult(now, 1)
+		s.avoidUntil = now.Add(min(maxAvoid, initialAvoid<<min(s.fails, 4)))
 		s.fails++
 	}
 }
 
-// answered moves the share of failures towards the newest answer.
-func (s *state) answered(now time.Time, failed float64) {
+// observeResult updates the moving share of failures with the newest answer.
+func (s *state) observeResult(now time.Time, failed float64) {
 	s.failShare = s.failureShare(now)*(1-failureWeight) + failed*failureWeight
-	s.failAt = now
+	s.failShareAt = now
 }
 
 func (s *state) failureShare(now time.Time) float64 {
 	if s.failShare == 0 {
 		return 0
 	}
-	share := s.failShare * halved(now.Sub(s.failAt))
-	if share < failureForgotten {
+	share := s.failShare * decay(now.Sub(s.failShareAt))
+	if share < minFailureShare {
 		return 0
 	}
 	return share
 }
 
-// halved is 1 at age 0 and halves each half-life.
-func halved(age time.Duration) float64 {
+// decay returns 1 at age 0 and halves each half-life.
+func decay(age time.Duration) float64 {
 	return math.Exp2(-float64(age) / float64(failureHalfLife))
 }
 
-// Forget drops what is known of lives that are no longer listed and have
-// nothing running; call it now and then.
+// Forget drops the state of incarnations that are no longer listed and have
+// nothing running. It must be called periodically.
 func (p *Pool) Forget() {
 	listed := map[directory.Life]bool{}
 	for _, u := range p.Directory.All() {
@@ -327,14 +328,14 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for life, s := range p.states {
-		if !listed[life] && s.running == 0 {
-			delete(p.states, life)
+	for incarnation, s := range p.states {
+		if !listed[incarnation] && s.running == 0 {
+			delete(p.states, incarnation)
 		}
 	}
 }
 
-// State is what is known of one upstream, for dumps.
+// State is the state of one upstream, for debug dumps.
 type State struct {
 	Upstream     string  `json:"upstream"`
 	Running      int     `json:"running"`
@@ -344,20 +345,20 @@
 	FailureShare float64 `json:"failure_share"`
 	Slowness     float64 `json:"slowness"`
 	Exposed      bool    `json:"left_to_short_prompts"`
-	// Limit is the requests a second that it takes from all routers together, 0 if it names none.
+	// Limit is the requests per second that it accepts from all routers together, 0 if it states none.
 	Limit float64 `json:"limit_per_second,omitempty"`
 }
 
-// States lists what is known of all upstreams.
+// States returns the state of all known upstreams.
 func (p *Pool) States() []State {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.Now()
 	out := make([]State, 0, len(p.states))
-	for life, s := range p.states {
-		out = append(out, State{Upstream: life.String(), Running: s.running, Unread: s.unread,
+	for incarnation, s := range p.states {
+		out = append(out, State{Upstream: incarnation.String(), Running: s.running, Unread: s.unread,
 			Cached: s.cache.Tokens(), Fails: s.fails, FailureShare: s.failureShare(now),
-			Slowness: s.slowness, Exposed: s.exposed, Limit: s.limiter.Known().PerSecond})
+			Slowness: s.slowness, Exposed: s.stallProne, Limit: s.limiter.Known().PerSecond})
 	}
 	return out
 }
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -15,37 +15,37 @@
 	"github.com/stretchr/testify/require"
 )
 
-// quiet hears reports and does nothing.
-type quiet struct{}
+// ignoreReports ignores all reports.
+type ignoreReports struct{}
 
-func (quiet) UpstreamChanged(directory.Upstream)                 {}
-func (quiet) UpstreamGone(directory.Upstream, string)            {}
-func (quiet) UpstreamMissing(directory.Upstream, bool, int, int) {}
-func (quiet) DirectoryLost(error)                                {}
-func (quiet) DirectoryRead(int)                                  {}
-func (quiet) UpstreamUnreadable(error)                           {}
+func (ignoreReports) UpstreamChanged(directory.Upstream)                 {}
+func (ignoreReports) UpstreamGone(directory.Upstream, string)            {}
+func (ignoreReports) UpstreamMissing(directory.Upstream, bool, int, int) {}
+func (ignoreReports) DirectoryLost(error)                                {}
+func (ignoreReports) DirectoryRead(int)                                  {}
+func (ignoreReports) UpstreamUnreadable(error)                           {}
 
-// poolOf has upstreams a and b of the service s.
+// poolOf returns a pool with the upstreams a and b of service s.
 func poolOf(now *time.Time) *Pool {
 	clock := func() time.Time { return *now }
-	d := &directory.Directory{Report: quiet{}, Now: clock, Decode: func(it store.Item) (directory.Upstream, error) {
+	d := &directory.Directory{Report: ignoreReports{}, Now: clock, Decode: func(it store.Item) (directory.Upstream, error) {
 		return directory.Upstream{Life: directory.Life{ID: it.Key}, Address: it.Key, Service: "s", Slots: 6}, nil
 	}}
 	d.Reset([]store.Item{{Key: "a"}, {Key: "b"}})
 	return &Pool{Directory: d, PrefillPerMs: 50, Routers: func() int { return 1 }, Region: func(string) string { return "" }, Now: clock}
 }
 
-func plain(now time.Time) *serving.Request {
+func plainRequest(now time.Time) *serving.Request {
 	return &serving.Request{Route: &catalog.Route{Kind: catalog.Safe, MaxRuns: 2}, Service: catalog.Service{Name: "s"},
 		Until: now.Add(time.Second)}
 }
 
-// pickUntil picks until the upstream comes, ending all other requests well; it reports
-// whether it came within some tries.
+// pickUntil picks until the upstream is chosen, ending all other requests successfully; it
+// reports false if it is not chosen within 100 tries.
 func pickUntil(t *testing.T, p *Pool, now time.Time, id string) (serving.Target, bool) {
 	const tries = 100
 	for range tries {
-		target, ok := p.Pick(plain(now), nil)
+		target, ok := p.Pick(plainRequest(now), nil)
 		require.True(t, ok)
 		if target.Life.ID == id {
 			return target, true
@@ -55,27 +55,27 @@
 	return serving.Target{}, false
 }
 
-// An upstream cannot be reached. It is left alone for a moment, longer after the next
-// failure, and tried again when that is over.
-func TestUnreachedUpstreamIsLeftAlone(t *testing.T) {
+// An upstream that cannot be reached is avoided for a time that doubles with the next
+// failure, and is tried again afterwards.
+func TestUnreachableUpstreamIsAvoided(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := poolOf(&now)
-	for _, pause := range []time.Duration{avoidFirst, 2 * avoidFirst} {
+	for _, pause := range []time.Duration{initialAvoid, 2 * initialAvoid} {
 		target, ok := pickUntil(t, p, now, "a")
 		require.True(t, ok)
 		target.Done(serving.Attempt{Result: serving.Unreached})
-		require.Equal(t, now.Add(pause), p.states[directory.Life{ID: "a"}].avoid)
+		require.Equal(t, now.Add(pause), p.states[directory.Life{ID: "a"}].avoidUntil)
 		_, ok = pickUntil(t, p, now, "a")
 		require.False(t, ok)
-		now = now.Add(pause + 20*failureHalfLife) // its share of failures is forgotten too
+		now = now.Add(pause + 20*failureHalfLife) // the share of failures decays to 0 as well
 	}
 }
 
-// The first attempt of a request that may be tried elsewhere leaves half of the time.
+// The first attempt of a request that may be retried elsewhere gets half of the remaining time.
 func TestAttemptLeavesTimeForAnother(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := poolOf(&now)
-	r := plain(now)
+	r := plainRequest(now)
 	target, _ := p.Pick(r, nil)
 	require.Equal(t, now.Add(500*time.Millisecond), target.Until)
 	r.Route = &catalog.Route{Kind: catalog.Unsafe, MaxRuns: 1}
@@ -86,9 +86,9 @@
 	require.NotEqual(t, target.Life, other.Life)
 }
 
-// The process beside the preferred engine tells of a long queue. The request goes to another
-// engine, what was announced at the first is withdrawn, and the second one hears of it.
-func TestToldQueueMovesTheRequest(t *testing.T) {
+// The preferred engine's lender reports a long backlog: the request goes to another engine, where
+// it is announced, and the announcement at the first is withdrawn.
+func TestReportedBacklogMovesTheRequest(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := poolOf(&now)
 	announced := map[string]int{}
@@ -98,22 +98,22 @@
 		return prefill.Told{Backlog: queues[address]}, true
 	}
 	p.Withdraw = func(address string, _ prefill.Announcement, _ prefill.Told) { announced[address]-- }
-	r := plain(now)
+	r := plainRequest(now)
 	r.Prompt, r.Parts = 17_000, []prefill.Part{{ID: "subject", Tokens: 13_300}, {ID: "own", Tokens: 3_700}}
-	home, _ := p.Pick(r, nil)
-	home.Done(serving.Attempt{Result: serving.Whole})
-	require.Equal(t, map[string]int{home.Address: 1}, announced)
-	queues[home.Address] = 100_000
+	preferred, _ := p.Pick(r, nil)
+	preferred.Done(serving.Attempt{Result: serving.Whole})
+	require.Equal(t, map[string]int{preferred.Address: 1}, announced)
+	queues[preferred.Address] = 100_000
 	other, _ := p.Pick(r, nil)
-	require.NotEqual(t, home.Address, other.Address)
-	require.Equal(t, map[string]int{home.Address: 1, other.Address: 1}, announced)
+	require.NotEqual(t, preferred.Address, other.Address)
+	require.Equal(t, map[string]int{preferred.Address: 1, other.Address: 1}, announced)
 	queues[other.Address] = 200_000
 	back, _ := p.Pick(r, nil)
-	require.Equal(t, home.Address, back.Address, "the other one has even more")
-	require.Equal(t, map[string]int{home.Address: 2, other.Address: 1}, announced)
+	require.Equal(t, preferred.Address, back.Address, "the other engine's backlog is longer")
+	require.Equal(t, map[string]int{preferred.Address: 2, other.Address: 1}, announced)
 }
 
-// restart gives the upstream a new life, at the same address.
+// restart starts a new incarnation of the upstream at the same address.
 func restart(p *Pool, id string, born int64) {
 	p.Directory.Decode = func(it store.Item) (directory.Upstream, error) {
 		return directory.Upstream{Life: directory.Life{ID: it.Key, Born: born}, Address: it.Key, Service: "s", Slots: 6}, nil
@@ -121,49 +121,49 @@
 	p.Directory.Changed(store.Event{Item: store.Item{Key: id, Revision: store.Revision(born)}})
 }
 
-// An engine that failed, and had much to read and much in its cache, starts again under its
-// id. Nothing of that is held for or against the new life: it gets requests at once, and no
-// prompt is sent there for a cache that is gone. A request that failed in the life before may
-// be sent to the new one, and its late end does not count there.
-func TestNothingIsKnownOfANewLife(t *testing.T) {
+// An engine with failures, a long backlog and a full cache restarts under its id. None of this
+// state may apply to the new incarnation: it gets requests at once, and no prompt for a cache that
+// is gone. A request that failed at the old incarnation may be sent to the new one, and its late end
+// does not count there.
+func TestNewIncarnationStartsWithoutState(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := poolOf(&now)
-	r := plain(now)
+	r := plainRequest(now)
 	r.Service.Engine = &catalog.Engine{CacheTokens: 400_000}
 	r.Prompt, r.Parts = 17_000, []prefill.Part{{ID: "subject", Tokens: 13_300}, {ID: "own", Tokens: 3_700}}
 	before, ok := p.Pick(r, nil)
 	require.True(t, ok)
 	id := before.Life.ID
 	for range 3 {
-		p.done(before.Life, serving.Attempt{Result: serving.Unknown})
+		p.attemptDone(before.Life, serving.Attempt{Result: serving.Unknown})
 	}
 	restart(p, id, 2)
-	life := directory.Life{ID: id, Born: 2}
+	incarnation := directory.Life{ID: id, Born: 2}
 	view := func() placement.Upstream {
-		ups := p.allowed(r, []serving.Attempt{{Upstream: before.Life}})
+		ups := p.eligible(r, []serving.Attempt{{Upstream: before.Life}})
 		views, _ := p.views(r, ups)
 		for _, v := range views {
-			if v.Life == life {
+			if v.Life == incarnation {
 				return v
 			}
 		}
-		t.Fatal("the new life is not tried")
+		t.Fatal("the new incarnation is not a candidate")
 		return placement.Upstream{}
 	}
-	require.Equal(t, placement.Upstream{Life: life, Slots: 6}, view())
+	require.Equal(t, placement.Upstream{Life: incarnation, Slots: 6}, view())
 	before.Done(serving.Attempt{Result: serving.Unknown})
-	require.Equal(t, placement.Upstream{Life: life, Slots: 6}, view())
+	require.Equal(t, placement.Upstream{Life: incarnation, Slots: 6}, view())
 }
 
-// The process beside an engine tells of its cache, but has not noticed yet that the engine has
-// started again; or the router has not. What it tells is left alone.
-func TestToldOfAnotherLife(t *testing.T) {
+// The engine has restarted, and either its lender or the router has not noticed. The lender's reply
+// about the cache is about another incarnation and is ignored.
+func TestReplyAboutAnotherIncarnation(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := poolOf(&now)
 	p.Ask = func(string, prefill.Announcement) (prefill.Told, bool) {
 		return prefill.Told{Cached: 13_300, Born: 7}, true
 	}
-	r := plain(now)
+	r := plainRequest(now)
 	r.Prompt, r.Parts = 17_000, []prefill.Part{{ID: "subject", Tokens: 13_300}, {ID: "own", Tokens: 3_700}}
 	_, ok := p.announce(r, p.Directory.Of("s")[0], placement.Choice{})
 	require.False(t, ok)
@@ -174,7 +174,7 @@
 	}
 }
 
-// BenchmarkPick is the choice for one prompt among all upstreams of a large service.
+// BenchmarkPick measures the choice for one prompt among all upstreams of a large service.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{12, 186, 1300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -185,10 +185,10 @@
 				items = append(items, store.Item{Key: fmt.Sprint("i-", i)})
 			}
 			p.Directory.Reset(items)
-			for i, it := range items { // streams have told how fast each engine is
-				p.paced(directory.Life{ID: it.Key}, pace{least: time.Duration(20+i%7) * time.Millisecond, mean: time.Duration(30+i%11) * time.Millisecond})
+			for i, it := range items { // the event intervals of each engine are known
+				p.observeIntervals(directory.Life{ID: it.Key}, eventIntervals{minMean: time.Duration(20+i%7) * time.Millisecond, mean: time.Duration(30+i%11) * time.Millisecond})
 			}
-			r := plain(now)
+			r := plainRequest(now)
 			r.Prompt, r.Parts = 17_000, []prefill.Part{{ID: "subject", Tokens: 13_300}, {ID: "own", Tokens: 3_700}}
 			for b.Loop() {
 				target, _ := p.Pick(r, nil)
@@ -198,9 +198,9 @@
 	}
 }
 
-// An engine's data centre is emptied while the process beside the engine is asked, which takes
-// tens of milliseconds. The prompt goes to the other engine.
-func TestDatacentreIsEmptiedWhileAnEngineIsAsked(t *testing.T) {
+// An engine's data centre is emptied while its lender is asked, which takes tens of milliseconds.
+// The prompt must go to the other engine.
+func TestDatacentreEmptiedDuringAnnouncement(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := poolOf(&now)
 	p.Directory.Decode = func(it store.Item) (directory.Upstream, error) {
@@ -216,26 +216,26 @@
 		}
 		return prefill.Told{}, true
 	}
-	r := plain(now)
+	r := plainRequest(now)
 	r.Prompt, r.Parts = 1000, []prefill.Part{{ID: "own", Tokens: 1000}}
 	target, ok := p.Pick(r, nil)
 	require.True(t, ok)
 	require.NotEqual(t, first, target.Address)
 }
 
-// A prompt's shared part prefers an engine that is busy, so another one reads it; the process
-// beside the preferred engine hears of it. The next router's prompt goes to that other engine, or,
-// while that one is busy, to the preferred one, which fetches the part from it. It was read once
-// more, on busy days half of all shared tokens that were.
-func TestPartsReadElsewhereAreFetched(t *testing.T) {
+// The preferred engine of a shared part is busy, so another engine prefills it and the preferred
+// engine's lender is informed. The next router's prompt goes to the other engine or, while that one is
+// busy, to the preferred one, which fetches the part. Without this record the part was
+// prefilled again; on busy days that made up half of all shared tokens that were.
+func TestPartsPrefilledElsewhereAreFetched(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := poolOf(&now)
 	engines := map[string]*prefill.Engine{"a": prefill.NewEngine(now, 50), "b": prefill.NewEngine(now, 50)}
 	for _, e := range engines {
 		e.SetRoom(400_000)
 	}
-	p.Withdraw = func(address string, a prefill.Announcement, told prefill.Told) {
-		engines[address].Withdraw(now, a, told)
+	p.Withdraw = func(address string, a prefill.Announcement, reply prefill.Told) {
+		engines[address].Withdraw(now, a, reply)
 	}
 	p.Ask = func(address string, a prefill.Announcement) (prefill.Told, bool) {
 		return engines[address].Announce(now, a), true
@@ -243,26 +243,26 @@
 	p.ReadElsewhere = func(address string, e prefill.Elsewhere) { engines[address].ReadElsewhere(now, e) }
 	subject := prefill.Part{ID: "subject", Tokens: 13_300}
 	ask := func(own string) serving.Target {
-		r := plain(now)
+		r := plainRequest(now)
 		r.Service.Engine = &catalog.Engine{CacheTokens: 400_000, BytesPerToken: 1, LinkMbps: 100_000}
 		r.Prompt, r.Parts = 17_000, []prefill.Part{subject, {ID: own, Tokens: 3_700}}
 		target, ok := p.Pick(r, nil)
 		require.True(t, ok)
 		return target
 	}
-	home := map[bool]string{true: "a", false: "b"}[rendezvous.Pick("subject", []string{"a", "b"}) == "a"]
-	engines[home].Announce(now, prefill.Announcement{Prompt: 100_000}) // two seconds of reading
+	preferred := map[bool]string{true: "a", false: "b"}[rendezvous.Pick("subject", []string{"a", "b"}) == "a"]
+	engines[preferred].Announce(now, prefill.Announcement{Prompt: 100_000}) // two seconds of prefill
 	other := ask("own-1")
-	require.NotEqual(t, home, other.Address)
+	require.NotEqual(t, preferred, other.Address)
 	other.Done(serving.Attempt{Result: serving.Whole})
 	now = now.Add(5 * time.Second)
-	p.states = nil // another router comes next, which knows nothing of the first one's prompts
+	p.states = nil // simulates another router, without state of the first one's prompts
 	next := ask("own-2")
 	require.Equal(t, other.Address, next.Address)
 	next.Done(serving.Attempt{Result: serving.Whole})
 	p.states = nil
 	engines[other.Address].Announce(now, prefill.Announcement{Prompt: 100_000})
 	back := ask("own-3")
-	require.Equal(t, home, back.Address)
+	require.Equal(t, preferred, back.Address)
 	require.Equal(t, other.Address, back.FetchFrom)
 }
--- a/pool/reading.go
+++ b/pool/reading.go
@@ -6,37 +6,37 @@
 )
 
 const (
-	// readingKept is the weight that all earlier observations keep with each new one: those of
+	// observationDecay multiplies the weight of all earlier observations with each new one, so that
 	// the last few hundred prompts count.
-	readingKept = 0.997
-	// readingLeast is the number of observations, by weight, from which they say something, and
-	// readingSpread the least standard deviation (tokens) of their prompts: with prompts all of
-	// one length nothing tells the reading from what each request takes beside it.
-	readingLeast  = 40
-	readingSpread = 500
-	// readingMost bounds how far the learned rate may be from the one in the settings, as a
-	// factor: a wrong one would send all prompts to one engine, or to any.
-	readingMost = 8
+	observationDecay = 0.997
+	// minObservations is the weighted number of observations needed for an estimate, and
+	// minTokenStdDev the minimum standard deviation (tokens) of their prompts: with prompts of one
+	// length, prefill time cannot be separated from the fixed time per request.
+	minObservations = 40
+	minTokenStdDev  = 500
+	// maxRateFactor bounds the ratio between the estimated rate and the one in the settings: a wrong
+	// estimate would send all prompts to one engine, or spread them without regard to caches.
+	maxRateFactor = 8
 )
 
-// reading learns how fast the engines of a service read prompts, from prompts that found nothing
-// to be read before them: the time to the first event is the same for all, plus the reading. It is
-// the line through these times. Settings name one rate, and engines of some models read a third, or
-// three times, as much: believed too fast they look idle, believed too slow prompts leave engines
-// that have cached them. The zero value knows nothing; it is safe for concurrent use.
-type reading struct {
+// prefillRate estimates the prefill rate of a service's engines from prompts that found an empty
+// backlog: their time to the first event is a constant plus the prefill time, and a linear fit gives
+// the rate. The settings have one rate, and engines of some models prefill at a third or three times
+// of it: overestimated engines look idle, and with underestimated ones prompts leave engines that
+// have them cached. The zero value has no estimate; it is safe for concurrent use.
+type prefillRate struct {
 	mu sync.Mutex
-	// Sums by weight: observations, tokens, milliseconds, and their products.
+	// Weighted sums: observations, tokens, milliseconds, and products.
 	n, tokens, ms, tokens2, tokensMs float64
 }
 
-// note takes one prompt: the tokens that the engine had to read, and the time to its first event.
-func (r *reading) note(tokens int64, took time.Duration) {
+// observe adds one prompt: the tokens that the engine had to prefill, and the time to its first event.
+func (r *prefillRate) observe(tokens int64, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	x, y := float64(tokens), float64(took)/float64(time.Millisecond)
 	for _, sum := range []*float64{&r.n, &r.tokens, &r.ms, &r.tokens2, &r.tokensMs} {
-		*sum *= readingKept
+		*sum *= observationDecay
 	}
 	r.n++
 	r.tokens += x
@@ -45,18 +45,18 @@
 	r.tokensMs += x * y
 }
 
-// perMs is the tokens that an engine reads in a millisecond, and whether that is known; if not it
-// is the rate that the settings assume.
-func (r *reading) perMs(assumed float64) (rate float64, known bool) {
+// tokensPerMs returns the prefill rate in tokens per millisecond and whether it is estimated;
+// otherwise it is the assumed rate.
+func (r *prefillRate) tokensPerMs(assumed float64) (rate float64, known bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.n < readingLeast {
+	if r.n < minObservations {
 		return assumed, false
 	}
 	variance := r.tokens2/r.n - (r.tokens/r.n)*(r.tokens/r.n)
-	together := r.tokensMs/r.n - (r.tokens/r.n)*(r.ms/r.n)
-	if variance < readingSpread*readingSpread || together <= 0 {
+	covariance := r.tokensMs/r.n - (r.tokens/r.n)*(r.ms/r.n)
+	if variance < minTokenStdDev*minTokenStdDev || covariance <= 0 {
 		return assumed, false
 	}
-	return min(assumed*readingMost, max(assumed/readingMost, variance/together)), true
+	return min(assumed*maxRateFactor, max(assumed/maxRateFactor, variance/covariance)), true
 }
--- a/pool/run.go
+++ b/pool/run.go
@@ -9,68 +9,68 @@
 	"github.com/arbutusmill/arbutusmill/serving"
 )
 
-// run follows one attempt, from the choice of its upstream to its end. One goroutine uses it.
-type run struct {
+// attempt tracks one attempt from the choice of its upstream to its end. It is not safe for concurrent use.
+type attempt struct {
 	pool     *Pool
 	upstream directory.Life
 	address  string
-	// under is what was known of the upstream's limit when the request was let go.
-	under  ratelimit.Mark
-	choice placement.Choice
-	// goal is that of the route for pauses; slowness is the engine's at the choice.
-	goal     time.Duration
-	slowness float64
-	pauses   *pauses
-	reading  *reading
+	// limitMark identifies the state of the upstream's limit when the request was sent.
+	limitMark ratelimit.Mark
+	choice    placement.Choice
+	// goal is the route's goal for gaps between events; slowness is the engine's at the choice.
+	goal        time.Duration
+	slowness    float64
+	gaps        *serviceGaps
+	prefillRate *prefillRate
 	// sent is when the upstream was chosen.
 	sent time.Time
 
-	last  time.Time // of the last event
-	read  bool      // the prompt was read
-	pause serving.Pause
-	pace  pace
+	lastEvent  time.Time // of the last event
+	prefilled  bool
+	longestGap serving.Pause
+	intervals  eventIntervals
 }
 
 // limit implements serving.Target's Limit.
-func (r *run) limit(perSecond float64, err error) { r.pool.limitNamed(r, perSecond, err) }
+func (r *attempt) limit(perSecond float64, err error) { r.pool.observeLimit(r, perSecond, err) }
 
 // event implements serving.Target's Event.
-func (r *run) event(now time.Time) {
-	if r.last.IsZero() && r.choice.Before == 0 && r.choice.FetchFrom < 0 && r.choice.Unread > 0 {
-		r.reading.note(r.choice.Unread, now.Sub(r.sent))
+func (r *attempt) event(now time.Time) {
+	if r.lastEvent.IsZero() && r.choice.Before == 0 && r.choice.FetchFrom < 0 && r.choice.Unread > 0 {
+		r.prefillRate.observe(r.choice.Unread, now.Sub(r.sent))
 	}
-	r.haveRead()
-	if !r.last.IsZero() {
-		r.paused(now, now.Sub(r.last))
+	r.prefillDone()
+	if !r.lastEvent.IsZero() {
+		r.observeGap(now, now.Sub(r.lastEvent))
 	}
-	r.last = now
-	if r.pace.came(now) {
-		r.pool.paced(r.upstream, r.pace)
+	r.lastEvent = now
+	if r.intervals.observe(now) {
+		r.pool.observeIntervals(r.upstream, r.intervals)
 	}
 }
 
-// haveRead notes once that the prompt was read: the first event came, or the end.
-func (r *run) haveRead() {
-	if !r.read {
-		r.read = true
-		r.pool.read(r.upstream, r.choice.Unread)
+// prefillDone records once that the prompt is prefilled: the first event arrived, or the attempt ended.
+func (r *attempt) prefillDone() {
+	if !r.prefilled {
+		r.prefilled = true
+		r.pool.prefillDone(r.upstream, r.choice.Unread)
 	}
 }
 
-// paused notes a pause between two events.
-func (r *run) paused(now time.Time, pause time.Duration) {
-	if pause > r.pause.For {
-		r.pause = serving.Pause{For: pause, Beside: r.pool.load(r.upstream)}
+// observeGap records the gap between two events.
+func (r *attempt) observeGap(now time.Time, gap time.Duration) {
+	if gap > r.longestGap.For {
+		r.longestGap = serving.Pause{For: gap, Beside: r.pool.load(r.upstream)}
 	}
 	if r.goal > 0 {
-		r.pauses.note(now, float64(pause)/float64(r.goal)/r.slowness)
+		r.gaps.observe(now, float64(gap)/float64(r.goal)/r.slowness)
 	}
 }
 
 // done implements serving.Target's Done.
-func (r *run) done(a serving.Attempt) serving.Attempt {
-	r.haveRead()
-	r.pool.done(r.upstream, a)
-	a.Cost, a.Unread, a.Pause = r.choice.Cost, r.choice.Unread, r.pause
+func (r *attempt) done(a serving.Attempt) serving.Attempt {
+	r.prefillDone()
+	r.pool.attemptDone(r.upstream, a)
+	a.Cost, a.Unread, a.Pause = r.choice.Cost, r.choice.Unread, r.longestGap
 	return a
 }
--- a/pool/speed.go
+++ b/pool/speed.go
@@ -9,119 +9,119 @@
 )
 
 const (
-	// eventWeight is the weight of one report of a stream in the time for an event.
+	// eventWeight is the weight of one stream's report in eventInterval.
 	eventWeight = 0.2
-	// quickerWeight and slowerWeight are those in an engine's pace. A stream that was held
-	// up all the while tells a pace that is too slow, so a slower one counts for little; an
-	// engine that turns slow is known after some twenty reports, which is seconds.
+	// quickerWeight and slowerWeight are the weights in baseInterval. A stream that was delayed
+	// throughout reports too long an interval, so longer ones count for little; an engine that
+	// becomes slow is detected after about twenty reports, within seconds.
 	quickerWeight = 0.5
 	slowerWeight  = 0.05
-	// leastReports is the number of reports from which an engine may be left to short
-	// prompts. Where a router sees little of each engine, a first report that happened to
-	// be slow made homes of prompts differ from router to router.
-	leastReports = 3
-	// usualRank is the rank, among the paces of a service from the fastest on, that
-	// counts as usual: one odd engine does not make all others slow.
-	usualRank = 0.25
-	// mostSlowness bounds what an engine is taken for.
-	mostSlowness = 4.0
+	// minReports is the number of reports from which an engine may be reserved for short
+	// prompts. Where a router has few streams per engine, a single slow first report made
+	// routers disagree on the preferred engines of prompts.
+	minReports = 3
+	// baselineQuantile is the quantile of a service's intervals, fastest first, that counts as
+	// usual: a single outlier does not make all others count as slow.
+	baselineQuantile = 0.25
+	// maxSlowness bounds an engine's slowness.
+	maxSlowness = 4.0
 )
 
-// moved is an average after one more value of that weight.
-func moved(average, value time.Duration, weight float64) time.Duration {
+// movingAverage returns the exponentially weighted average after one more value; an average of 0 is unset.
+func movingAverage(average, value time.Duration, weight float64) time.Duration {
 	if average == 0 {
 		return value
 	}
 	return average + time.Duration(weight*float64(value-average))
 }
 
-// paced takes one report of a stream.
-func (s *state) paced(of pace) {
+// observeIntervals adds one stream's report.
+func (s *state) observeIntervals(iv eventIntervals) {
 	weight := quickerWeight
-	if of.least > s.pace {
+	if iv.minMean > s.baseInterval {
 		weight = slowerWeight
 	}
 	s.reports++
-	s.pace = moved(s.pace, of.least, weight)
-	s.eventTime = moved(s.eventTime, of.mean, eventWeight)
+	s.baseInterval = movingAverage(s.baseInterval, iv.minMean, weight)
+	s.eventInterval = movingAverage(s.eventInterval, iv.mean, eventWeight)
 }
 
-// usualPace is the pace that others are compared with, 0 if none is known. It sorts them.
-func usualPace(paces []time.Duration) time.Duration {
-	known := slices.DeleteFunc(paces, func(d time.Duration) bool { return d == 0 })
+// baselineInterval returns the interval that others are compared with, 0 if none is known. It sorts its argument.
+func baselineInterval(intervals []time.Duration) time.Duration {
+	known := slices.DeleteFunc(intervals, func(d time.Duration) bool { return d == 0 })
 	if len(known) == 0 {
 		return 0
 	}
 	slices.Sort(known)
-	return known[int(usualRank*float64(len(known)-1))]
+	return known[int(baselineQuantile*float64(len(known)-1))]
 }
 
-// slowness is how many times as long as usual an engine takes, at least 1.
-func slowness(pace, usual time.Duration) float64 {
-	if pace == 0 || usual == 0 {
+// slowness returns the ratio of an engine's event interval to the usual one, from 1 to maxSlowness.
+func slowness(interval, usual time.Duration) float64 {
+	if interval == 0 || usual == 0 {
 		return 1
 	}
-	return min(mostSlowness, max(1, float64(pace)/float64(usual)))
+	return min(maxSlowness, max(1, float64(interval)/float64(usual)))
 }
 
 const (
-	// pauseWindows of pauseWindow each are remembered of streams' pauses: long enough
-	// that calm moments do not end a separation that makes them calm.
-	pauseWindows = 4
-	pauseWindow  = 10 * time.Second
-	// pauseLeast is the number of long pauses from which they say something.
-	pauseLeast = 10
-	// pauseFrom is the share of its goal from which a pause counts as one that the
-	// reading of prompts made; shorter ones are the usual time between events.
-	pauseFrom = 0.3
-	// pausePercentile is the percentile of those pauses by which engines are judged.
-	pausePercentile = 90
-	// mostPause bounds a pause, in hundredths of its goal.
-	mostPause = 1000
-	// pauseRefresh is how often the percentile is taken anew: it copies the windows.
-	pauseRefresh = 250 * time.Millisecond
+	// gapWindows histograms of gapWindow each are kept: long enough that quiet periods do
+	// not end a separation of prompts that causes them.
+	gapWindows = 4
+	gapWindow  = 10 * time.Second
+	// minGaps is the number of long gaps needed for a percentile.
+	minGaps = 10
+	// minGapShare is the share of the goal from which a gap counts as caused by a
+	// prefill; shorter ones are the normal time between events.
+	minGapShare = 0.3
+	// gapPercentile is the percentile of those gaps that decides.
+	gapPercentile = 90
+	// maxGapHundredths bounds a recorded gap, in hundredths of its goal.
+	maxGapHundredths = 1000
+	// gapRefresh is the minimum time between computations of the percentile, which copy the windows.
+	gapRefresh = 250 * time.Millisecond
 )
 
-// pauses is how long streams of a service are held up, as shares of their routes' goals
-// and set against the slowness of their engines.
-type pauses struct {
+// serviceGaps records the gaps between events of a service's streams, as shares of their routes' goals
+// divided by their engines' slowness.
+type serviceGaps struct {
 	mu      sync.Mutex
 	recent  *hdrhistogram.WindowedHistogram // hundredths of the goal
 	rotated time.Time
-	// ofGoal is the percentile as of taken.
-	ofGoal float64
-	taken  time.Time
+	// percentile is a share of the goal, as of refreshedAt.
+	percentile  float64
+	refreshedAt time.Time
 }
 
-// note adds a pause.
-func (p *pauses) note(now time.Time, ofGoal float64) {
-	if ofGoal < pauseFrom {
+// observe adds a gap, as a share of its goal.
+func (p *serviceGaps) observe(now time.Time, ofGoal float64) {
+	if ofGoal < minGapShare {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.recent == nil || now.Sub(p.rotated) > pauseWindows*pauseWindow {
+	if p.recent == nil || now.Sub(p.rotated) > gapWindows*gapWindow {
 		const digits = 2
-		p.recent, p.rotated = hdrhistogram.NewWindowed(pauseWindows, 1, mostPause, digits), now
+		p.recent, p.rotated = hdrhistogram.NewWindowed(gapWindows, 1, maxGapHundredths, digits), now
 	}
-	for now.Sub(p.rotated) >= pauseWindow {
+	for now.Sub(p.rotated) >= gapWindow {
 		p.recent.Rotate()
-		p.rotated = p.rotated.Add(pauseWindow)
+		p.rotated = p.rotated.Add(gapWindow)
 	}
-	_ = p.recent.Current.RecordValue(int64(min(mostPause, 100*ofGoal))) // always within its bounds
-	if now.Sub(p.taken) < pauseRefresh {
+	_ = p.recent.Current.RecordValue(int64(min(maxGapHundredths, 100*ofGoal))) // cannot fail: always within bounds
+	if now.Sub(p.refreshedAt) < gapRefresh {
 		return
 	}
-	p.taken = now
-	if all := p.recent.Merge(); all.TotalCount() >= pauseLeast {
-		p.ofGoal = float64(all.ValueAtQuantile(pausePercentile)) / 100
+	p.refreshedAt = now
+	if all := p.recent.Merge(); all.TotalCount() >= minGaps {
+		p.percentile = float64(all.ValueAtQuantile(gapPercentile)) / 100
 	}
 }
 
-// share is how long streams are held up while prompts are read, as a share of the goal; 0
-// while it is not known.
-func (p *pauses) share() float64 {
+// share returns the gapPercentile of the gaps that prefills cause, as a share of the goal; 0 while
+// unknown.
+func (p *serviceGaps) share() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.ofGoal
+	return p.percentile
 }
--- a/pool/speed_test.go
+++ b/pool/speed_test.go
@@ -10,14 +10,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stream takes one request to the upstream and lets it make events, the time between two
-// given by pause.
-func stream(t *testing.T, p *Pool, now *time.Time, id string, events int, pause func(n int) time.Duration) serving.Attempt {
+// stream sends one request to the upstream and emits events at the intervals that interval returns.
+func stream(t *testing.T, p *Pool, now *time.Time, id string, events int, interval func(n int) time.Duration) serving.Attempt {
 	target, ok := pickUntil(t, p, *now, id)
 	require.True(t, ok)
 	for n := range events {
 		target.Event(*now)
-		*now = now.Add(pause(n))
+		*now = now.Add(interval(n))
 	}
 	return target.Done(serving.Attempt{Result: serving.Whole})
 }
@@ -26,22 +25,22 @@
 	return func(int) time.Duration { return d }
 }
 
-// One engine takes a third longer for each token, and holds its streams up now and then like
-// all others. It is known for slow after a dozen events, long before its first stream ends.
-func TestSlowEngineIsKnownSoon(t *testing.T) {
+// One engine takes a third longer per token, and both delay their streams now and then. It must be
+// detected as slow after a dozen events, long before its first stream ends.
+func TestSlowEngineIsDetectedSoon(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := poolOf(&now)
-	held := func(pace time.Duration) func(int) time.Duration {
+	withDelays := func(interval time.Duration) func(int) time.Duration {
 		return func(n int) time.Duration {
 			if n%6 == 0 {
 				return 250 * time.Millisecond
 			}
-			return pace
+			return interval
 		}
 	}
-	stream(t, p, &now, "a", 13, held(20*time.Millisecond))
-	stream(t, p, &now, "b", 13, held(26*time.Millisecond))
-	views, _ := p.views(plain(now), p.Directory.Of("s"))
+	stream(t, p, &now, "a", 13, withDelays(20*time.Millisecond))
+	stream(t, p, &now, "b", 13, withDelays(26*time.Millisecond))
+	views, _ := p.views(plainRequest(now), p.Directory.Of("s"))
 	for _, v := range views {
 		require.Positive(t, v.EventTime)
 	}
@@ -49,8 +48,8 @@
 	require.InDelta(t, 1.3, p.states[directory.Life{ID: "b"}].slowness, 0.01)
 }
 
-// An engine of usual speed reads one prompt after the other for a second, so that its streams
-// have no quick event. It must not count as slow: its homes would move and come back.
+// An engine of usual speed prefills prompts back to back for a second, so that all intervals of its
+// streams are long. It must not count as slow: prompts that prefer it would move away and back.
 func TestBusyEngineIsNotSlow(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := poolOf(&now)
@@ -60,42 +59,42 @@
 	for range 3 {
 		stream(t, p, &now, "b", 13, steady(60*time.Millisecond))
 	}
-	p.views(plain(now), p.Directory.Of("s"))
+	p.views(plainRequest(now), p.Directory.Of("s"))
 	require.Less(t, p.states[directory.Life{ID: "b"}].slowness, 1.3)
 	for range 30 {
 		stream(t, p, &now, "b", 13, steady(60*time.Millisecond))
 	}
-	p.views(plain(now), p.Directory.Of("s"))
-	require.Greater(t, p.states[directory.Life{ID: "b"}].slowness, 2.0, "it has turned slow")
+	p.views(plainRequest(now), p.Directory.Of("s"))
+	require.Greater(t, p.states[directory.Life{ID: "b"}].slowness, 2.0, "the engine has become slow")
 }
 
-// A router has seen one stream of an engine, which happened to be slow. Homes of prompts do not
-// move for that: they would differ from router to router. A few reports on, they do.
-func TestOneReportMovesNoHomes(t *testing.T) {
+// A router's only report of an engine is a slow one. The engine must not become stall-prone by it, or
+// routers would disagree on the preferred engines of prompts. After a few more reports it does.
+func TestSingleReportMovesNoPrompts(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := poolOf(&now)
-	for range pauseLeast + 1 {
-		p.pausesOf("s").note(now, 0.95)
-		now = now.Add(pauseRefresh)
+	for range minGaps + 1 {
+		p.gapsOf("s").observe(now, 0.95)
+		now = now.Add(gapRefresh)
 	}
 	changes := 0
 	p.Exposed = func(directory.Life, bool, float64, float64) { changes++ }
 	stream(t, p, &now, "a", 40, steady(20*time.Millisecond))
 	stream(t, p, &now, "b", 13, steady(30*time.Millisecond))
-	p.views(plain(now), p.Directory.Of("s"))
+	p.views(plainRequest(now), p.Directory.Of("s"))
 	require.Zero(t, changes)
 	stream(t, p, &now, "b", 25, steady(30*time.Millisecond))
-	p.views(plain(now), p.Directory.Of("s"))
+	p.views(plainRequest(now), p.Directory.Of("s"))
 	require.Equal(t, 1, changes)
-	require.True(t, p.states[directory.Life{ID: "b"}].exposed)
+	require.True(t, p.states[directory.Life{ID: "b"}].stallProne)
 }
 
-// Streams are held up for nine tenths of what their route allows. That is known after a
-// second, does not depend on streams that run smoothly, and is forgotten with time.
-func TestPausesOfAService(t *testing.T) {
+// Streams have gaps of nine tenths of their route's goal. The percentile shows it after a second,
+// does not depend on gaps of normal length, and old gaps expire.
+func TestServiceGaps(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := poolOf(&now)
-	r := plain(now)
+	r := plainRequest(now)
 	r.Route = &catalog.Route{Kind: catalog.Streaming, GapGoal: 300 * time.Millisecond}
 	r.Until = now.Add(time.Hour)
 	target, _ := p.Pick(r, nil)
@@ -107,23 +106,23 @@
 		target.Event(now)
 		now = now.Add(270 * time.Millisecond)
 	}
-	require.InDelta(t, 0.9, p.pausesOf("s").share(), 0.02)
+	require.InDelta(t, 0.9, p.gapsOf("s").share(), 0.02)
 	done := target.Done(serving.Attempt{Result: serving.Whole})
 	require.Equal(t, 270*time.Millisecond, done.Pause.For)
 	require.Equal(t, 1, done.Pause.Beside.Running)
-	now = now.Add(2 * pauseWindows * pauseWindow)
-	for range pauseLeast + 1 {
-		p.pausesOf("s").note(now, 0.4)
-		now = now.Add(pauseRefresh)
+	now = now.Add(2 * gapWindows * gapWindow)
+	for range minGaps + 1 {
+		p.gapsOf("s").observe(now, 0.4)
+		now = now.Add(gapRefresh)
 	}
-	require.InDelta(t, 0.4, p.pausesOf("s").share(), 0.02)
+	require.InDelta(t, 0.4, p.gapsOf("s").share(), 0.02)
 }
 
-// A route without a goal for pauses says nothing about them.
-func TestNoGoalForPauses(t *testing.T) {
+// Streams of a route without a gap goal do not count in the service's gaps.
+func TestRouteWithoutGapGoal(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := poolOf(&now)
 	a := stream(t, p, &now, "a", 40, steady(time.Second))
 	require.Equal(t, time.Second, a.Pause.For)
-	require.Zero(t, p.pausesOf("s").share())
+	require.Zero(t, p.gapsOf("s").share())
 }
