--- a/placement/pause.go
+++ b/placement/pause.go
@@ -6,65 +6,65 @@
 	"github.com/arbutusmill/arbutusmill/serving"
 )
 
-// Engines read prompts in pieces between the tokens of the streams that run there. Behind
-// a long prompt, or several in a row, every event of those streams takes several pieces'
-// time; where that passes the routes' goal for pauses, all streams of the engine are late
-// at once. Slow engines pass it first. The load pattern that this answers: long prompts
-// and many streams with short prompts share engines of unequal speed.
+// Engines prefill in chunks between the tokens of the running streams. During the prefill
+// of a long prompt, or of several in a row, every event of those streams takes the time of
+// several chunks; above the routes' gap goal, all streams of the engine are late at once.
+// Slow engines exceed it first. This occurs when long prompts and many streams with short
+// prompts share engines of unequal speed.
 //
-// So engines at which reading holds streams up for too long are left to short prompts: long
-// ones have no home there, and pay for each stream that they would hold up; short ones pay
-// for going where the long ones are. Either goes to the other engines all the same when
-// its own are so busy that this costs less.
+// So stall-prone engines, where prefills delay streams for too long, are reserved for short
+// prompts: long ones don't prefer them, and have a cost for each stream that they would delay;
+// short ones have a cost at the other engines. Both still use the other group when their own
+// is so busy that this costs less.
 const (
-	// exposedFrom is the expected pause, as a share of its goal, from which an engine is
-	// left to short prompts; below it, few of its streams are late. exposedUntil is the
-	// share below which it gets long ones again: each change moves homes, and what is
-	// cached at the old ones is read or moved again.
-	exposedFrom  = 1.12
-	exposedUntil = 0.95
-	// heldUpCost is the cost of one stream that a long prompt holds up too long, in time
-	// to the first event of that prompt: forty streams outweigh the second that most
+	// stallProneEnter is the expected gap, as a share of its goal, from which an engine is
+	// reserved for short prompts; below it, few of its streams are late. stallProneExit is
+	// the share below which it gets long ones again. Each change moves the preferred engines
+	// of prompts, and what is cached at the old ones is prefilled or transferred again.
+	stallProneEnter = 1.12
+	stallProneExit  = 0.95
+	// delayedStreamCost is the cost of one stream that a long prompt delays for too long, as
+	// time to the first event of that prompt: forty streams outweigh the second that most
 	// routes allow for it.
-	heldUpCost = 25 * time.Millisecond
-	// mixedCost is the cost of a short prompt among long ones, likewise. With 150 ms the
-	// engines left to short prompts were too full in bursts (0.5 to 3 in 100 less worth).
-	mixedCost = 60 * time.Millisecond
-	// answerShare is the share of a stream's expected time that is cost for a short prompt.
-	// With 0, engines left to short prompts took so many that in bursts one in ten streams
-	// passed its deadline.
-	answerShare = 0.03
-	// longShare is the share of the goal for pauses from which reading a whole prompt
-	// counts as long: a few such in a row pass the goal. With 0.5 most of the long prompts
-	// of a mixed load counted as short.
-	longShare = 0.2
+	delayedStreamCost = 25 * time.Millisecond
+	// mixedLoadCost is the cost of a short prompt among long ones, in the same unit. With
+	// 150 ms the engines reserved for short prompts were too full in bursts (0.5 to 3 in 100
+	// less worth).
+	mixedLoadCost = 60 * time.Millisecond
+	// durationWeight is the share of a stream's expected duration that counts as cost for a
+	// short prompt. With 0, engines reserved for short prompts got so many in bursts that one
+	// in ten streams exceeded its deadline.
+	durationWeight = 0.03
+	// longPromptShare is the share of the gap goal from which a prompt with that prefill time
+	// counts as long: a few in a row exceed the goal. With 0.5 most of the long prompts of a
+	// mixed load counted as short.
+	longPromptShare = 0.2
 )
 
-// Exposed reports whether streams at an engine are held up too long while it reads prompts.
-// Was is the verdict before; pauseOfGoal is how long streams of the service are held up at an
-// engine of usual speed, as a share of their routes' goals, and slowness is how many times as
-// long as others this one takes.
-func Exposed(was bool, pauseOfGoal, slowness float64) bool {
+// Exposed reports whether prefills delay streams at an engine for too long. was is the previous
+// result, gapShare the gap of the service's streams at an engine of usual speed as a share of
+// their routes' goals, and slowness the ratio of this engine's event interval to the usual one.
+func Exposed(was bool, gapShare, slowness float64) bool {
 	if was {
-		return pauseOfGoal*slowness >= exposedUntil
+		return gapShare*slowness >= stallProneExit
 	}
-	return pauseOfGoal*slowness >= exposedFrom
+	return gapShare*slowness >= stallProneEnter
 }
 
-// separation is how long and short prompts are kept apart in one choice.
+// separation says how one choice separates long and short prompts.
 type separation struct {
-	// active says that there are engines to be left to short prompts.
+	// active is set if there are engines reserved for short prompts.
 	active bool
-	// long says that the request's prompt is long.
+	// long is set if the request's prompt is long.
 	long bool
-	// homes are the engines among which the prompt's home is found.
-	homes []int
+	// preferable holds the engines among which the preferred one is found.
+	preferable []int
 }
 
-// separate looks at the usable engines. All of them are alike unless at least half stay for
-// long prompts.
+// separate determines the separation for the usable engines. There is none unless at least half
+// remain for long prompts.
 func separate(r *serving.Request, ups []Upstream, usable []int, rates Rates) separation {
-	s := separation{homes: usable}
+	s := separation{preferable: usable}
 	goal := r.Route.GapGoal
 	if goal <= 0 {
 		return s
@@ -76,34 +76,34 @@
 		}
 	}
 	s.active = len(forLong) < len(usable) && 2*len(forLong) >= len(usable)
-	reading := float64(r.Prompt) / rates.PrefillPerMs * float64(time.Millisecond)
-	s.long = reading >= longShare*float64(goal)
+	prefillTime := float64(r.Prompt) / rates.PrefillPerMs * float64(time.Millisecond)
+	s.long = prefillTime >= longPromptShare*float64(goal)
 	if s.active && s.long {
-		s.homes = forLong
+		s.preferable = forLong
 	}
 	return s
 }
 
-// cost is what it costs to read the prompt at an engine with that many streams.
+// cost returns the cost of the separation for the prompt at an engine with that many streams.
 func (s separation) cost(r *serving.Request, u Upstream, streams float64) time.Duration {
 	exposed := s.active && u.Exposed
 	switch {
 	case s.long && exposed:
-		return time.Duration(streams * float64(heldUpCost))
+		return time.Duration(streams * float64(delayedStreamCost))
 	case s.long:
 		return 0
 	case s.active && !exposed:
-		return mixedCost + answering(r, u)
+		return mixedLoadCost + durationCost(r, u)
 	}
-	return answering(r, u)
+	return durationCost(r, u)
 }
 
-// answering is the cost of the time that the answer takes at an engine. Streams that last
-// long hold their places long, and more of them are cut when an engine is lost.
-func answering(r *serving.Request, u Upstream) time.Duration {
+// durationCost returns the cost of the expected duration of the answer at an engine. Long streams
+// occupy their slots for long, and more of them are cut off when an engine is lost.
+func durationCost(r *serving.Request, u Upstream) time.Duration {
 	if r.Service.Engine == nil {
 		return 0
 	}
 	events := float64(r.MaxOutput) / float64(r.Service.Engine.TokensPerEvent)
-	return time.Duration(answerShare * events * float64(u.EventTime))
+	return time.Duration(durationWeight * events * float64(u.EventTime))
 }
--- a/placement/pause_test.go
+++ b/placement/pause_test.go
@@ -12,34 +12,34 @@
 	"github.com/stretchr/testify/require"
 )
 
-// mixed is a load of long prompts and streams on engines of which each third is slow.
-type mixed struct {
-	rnd   *rand.Rand
-	ups   []Upstream
-	rates Rates
-	slow  []float64         // slowness of each engine
-	ends  [][]time.Duration // of the streams at each engine
-	now   time.Duration
+// mixedLoad simulates long prompts and streams on engines of which every third is slow.
+type mixedLoad struct {
+	rnd        *rand.Rand
+	ups        []Upstream
+	rates      Rates
+	slowness   []float64         // slowness of each engine
+	streamEnds [][]time.Duration // of the streams at each engine
+	now        time.Duration
 }
 
-func newMixed(pauseOfGoal float64) *mixed {
-	m := &mixed{rnd: rand.New(rand.NewPCG(5, 6)), ups: engines(12), ends: make([][]time.Duration, 12)}
+func newMixedLoad(gapShare float64) *mixedLoad {
+	m := &mixedLoad{rnd: rand.New(rand.NewPCG(5, 6)), ups: engines(12), streamEnds: make([][]time.Duration, 12)}
 	m.rates = Rates{PrefillPerMs: 32, FetchPerMs: 500, Routers: 1, Here: "bergen"}
 	for i := range m.ups {
 		slowness := 1.0
 		if i%3 == 2 {
 			slowness = 1.3
 		}
-		m.slow = append(m.slow, slowness)
-		m.ups[i].Slots, m.ups[i].Exposed = 128, Exposed(false, pauseOfGoal, slowness)
+		m.slowness = append(m.slowness, slowness)
+		m.ups[i].Slots, m.ups[i].Exposed = 128, Exposed(false, gapShare, slowness)
 	}
 	return m
 }
 
-// mixedStep is the time between two requests: 72 a second, of which one in four is long.
+// mixedStep is the time between two requests: 72 per second, of which one in four is long.
 const mixedStep = 14 * time.Millisecond
 
-func (m *mixed) request(long bool) *serving.Request {
+func (m *mixedLoad) request(long bool) *serving.Request {
 	r := &serving.Request{Route: &catalog.Route{GapGoal: 300 * time.Millisecond}, Prompt: 800, MaxOutput: 678,
 		Service: catalog.Service{Engine: &catalog.Engine{TokensPerEvent: 3}},
 		Parts:   []prefill.Part{{ID: fmt.Sprint("s", m.rnd.IntN(400)), Tokens: 200}, {ID: "own", Tokens: 600}}}
@@ -50,92 +50,91 @@
 	return r
 }
 
-// step ends streams, reads prompts, and places one more request.
-func (m *mixed) step(long bool) int {
+// step ends streams, advances prefills, and places one more request.
+func (m *mixedLoad) step(long bool) int {
 	m.now += mixedStep
 	for i := range m.ups {
 		u := &m.ups[i]
 		u.Unread = max(0, u.Unread-int64(32*mixedStep.Milliseconds()))
-		kept := m.ends[i][:0]
-		for _, end := range m.ends[i] {
+		kept := m.streamEnds[i][:0]
+		for _, end := range m.streamEnds[i] {
 			if end > m.now {
 				kept = append(kept, end)
 			}
 		}
-		m.ends[i] = kept
+		m.streamEnds[i] = kept
 		u.Running = len(kept)
-		u.EventTime = time.Duration((20 + 0.4*float64(len(kept))) * m.slow[i] * float64(time.Millisecond))
+		u.EventTime = time.Duration((20 + 0.4*float64(len(kept))) * m.slowness[i] * float64(time.Millisecond))
 	}
 	r := m.request(long)
 	c, _ := Choose(r, m.ups, m.rates, m.rnd.IntN)
 	m.ups[c.Index].Unread += c.Unread
 	events := time.Duration(r.MaxOutput / 3 / 2)
-	m.ends[c.Index] = append(m.ends[c.Index], m.now+events*m.ups[c.Index].EventTime)
+	m.streamEnds[c.Index] = append(m.streamEnds[c.Index], m.now+events*m.ups[c.Index].EventTime)
 	return c.Index
 }
 
-// play returns how many streams were at slow engines when a long prompt was read there,
-// and the most streams that one engine had.
-func (m *mixed) play(steps int) (heldUp, most int) {
+// run returns how many streams ran at slow engines when a long prompt was placed there,
+// and the maximum number of streams at one engine.
+func (m *mixedLoad) run(steps int) (delayed, most int) {
 	for n := range steps {
 		long := n%4 == 0
 		i := m.step(long)
-		if long && m.slow[i] > 1 {
-			heldUp += m.ups[i].Running
+		if long && m.slowness[i] > 1 {
+			delayed += m.ups[i].Running
 		}
 		most = max(most, m.ups[i].Running)
 	}
-	return heldUp, most
+	return delayed, most
 }
 
-// Long prompts come to all engines, and on the slow ones every stream beside them pauses for
-// longer than its route allows: a fifth of all drafts come late although each began in time.
-// Known to do so, the slow engines get hardly any long prompt, and do not fill up with the
-// streams that go there instead.
-func TestLongPromptsLeaveSlowEnginesToStreams(t *testing.T) {
-	together, _ := newMixed(0).play(4000)
-	apart, most := newMixed(0.95).play(4000)
-	require.Less(t, 10*apart, together)
+// When long prompts go to all engines, every stream at the slow ones has gaps longer than its
+// route's goal: a fifth of all answers are late although each began in time. Once stall-prone, the
+// slow engines must get hardly any long prompts, without filling up with streams instead.
+func TestLongPromptsAvoidStallProneEngines(t *testing.T) {
+	mixed, _ := newMixedLoad(0).run(4000)
+	separated, most := newMixedLoad(0.95).run(4000)
+	require.Less(t, 10*separated, mixed)
 	require.Less(t, most, 64, "half of the slots")
 }
 
-// Pauses stay far below the goal everywhere, or a route has no goal for them: nothing is kept
-// apart, and slow engines read long prompts like all others.
-func TestNothingIsKeptApartWithoutNeed(t *testing.T) {
-	usual, _ := newMixed(0).play(4000)
-	harmless, _ := newMixed(0.6).play(4000)
+// Gaps are far below the goal everywhere, or a route has no gap goal: prompts are not separated,
+// and slow engines get long prompts like all others.
+func TestNoSeparationWithoutNeed(t *testing.T) {
+	usual, _ := newMixedLoad(0).run(4000)
+	harmless, _ := newMixedLoad(0.6).run(4000)
 	require.InDelta(t, usual, harmless, float64(usual)/5)
-	r := newMixed(0.95).request(true)
+	r := newMixedLoad(0.95).request(true)
 	r.Route.GapGoal = 0
-	require.False(t, separate(r, newMixed(0.95).ups, []int{0, 1, 2}, newMixed(0.95).rates).active)
+	require.False(t, separate(r, newMixedLoad(0.95).ups, []int{0, 1, 2}, newMixedLoad(0.95).rates).active)
 }
 
-// The engines that are not slow are lost, all but a few. Long prompts then go to slow ones as
-// well: kept apart, they would wait for the few that are left.
-func TestFewFastEnginesAreNotKeptForLongPrompts(t *testing.T) {
-	m := newMixed(0.95)
+// Only few engines that are not slow are left. Long prompts must then go to slow ones as well:
+// separated, they would queue at the few that are left.
+func TestNoSeparationWithFewFastEngines(t *testing.T) {
+	m := newMixedLoad(0.95)
 	s := separate(m.request(true), m.ups, []int{0, 2, 5, 8}, m.rates)
 	require.False(t, s.active)
-	require.Equal(t, []int{0, 2, 5, 8}, s.homes)
+	require.Equal(t, []int{0, 2, 5, 8}, s.preferable)
 }
 
-// Bursts fill the engines that are left to short prompts; the next ones go elsewhere.
-func TestBurstOfShortPromptsSpills(t *testing.T) {
-	m := newMixed(0.95)
+// Bursts fill the engines reserved for short prompts; further short prompts must go elsewhere.
+func TestBurstOfShortPromptsSpillsOver(t *testing.T) {
+	m := newMixedLoad(0.95)
 	for i := range m.ups {
-		if m.slow[i] > 1 {
+		if m.slowness[i] > 1 {
 			m.ups[i].Running, m.ups[i].EventTime = 50, 90*time.Millisecond
 		} else {
 			m.ups[i].EventTime = 20 * time.Millisecond
 		}
 	}
-	c, _ := Choose(m.request(false), m.ups, m.rates, first)
-	require.Equal(t, 1.0, m.slow[c.Index])
+	c, _ := Choose(m.request(false), m.ups, m.rates, firstTie)
+	require.Equal(t, 1.0, m.slowness[c.Index])
 }
 
-// How long streams are held up varies around what is too long. An engine that is left to short
-// prompts stays so until it is clearly below: each change moves homes of prompts.
-func TestExposureDoesNotFlap(t *testing.T) {
+// Gaps vary around the threshold. A stall-prone engine must remain so until the gaps are clearly
+// below it: each change moves the preferred engines of prompts.
+func TestStallProneDoesNotFlap(t *testing.T) {
 	require.False(t, Exposed(false, 1.1, 1))
 	require.True(t, Exposed(false, 0.95, 1.3))
 	require.True(t, Exposed(true, 0.8, 1.3))
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,10 +1,10 @@
-// Package placement chooses the upstream for a request. It is a pure decision: what is
-// known of the upstreams comes in, the choice goes out.
+// Package placement chooses the upstream for a request. It is a pure function of the
+// known state of the upstreams.
 //
-// For model engines the load is prefill: reading a prompt takes most of an engine's
-// time, unless its leading parts are cached there. So requests that share a part go to
-// the same engine, found by rendezvous hashing without any message between routers, as
-// long as that engine's queue costs less time than reading the part again elsewhere.
+// For model engines the load is prefill: it takes most of an engine's time, unless a
+// prompt's leading parts are cached there. So requests that share a part go to the same
+// engine, found by rendezvous hashing without messages between routers, as long as that
+// engine's backlog costs less time than prefilling the part again elsewhere.
 package placement
 
 import (
@@ -16,94 +16,94 @@
 	"github.com/arbutusmill/arbutusmill/serving"
 )
 
-// Upstream is one candidate as the router believes it to be.
+// Upstream is one candidate and its state as known to the router.
 type Upstream struct {
 	Life       directory.Life
 	Datacentre string
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests that it runs at once.
 	Slots int
-	// Running is this router's requests there that have not ended.
+	// Running is the number of this router's requests there that have not ended.
 	Running int
-	// Unread is the prompt tokens of this router's requests there whose first
-	// event has not come, without those believed cached.
+	// Unread is the pending prefill: the prompt tokens of this router's requests there
+	// whose first event has not arrived, without those probably cached.
 	Unread int64
-	// Told is what the process beside it has just told of the request's prompt; nil if
-	// nobody did. It goes before Unread and Cached, which are this router's own guess.
+	// Told is its lender's reply to the announcement of the request's prompt; nil if there
+	// is none. It overrides Unread and Cached, which are this router's own estimates.
 	Told *prefill.Told
-	// Cached is how many leading tokens of the request's prompt it is believed to
-	// have cached, by what this router sent there.
+	// Cached is how many leading tokens of the request's prompt it probably has
+	// cached, estimated from what this router sent there.
 	Cached int64
-	// Avoid says that it failed lately.
+	// Avoid is set if it failed recently.
 	Avoid bool
-	// Closed says that it must not be sent the request now.
+	// Closed is set if the request must not be sent there now.
 	Closed bool
 	// FailureShare is the share of its recent answers that failed, 0 to 1.
 	FailureShare float64
-	// Exposed says that its streams are held up too long while it reads prompts.
+	// Exposed is set if prefills delay its streams for too long.
 	Exposed bool
-	// EventTime is the time between two events of its streams lately; 0 is not known.
+	// EventTime is the recent time between two events of its streams; 0 if unknown.
 	EventTime time.Duration
 }
 
-// Rates are what the choice assumes of upstreams.
+// Rates are the parameters that are the same for all upstreams of a choice.
 type Rates struct {
-	// PrefillPerMs is the prompt tokens that an engine reads in a millisecond.
+	// PrefillPerMs is the prefill rate in tokens per millisecond.
 	PrefillPerMs float64
-	// FetchPerMs is the tokens of cached prompt that engines pass on in a
+	// FetchPerMs is the rate at which engines transfer cached tokens, per
 	// millisecond.
 	FetchPerMs float64
-	// Routers is how many routers send to the same upstreams.
+	// Routers is the number of routers that send to the same upstreams.
 	Routers int
 	// Here is the router's data centre.
 	Here string
 }
 
-// Weights of the choice.
+// Weights of the cost estimate.
 const (
-	// crowdedCost is added in proportion to the slots believed taken, squared:
+	// occupancyCost is scaled by the square of the estimated share of taken slots:
 	// a batch slows down each of its requests, and a full one makes the next wait.
-	crowdedCost = 200 * time.Millisecond
-	// farCost prefers an upstream of the own data centre when all else is alike:
-	// about two of the networks' one-way delays, and bytes between data centres
-	// are paid for.
-	farCost = 3 * time.Millisecond
-	// failureCost is what an upstream that fails every request costs.
+	occupancyCost = 200 * time.Millisecond
+	// remoteCost prefers an upstream of the router's data centre when all else is
+	// equal: about two one-way network delays, and traffic between data centres
+	// is charged.
+	remoteCost = 3 * time.Millisecond
+	// failureCost is scaled by the share of failures.
 	failureCost = 2 * time.Second
-	// FetchLeast is the fewest tokens that are worth a transfer; below it the
-	// set-up of the transfer takes longer than reading them.
+	// FetchLeast is the minimum number of tokens for a transfer; below it the
+	// set-up of the transfer takes longer than prefilling them.
 	FetchLeast = 1000
-	// scatterWeight is what it costs, in tokens, to read a shared token elsewhere than
-	// at the prompt's home: the home will read it again for the next request. With 0
-	// twice as many shared tokens were read again on calm days; 0.4 and 1 differ little.
-	scatterWeight = 0.4
-	// homeTrust is the share of the shared parts that the home engine is believed
-	// to have cached although this router never sent them there: other routers
+	// duplicateWeight is the cost, in tokens, of prefilling a shared token at an engine that
+	// is not preferred: the preferred one will prefill it again for the next request. With 0,
+	// twice as many shared tokens are prefilled again under low load; 0.4 and 1 differ little.
+	duplicateWeight = 0.4
+	// assumedCacheShare is the share of the shared parts that the preferred engine is
+	// assumed to have cached although this router never sent them there: other routers
 	// send to it too.
-	homeTrust = 0.8
+	assumedCacheShare = 0.8
 )
 
 // Choice is the upstream for a request.
 type Choice struct {
 	Index int
-	// FetchFrom is the index of an upstream that should have more of the prompt
+	// FetchFrom is the index of an upstream that probably has more of the prompt
 	// cached, or -1.
 	FetchFrom int
-	// Fetched is the leading tokens that it then gets from there.
+	// Fetched is the number of leading tokens that are transferred from there.
 	Fetched int64
-	// Unread is the tokens that the chosen one must read.
+	// Unread is the number of tokens that the chosen upstream must prefill.
 	Unread int64
 	// Cost is the estimated time to the first event.
 	Cost time.Duration
-	// Before is the tokens that the process beside the chosen one told of before the prompt; -1
-	// if nobody told.
+	// Before is the backlog of the chosen upstream in tokens, as reported by its lender; -1 if
+	// not reported.
 	Before int64
-	// Home is the index of the upstream that the prompt prefers for its shared parts, -1 if it
+	// Home is the index of the preferred upstream for the prompt's shared parts, -1 if it
 	// has none.
 	Home int
 }
 
-// Key is the part of a prompt by which requests are brought together: the last one
-// that others may share. The very last part belongs to the request alone.
+// Key returns the ID of the part by which requests are grouped: the last one that other
+// requests may share. The very last part belongs to the request alone.
 func Key(parts []prefill.Part) string {
 	switch len(parts) {
 	case 0:
@@ -114,26 +114,27 @@
 	return parts[len(parts)-2].ID
 }
 
-// Shared are the parts of a prompt that others may share: all but the last.
+// Shared returns the parts of a prompt that other requests may share: all but the last.
 func Shared(parts []prefill.Part) []prefill.Part { return parts[:max(0, len(parts)-1)] }
 
-// shared is their tokens.
-func shared(parts []prefill.Part) int64 { return prefill.TokensOf(Shared(parts)) }
+// sharedTokens returns the tokens of the shared parts.
+func sharedTokens(parts []prefill.Part) int64 { return prefill.TokensOf(Shared(parts)) }
 
-// Choose returns the upstream with the least estimated cost, or false when there is
-// none. Upstreams to avoid are taken only when no other is left, closed ones never.
+// Choose returns the upstream with the lowest estimated cost, or false when there is
+// none. Avoided upstreams are used only when no other is left, closed ones never. tie
+// returns the index in [0, n) at which to start, which decides between equal costs.
 func Choose(r *serving.Request, ups []Upstream, rates Rates, tie func(n int) int) (Choice, bool) {
-	usable := candidates(ups)
+	usable := usableIndexes(ups)
 	if len(usable) == 0 {
 		return Choice{}, false
 	}
 	if r.Prompt == 0 {
-		return choosePlain(ups, usable, rates, tie), true
+		return chooseForPlain(ups, usable, rates, tie), true
 	}
-	return choosePrompt(r, ups, usable, rates, tie), true
+	return chooseForPrompt(r, ups, usable, rates, tie), true
 }
 
-func candidates(ups []Upstream) []int {
+func usableIndexes(ups []Upstream) []int {
 	var good, avoided []int
 	for i, u := range ups {
 		switch {
@@ -150,14 +151,14 @@
 	return good
 }
 
-// choosePlain takes the upstream with the most room.
-func choosePlain(ups []Upstream, usable []int, rates Rates, tie func(int) int) Choice {
-	m := mean(ups, usable)
+// chooseForPlain chooses the upstream for a request without a prompt.
+func chooseForPlain(ups []Upstream, usable []int, rates Rates, tie func(int) int) Choice {
+	avg := averageOf(ups, usable)
 	best := Choice{Index: -1, FetchFrom: -1, Before: -1, Home: -1}
 	start := tie(len(usable))
 	for k := range usable {
 		i := usable[(start+k)%len(usable)]
-		c := common(ups[i], m, rates)
+		c := baseCost(ups[i], avg, rates)
 		if best.Index < 0 || c < best.Cost {
 			best.Index, best.Cost = i, c
 		}
@@ -165,108 +166,107 @@
 	return best
 }
 
-// load is what the usable upstreams have on average, by this router's own requests.
-type load struct {
+// averageLoad is the average load of the usable upstreams from this router's requests.
+type averageLoad struct {
 	running float64
 	unread  float64
 }
 
-func mean(ups []Upstream, usable []int) load {
-	var l load
+func averageOf(ups []Upstream, usable []int) averageLoad {
+	var l averageLoad
 	for _, i := range usable {
 		l.running += float64(ups[i].Running)
 		l.unread += float64(ups[i].Unread)
 	}
 	n := float64(len(usable))
-	return load{running: l.running / n, unread: l.unread / n}
+	return averageLoad{running: l.running / n, unread: l.unread / n}
 }
 
-// others is the number of routers beside this one. Each is assumed to have the same
-// load as this one, spread evenly: the own requests at an upstream say little about
-// what the others have there at this moment.
-func (r Rates) others() float64 { return float64(max(0, r.Routers-1)) }
+// otherRouters returns the number of other routers. Each is assumed to have the same load
+// as this one, spread evenly: the own requests at one upstream are no estimate of what
+// the others have there.
+func (r Rates) otherRouters() float64 { return float64(max(0, r.Routers-1)) }
 
-// streams is how many requests of all routers are believed to run at an upstream.
-func (m load) streams(u Upstream, rates Rates) float64 {
-	return float64(u.Running) + m.running*rates.others()
+// streams estimates the number of requests of all routers that run at an upstream.
+func (avg averageLoad) streams(u Upstream, rates Rates) float64 {
+	return float64(u.Running) + avg.running*rates.otherRouters()
 }
 
-// common is the part of the cost that plain services and engines share.
-func common(u Upstream, m load, rates Rates) time.Duration {
-	taken := m.streams(u, rates) / float64(max(1, u.Slots))
-	c := time.Duration(float64(crowdedCost) * taken * taken)
+// baseCost returns the part of the cost that is the same for plain services and engines.
+func baseCost(u Upstream, avg averageLoad, rates Rates) time.Duration {
+	taken := avg.streams(u, rates) / float64(max(1, u.Slots))
+	c := time.Duration(float64(occupancyCost) * taken * taken)
 	c += time.Duration(float64(failureCost) * u.FailureShare)
 	if u.Datacentre != rates.Here {
-		c += farCost
+		c += remoteCost
 	}
 	return c
 }
 
-// before is the tokens that an engine is believed to read before a new prompt.
-func (u Upstream) before(m load, rates Rates) float64 {
+// backlog estimates the tokens that an engine prefills before a new prompt.
+func (u Upstream) backlog(avg averageLoad, rates Rates) float64 {
 	if u.Told != nil {
 		return float64(u.Told.Backlog)
 	}
-	return float64(u.Unread) + m.unread*rates.others()
+	return float64(u.Unread) + avg.unread*rates.otherRouters()
 }
 
-// toldBefore is Choice.Before.
-func (u Upstream) toldBefore() int64 {
+// reportedBacklog returns the backlog for Choice.Before.
+func (u Upstream) reportedBacklog() int64 {
 	if u.Told == nil {
 		return -1
 	}
 	return u.Told.Backlog
 }
 
-func choosePrompt(r *serving.Request, ups []Upstream, usable []int, rates Rates, tie func(int) int) Choice {
-	m := mean(ups, usable)
-	apart := separate(r, ups, usable, rates)
-	home := homeOf(r, ups, apart.homes)
-	source, most := sourceOf(r, ups, usable, home)
+func chooseForPrompt(r *serving.Request, ups []Upstream, usable []int, rates Rates, tie func(int) int) Choice {
+	avg := averageOf(ups, usable)
+	sep := separate(r, ups, usable, rates)
+	preferred := preferredEngine(r, ups, sep.preferable)
+	source, sourceTokens := largestCache(r, ups, usable, preferred)
 	best := Choice{Index: -1}
 	start := tie(len(usable))
 	for k := range usable {
 		i := usable[(start+k)%len(usable)]
 		u := ups[i]
-		cached := cachedAt(r, ups, i, i == home)
+		cached := cachedTokens(r, ups, i, i == preferred)
 		unread := max(0, r.Prompt-cached)
 		from := -1
 		waitTokens := float64(unread)
 		var fetched int64
-		if more := most - cached; i != source && more >= FetchLeast {
-			from, fetched = source, most
+		if more := sourceTokens - cached; i != source && more >= FetchLeast {
+			from, fetched = source, sourceTokens
 			waitTokens += float64(more) * (rates.PrefillPerMs/rates.FetchPerMs - 1)
 			unread -= more
 		}
-		if i != home {
-			waitTokens += scatterWeight * float64(max(0, shared(r.Parts)-max(cached, fetched)))
+		if i != preferred {
+			waitTokens += duplicateWeight * float64(max(0, sharedTokens(r.Parts)-max(cached, fetched)))
 		}
-		waitTokens += u.before(m, rates)
-		c := common(u, m, rates) + time.Duration(waitTokens/rates.PrefillPerMs*float64(time.Millisecond))
-		c += apart.cost(r, u, m.streams(u, rates))
+		waitTokens += u.backlog(avg, rates)
+		c := baseCost(u, avg, rates) + time.Duration(waitTokens/rates.PrefillPerMs*float64(time.Millisecond))
+		c += sep.cost(r, u, avg.streams(u, rates))
 		if best.Index < 0 || c < best.Cost {
-			best = Choice{Index: i, FetchFrom: from, Fetched: fetched, Unread: unread, Cost: c, Before: u.toldBefore(), Home: home}
+			best = Choice{Index: i, FetchFrom: from, Fetched: fetched, Unread: unread, Cost: c, Before: u.reportedBacklog(), Home: preferred}
 		}
 	}
 	return best
 }
 
-// sourceOf is the upstream that is believed to have most of the prompt cached, and how many
-// of its leading tokens; -1 if none has any. Others fetch them from there: an engine that
-// is new to a prompt, or whose share of prompts has changed, would read again what a
-// neighbour has.
-func sourceOf(r *serving.Request, ups []Upstream, usable []int, home int) (source int, tokens int64) {
+// largestCache returns the upstream that probably has most of the prompt cached and how many
+// leading tokens; -1 if none has any. Others fetch them from there: an engine that is new to
+// a prompt, or whose set of prompts has changed, would otherwise prefill them again.
+func largestCache(r *serving.Request, ups []Upstream, usable []int, preferred int) (source int, tokens int64) {
 	source = -1
 	for _, i := range usable {
-		if n := cachedAt(r, ups, i, i == home); n > tokens {
+		if n := cachedTokens(r, ups, i, i == preferred); n > tokens {
 			source, tokens = i, n
 		}
 	}
 	return source, tokens
 }
 
-// cachedAt is how many leading tokens of the prompt an upstream is believed to have cached.
-func cachedAt(r *serving.Request, ups []Upstream, i int, home bool) int64 {
+// cachedTokens estimates how many leading tokens of the prompt an upstream has cached.
+func cachedTokens(r *serving.Request, ups []Upstream, i int, preferred bool) int64 {
 	if i < 0 {
 		return 0
 	}
@@ -274,16 +274,16 @@
 	switch {
 	case u.Told != nil:
 		return u.Told.Cached
-	case home:
-		return max(u.Cached, int64(homeTrust*float64(shared(r.Parts))))
+	case preferred:
+		return max(u.Cached, int64(assumedCacheShare*float64(sharedTokens(r.Parts))))
 	}
 	return u.Cached
 }
 
-// homeOf is the upstream that routers prefer for the request's shared parts, -1 if it has
-// none. All routers that can use the same upstreams find the same one; where one of them
-// avoids an upstream, only the prompts at home there move.
-func homeOf(r *serving.Request, ups []Upstream, usable []int) int {
+// preferredEngine returns the preferred upstream for the request's shared parts, -1 if it has
+// none. All routers with the same usable upstreams find the same one; if a router avoids an
+// upstream, only the prompts that prefer it move.
+func preferredEngine(r *serving.Request, ups []Upstream, usable []int) int {
 	key := Key(r.Parts)
 	if key == "" {
 		return -1
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -27,10 +27,10 @@
 	return &serving.Request{Route: &catalog.Route{}, Prompt: 17_000, Parts: []prefill.Part{{ID: subject, Tokens: 13_300}, {ID: "own", Tokens: 3_700}}}
 }
 
-func first(int) int { return 0 }
+func firstTie(int) int { return 0 }
 
-// seeded breaks ties by chance, the same way in each run.
-func seeded() func(int) int { return rand.New(rand.NewPCG(3, 4)).IntN }
+// seededTie returns a random tie-breaker with a fixed seed.
+func seededTie() func(int) int { return rand.New(rand.NewPCG(3, 4)).IntN }
 
 func TestSameSubjectSameEngine(t *testing.T) {
 	ups := engines(12)
@@ -38,7 +38,7 @@
 	for i, u := range ups {
 		ids[i] = u.Life.ID
 	}
-	tie := seeded()
+	tie := seededTie()
 	for s := range 50 {
 		subject := fmt.Sprint("s", s)
 		c, ok := Choose(prompt(subject), ups, rates, tie)
@@ -48,56 +48,56 @@
 	}
 }
 
-// One subject gets much of the traffic: its engine's queue grows until reading the part
-// elsewhere is quicker. Then others help, and fetch the part from it.
-func TestHotSubjectSpills(t *testing.T) {
+// One subject gets much of the traffic, and its engine's backlog grows until another engine is
+// quicker. Requests must then go there, and fetch the part from the preferred engine.
+func TestHotSubjectSpillsOver(t *testing.T) {
 	ups := engines(12)
-	c, _ := Choose(prompt("hot"), ups, rates, first)
-	home := c.Index
-	ups[home].Unread = 60_000 // more than a second
-	c, _ = Choose(prompt("hot"), ups, rates, first)
-	require.NotEqual(t, home, c.Index)
-	require.Equal(t, home, c.FetchFrom)
+	c, _ := Choose(prompt("hot"), ups, rates, firstTie)
+	preferred := c.Index
+	ups[preferred].Unread = 60_000 // more than a second
+	c, _ = Choose(prompt("hot"), ups, rates, firstTie)
+	require.NotEqual(t, preferred, c.Index)
+	require.Equal(t, preferred, c.FetchFrom)
 }
 
-// All routers send long prompts, and the preferred engine has 60,000 tokens to read that this
-// router knows nothing of. Told so by the process beside it, the router goes elsewhere; told
-// that little is before it, it stays although it guessed more.
-func TestWhatIsToldGoesBeforeTheGuess(t *testing.T) {
+// All routers send long prompts, and the preferred engine has a backlog of 60,000 tokens that this
+// router didn't send. When the engine's lender reports it, the request must go elsewhere; when the
+// lender reports a short backlog, the request stays although the router's estimate is higher.
+func TestReportedBacklogOverridesEstimate(t *testing.T) {
 	ups := engines(12)
-	c, _ := Choose(prompt("s"), ups, rates, first)
-	home := c.Index
-	ups[home].Told = &prefill.Told{Backlog: 60_000, Cached: 13_300}
-	c, _ = Choose(prompt("s"), ups, rates, first)
-	require.NotEqual(t, home, c.Index)
-	require.Equal(t, home, c.FetchFrom)
-	ups[home].Unread, ups[home].Told = 60_000, &prefill.Told{Backlog: 100, Cached: 13_300}
-	c, _ = Choose(prompt("s"), ups, rates, first)
-	require.Equal(t, home, c.Index)
+	c, _ := Choose(prompt("s"), ups, rates, firstTie)
+	preferred := c.Index
+	ups[preferred].Told = &prefill.Told{Backlog: 60_000, Cached: 13_300}
+	c, _ = Choose(prompt("s"), ups, rates, firstTie)
+	require.NotEqual(t, preferred, c.Index)
+	require.Equal(t, preferred, c.FetchFrom)
+	ups[preferred].Unread, ups[preferred].Told = 60_000, &prefill.Told{Backlog: 100, Cached: 13_300}
+	c, _ = Choose(prompt("s"), ups, rates, firstTie)
+	require.Equal(t, preferred, c.Index)
 }
 
-// Nobody has read a subject yet, as on a day's first requests. They must still gather at one
-// engine: read at a new one each time, the subject would be read many times over.
-func TestUnreadSubjectGathersAtItsHome(t *testing.T) {
+// No engine has a subject cached yet. Its requests must still go to the preferred engine despite
+// some backlog: at a different engine each time, the subject would be prefilled many times.
+func TestUncachedSubjectStaysAtPreferredEngine(t *testing.T) {
 	ups := engines(12)
-	c, _ := Choose(prompt("new"), ups, rates, first)
-	home := c.Index
-	ups[home].Told = &prefill.Told{Backlog: 4_000}
-	c, _ = Choose(prompt("new"), ups, rates, first)
-	require.Equal(t, home, c.Index)
+	c, _ := Choose(prompt("new"), ups, rates, firstTie)
+	preferred := c.Index
+	ups[preferred].Told = &prefill.Told{Backlog: 4_000}
+	c, _ = Choose(prompt("new"), ups, rates, firstTie)
+	require.Equal(t, preferred, c.Index)
 }
 
-// The home of a prompt has just come back empty, while a neighbour, busy now, read the
-// shared part a moment ago. It is fetched from there; read again, it would hold up the home for 270 ms.
-func TestHomeFetchesFromWhoeverHasIt(t *testing.T) {
+// The preferred engine has restarted with an empty cache, while another, busy engine has the shared
+// part cached. The part must be fetched from there: a new prefill would take the preferred one 270 ms.
+func TestPreferredEngineFetchesCachedPart(t *testing.T) {
 	ups := engines(12)
-	c, _ := Choose(prompt("s"), ups, rates, first)
-	home, neighbour := c.Index, (c.Index+1)%len(ups)
-	ups[home].Told = &prefill.Told{}
-	ups[neighbour].Cached, ups[neighbour].Unread = 13_300, 60_000
-	c, _ = Choose(prompt("s"), ups, rates, first)
-	require.Equal(t, home, c.Index)
-	require.Equal(t, neighbour, c.FetchFrom)
+	c, _ := Choose(prompt("s"), ups, rates, firstTie)
+	preferred, other := c.Index, (c.Index+1)%len(ups)
+	ups[preferred].Told = &prefill.Told{}
+	ups[other].Cached, ups[other].Unread = 13_300, 60_000
+	c, _ = Choose(prompt("s"), ups, rates, firstTie)
+	require.Equal(t, preferred, c.Index)
+	require.Equal(t, other, c.FetchFrom)
 	require.EqualValues(t, 13_300, c.Fetched)
 	require.EqualValues(t, 3_700, c.Unread)
 }
@@ -106,7 +106,7 @@
 	ups := engines(3)
 	ups[0].Avoid, ups[1].FailureShare = true, 0.5
 	plain := &serving.Request{}
-	tie := seeded()
+	tie := seededTie()
 	for range 10 {
 		c, _ := Choose(plain, ups, rates, tie)
 		require.Equal(t, 2, c.Index)
@@ -115,24 +115,24 @@
 		ups[i].Avoid = true
 	}
 	_, ok := Choose(plain, ups, rates, tie)
-	require.True(t, ok, "all are to be avoided: one is tried all the same")
+	require.True(t, ok, "all upstreams are avoided: one is tried nevertheless")
 	_, ok = Choose(plain, nil, rates, tie)
 	require.False(t, ok)
 }
 
-// Requests of a seeded mix of subjects are placed by four ways on the same arrivals. The
-// measure is the prompt tokens that engines must read, with caches that keep the last
-// 200,000 tokens; the chosen way must read less than half of what the others do.
-func TestTokensReadByPolicy(t *testing.T) {
-	ways := map[string]func(r *serving.Request, ups []Upstream, n int) int{
+// Requests of a seeded mix of subjects are placed by two policies on the same arrivals, with caches
+// that keep the last 200,000 tokens. Engines must prefill less than half as many tokens with
+// placement as with round robin.
+func TestPrefilledTokensByPolicy(t *testing.T) {
+	policies := map[string]func(r *serving.Request, ups []Upstream, n int) int{
 		"placement": func(r *serving.Request, ups []Upstream, _ int) int {
-			c, _ := Choose(r, ups, rates, first)
+			c, _ := Choose(r, ups, rates, firstTie)
 			return c.Index
 		},
 		"round robin": func(_ *serving.Request, ups []Upstream, n int) int { return n % len(ups) },
 	}
 	read := map[string]int64{}
-	for name, way := range ways {
+	for name, policy := range policies {
 		rnd := rand.New(rand.NewPCG(1, 2))
 		ups := engines(12)
 		caches := make([]map[string]int, len(ups))
@@ -141,7 +141,7 @@
 		}
 		for n := range 3000 {
 			subject := fmt.Sprint("s", rnd.IntN(80))
-			i := way(prompt(subject), ups, n)
+			i := policy(prompt(subject), ups, n)
 			last, cached := caches[i][subject]
 			if !cached || n-last > 15*len(ups) { // some 15 parts fit
 				read[name] += 13_300
