--- a/prefill/cache.go
+++ b/prefill/cache.go
@@ -8,7 +8,7 @@
 	Tokens int64  `json:"tokens"`
 }
 
-// TokensOf is the sum of parts.
+// TokensOf returns the sum of the parts' tokens.
 func TokensOf(parts []Part) int64 {
 	var n int64
 	for _, p := range parts {
@@ -17,19 +17,19 @@
 	return n
 }
 
-// Cache is a guess at the prompt parts that one engine keeps: those that were sent to
-// it last, as many as fit. The zero value is empty.
+// Cache estimates the prompt parts that one engine has cached: the least recently used
+// parts are evicted when they don't fit. The zero value is empty.
 type Cache struct {
 	parts  map[string]*list.Element
-	order  *list.List // the least recently used first
+	order  *list.List // least recently used first
 	tokens int64
 }
 
-// Tokens is the sum of all parts.
+// Tokens returns the sum of all parts' tokens.
 func (c *Cache) Tokens() int64 { return c.tokens }
 
-// Match returns how many leading tokens of a prompt are believed cached. A part counts
-// only if all before it do.
+// Match returns how many leading tokens of a prompt are probably cached. A part counts
+// only if all before it are cached.
 func (c *Cache) Match(parts []Part) int64 {
 	var n int64
 	for _, p := range parts {
@@ -41,8 +41,8 @@
 	return n
 }
 
-// Add notes that a prompt with these parts was sent to the engine, whose memory has room
-// for that many tokens of cached parts.
+// Add records that a prompt with these parts was sent to the engine. room is the capacity
+// of the engine's cache in tokens.
 func (c *Cache) Add(parts []Part, room int64) {
 	if c.parts == nil {
 		c.parts, c.order = map[string]*list.Element{}, list.New()
@@ -60,7 +60,7 @@
 	}
 }
 
-// Forget removes parts that were not sent after all.
+// Forget removes parts that were not sent in the end.
 func (c *Cache) Forget(parts []Part) {
 	for _, p := range parts {
 		if e := c.parts[p.ID]; e != nil {
--- a/prefill/elsewhere.go
+++ b/prefill/elsewhere.go
@@ -7,65 +7,66 @@
 )
 
 const (
-	// elsewhereFor is how long an engine is believed to keep a part of prompts that it read. It
-	// keeps those that are asked for; a transfer of one that it gave up brings nothing, and the
-	// part is read as it would have been.
-	elsewhereFor = 30 * time.Second
-	// mostElsewhere bounds the parts that are remembered of other engines.
-	mostElsewhere = 4096
+	// remotePartTTL is how long another engine is assumed to keep a part cached. It keeps parts
+	// in use; if it has evicted one, the transfer yields nothing and the part is prefilled as
+	// it would have been without it.
+	remotePartTTL = 30 * time.Second
+	// maxRemoteParts bounds the recorded parts of other engines.
+	maxRemoteParts = 4096
 )
 
-// Elsewhere says that an engine reads the leading parts of a prompt that others share.
+// Elsewhere reports that the engine By prefills the shared leading parts of a prompt.
 type Elsewhere struct {
 	Parts []Part         `json:"parts"`
 	By    directory.Life `json:"by"`
 }
 
-// places is who else keeps which parts of prompts. The load pattern that it answers: prompts that
-// share a part prefer one engine, and go elsewhere while that is busy. The next router that finds it
-// idle has the part read there again, though an engine next to it keeps the part: half of all shared
-// tokens that were read again on busy days. The preferred engine's side is where all routers ask.
-type places struct {
-	by map[string]place // by the last of the leading parts
+// remoteParts records which other engines have which parts cached. Prompts that share a part prefer
+// one engine, and go elsewhere while it is busy. Without this record, the next router that finds the
+// preferred engine idle has it prefill the part again although another engine has it cached; that was
+// half of all shared tokens prefilled again on busy days. The record is kept with the preferred engine,
+// where all routers announce their prompts.
+type remoteParts struct {
+	byPart map[string]remotePart // by the ID of the last of the leading parts
 }
 
-type place struct {
-	by     directory.Life
-	tokens int64
-	at     time.Time
+type remotePart struct {
+	engine     directory.Life
+	tokens     int64
+	recordedAt time.Time
 }
 
-// note remembers who read the parts last.
-func (p *places) note(now time.Time, e Elsewhere) {
+// record stores the engine that last prefilled the parts.
+func (p *remoteParts) record(now time.Time, e Elsewhere) {
 	if len(e.Parts) == 0 {
 		return
 	}
-	if p.by == nil {
-		p.by = map[string]place{}
+	if p.byPart == nil {
+		p.byPart = map[string]remotePart{}
 	}
-	if len(p.by) >= mostElsewhere {
-		p.forget(now)
+	if len(p.byPart) >= maxRemoteParts {
+		p.removeExpired(now)
 	}
-	if len(p.by) >= mostElsewhere {
+	if len(p.byPart) >= maxRemoteParts {
 		return
 	}
-	p.by[e.Parts[len(e.Parts)-1].ID] = place{by: e.By, tokens: TokensOf(e.Parts), at: now}
+	p.byPart[e.Parts[len(e.Parts)-1].ID] = remotePart{engine: e.By, tokens: TokensOf(e.Parts), recordedAt: now}
 }
 
-func (p *places) forget(now time.Time) {
-	for id, known := range p.by {
-		if now.Sub(known.at) >= elsewhereFor {
-			delete(p.by, id)
+func (p *remoteParts) removeExpired(now time.Time) {
+	for id, part := range p.byPart {
+		if now.Sub(part.recordedAt) >= remotePartTTL {
+			delete(p.byPart, id)
 		}
 	}
 }
 
-// find returns who keeps most of a prompt's leading parts, and how many tokens these have; 0 if
-// nobody is known.
-func (p *places) find(now time.Time, parts []Part) (by directory.Life, tokens int64) {
+// find returns the engine that has most of a prompt's leading parts cached, and their tokens; 0 if
+// none is found.
+func (p *remoteParts) find(now time.Time, parts []Part) (engine directory.Life, tokens int64) {
 	for i := len(parts) - 1; i >= 0; i-- {
-		if known, ok := p.by[parts[i].ID]; ok && now.Sub(known.at) < elsewhereFor {
-			return known.by, known.tokens
+		if found, ok := p.byPart[parts[i].ID]; ok && now.Sub(found.recordedAt) < remotePartTTL {
+			return found.engine, found.tokens
 		}
 	}
 	return directory.Life{}, 0
--- a/prefill/elsewhere_test.go
+++ b/prefill/elsewhere_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Another engine reads parts for which prompts prefer this one. A prompt with these parts is told
-// of it, one that shares fewer of them is told of none that does not hold, and all is forgotten
-// when the other engine has probably given the parts up.
+// Another engine prefills parts of prompts that prefer this one. It is reported for a prompt with all
+// these parts, not for one that shares only some of them, and no longer when remotePartTTL is over
+// and the other engine may have evicted the parts.
 func TestReadElsewhere(t *testing.T) {
 	now := time.Unix(0, 0)
 	e := NewEngine(now, 50)
@@ -19,19 +19,19 @@
 	system, subject := Part{ID: "system", Tokens: 2_000}, Part{ID: "subject", Tokens: 10_000}
 	e.ReadElsewhere(now, Elsewhere{Parts: []Part{system, subject}, By: directory.Life{ID: "i-2", Born: 7}})
 	prompt := Announcement{Prompt: 13_000, Parts: []Part{system, subject, {ID: "own", Tokens: 1_000}}}
-	told := e.Announce(now, prompt)
-	require.Equal(t, Told{Unread: 1_000, Elsewhere: directory.Life{ID: "i-2", Born: 7}, ElsewhereTokens: 12_000}, told)
-	e.Withdraw(now, prompt, told)
-	require.Zero(t, e.State(now).Backlog, "what was not counted is not taken back")
+	reply := e.Announce(now, prompt)
+	require.Equal(t, Told{Unread: 1_000, Elsewhere: directory.Life{ID: "i-2", Born: 7}, ElsewhereTokens: 12_000}, reply)
+	e.Withdraw(now, prompt, reply)
+	require.Zero(t, e.State(now).Backlog, "tokens that were not added are not removed")
 
 	alone := Announcement{Prompt: 3_000, Parts: []Part{system, {ID: "own-2", Tokens: 1_000}}}
 	require.Zero(t, e.Announce(now, alone).ElsewhereTokens)
 
-	now = now.Add(elsewhereFor)
+	now = now.Add(remotePartTTL)
 	require.Zero(t, e.Announce(now, Announcement{Prompt: 12_000, Parts: []Part{system, subject}}).ElsewhereTokens)
 }
 
-// The engine itself has read the parts since: nothing is fetched.
+// The engine itself has the parts cached as well: nothing is fetched.
 func TestReadHereAndElsewhere(t *testing.T) {
 	now := time.Unix(0, 0)
 	e := NewEngine(now, 50)
@@ -42,16 +42,16 @@
 	require.Zero(t, e.Announce(now, prompt).ElsewhereTokens)
 }
 
-// Callers name ever new parts. What is remembered of other engines stays bounded, and room is made
-// by what is old.
-func TestPlacesAreBounded(t *testing.T) {
+// Callers send new parts all the time. The records of other engines must stay bounded, and expired
+// ones make room for new ones.
+func TestRemotePartsAreBounded(t *testing.T) {
 	now := time.Unix(0, 0)
-	var p places
-	for n := range mostElsewhere + 10 {
-		p.note(now, Elsewhere{Parts: []Part{{ID: fmt.Sprint(n), Tokens: 1}}})
+	var p remoteParts
+	for n := range maxRemoteParts + 10 {
+		p.record(now, Elsewhere{Parts: []Part{{ID: fmt.Sprint(n), Tokens: 1}}})
 	}
-	require.Len(t, p.by, mostElsewhere)
-	now = now.Add(elsewhereFor)
-	p.note(now, Elsewhere{Parts: []Part{{ID: "new", Tokens: 1}}})
-	require.Len(t, p.by, 1)
+	require.Len(t, p.byPart, maxRemoteParts)
+	now = now.Add(remotePartTTL)
+	p.record(now, Elsewhere{Parts: []Part{{ID: "new", Tokens: 1}}})
+	require.Len(t, p.byPart, 1)
 }
--- a/prefill/engine.go
+++ b/prefill/engine.go
@@ -11,82 +11,83 @@
 
 // Announcement is a prompt that a router is about to send to an engine.
 type Announcement struct {
-	// Prompt is all its tokens, Parts what they consist of.
+	// Prompt is the total number of tokens, Parts are the parts of the prompt.
 	Prompt int64  `json:"prompt"`
 	Parts  []Part `json:"parts"`
-	// Fetched is the leading tokens that the engine will fetch from another one.
+	// Fetched is the number of leading tokens that the engine will fetch from another one.
 	Fetched int64 `json:"fetched,omitempty"`
-	// Most is how many prompts in any second a cold engine bears, from all routers together; 0
-	// is no bound. Cold says that the router takes the engine for cold.
+	// Most is the maximum number of prompts in any second for a cold engine, from all routers
+	// together; 0 is no bound. Cold is set if the router considers the engine cold.
 	Most int  `json:"most,omitempty"`
 	Cold bool `json:"cold,omitempty"`
-	// PerMs is the tokens that the engine reads in a millisecond, as the router has learned; 0
-	// says nothing.
+	// PerMs is the router's estimate of the engine's prefill rate in tokens per millisecond; 0
+	// is none.
 	PerMs float64 `json:"per_ms,omitempty"`
 	// Rank is the request's priority, 0 for the most urgent.
 	Rank int `json:"rank,omitempty"`
-	// Limit is what the router knows of the requests a second that the engine takes.
+	// Limit is the engine's limit of requests per second, as known to the router.
 	Limit ratelimit.Known `json:"limit,omitzero"`
 }
 
-// Told is what is known at an engine of a prompt that is announced.
+// Told is the reply of an engine's lender to an Announcement.
 type Told struct {
-	// Backlog is the tokens that the engine has to read before it.
+	// Backlog is the number of tokens that the engine has to prefill before the prompt.
 	Backlog int64 `json:"backlog"`
-	// Cached is the leading tokens that the engine has read before.
+	// Cached is the number of the prompt's leading tokens that the engine has cached.
 	Cached int64 `json:"cached"`
-	// Unread is the tokens of the prompt that it has to read.
+	// Unread is the number of the prompt's tokens that the engine has to prefill.
 	Unread int64 `json:"unread"`
-	// Born is the start of the engine that this is about, as far as is known beside it; see
+	// Born is the start of the engine's incarnation, as known to the lender; see
 	// directory.Life.
 	Born int64 `json:"born,omitempty"`
-	// Denied says that the prompt must not be sent: the engine has got as many in the last
-	// second as it bears when cold, or as many as it says that it takes.
+	// Denied is set if the prompt must not be sent: the last second's prompts have reached the
+	// bound for a cold engine, or the limit that the engine states.
 	Denied bool `json:"denied,omitempty"`
-	// Limit is what is known of the requests a second that the engine takes, and Next in how long one
-	// more may go, if that is why the prompt was denied.
+	// Limit is the engine's limit of requests per second. Next is the time until another prompt may
+	// be sent, if the prompt was denied for the limit.
 	Limit ratelimit.Known `json:"limit,omitzero"`
 	Next  time.Duration   `json:"next_ns,omitempty"`
-	// Elsewhere is another engine that keeps more of the prompt's leading tokens, as far as is
-	// known beside this one, and ElsewhereTokens how many; 0 is none.
+	// Elsewhere is another engine that has more of the prompt's leading tokens cached, as known
+	// to the lender, and ElsewhereTokens their number; 0 is none.
 	Elsewhere       directory.Life `json:"elsewhere,omitzero"`
 	ElsewhereTokens int64          `json:"elsewhere_tokens,omitempty"`
 }
 
-// Engine is one engine as seen by a process that hears of every prompt sent there. It is
-// safe for concurrent use.
+// Engine models one engine for its lender, to which routers announce every prompt sent there.
+// It is safe for concurrent use.
 type Engine struct {
 	queue Queue
 
-	mu    sync.Mutex
-	cache Cache
-	room  int64
-	born  int64
-	// places are the parts that other engines keep.
-	places places
-	// recent are the prompts that came in the last second, as far as is known since began.
-	recent warmup.Window
-	began  time.Time
-	// cold is when a router last took the engine for cold.
-	cold time.Time
-	// limiter holds all routers' prompts together to the rate that the engine names.
+	mu            sync.Mutex
+	cache         Cache
+	cacheCapacity int64
+	born          int64
+	// remoteParts are the parts that other engines have cached.
+	remoteParts remoteParts
+	// recentPrompts counts the prompts of the last second, complete since countingSince.
+	recentPrompts warmup.Window
+	countingSince time.Time
+	// coldReportedAt is when a router last considered the engine cold.
+	coldReportedAt time.Time
+	// limiter holds all routers' prompts together to the limit that the engine states.
 	limiter ratelimit.Limiter
 }
 
-// NewEngine makes the model of an engine that has read nothing.
+// NewEngine returns the model of an engine with an empty cache and backlog. perMs is its prefill
+// rate in tokens per millisecond.
 func NewEngine(now time.Time, perMs float64) *Engine {
-	return &Engine{queue: Queue{PerMs: perMs}, began: now, limiter: ratelimit.NewLimiter()}
+	return &Engine{queue: Queue{PerMs: perMs}, countingSince: now, limiter: ratelimit.NewLimiter()}
 }
 
-// SetRoom says how many tokens of cached parts the engine's memory has room for.
+// SetRoom sets the capacity of the engine's cache in tokens.
 func (e *Engine) SetRoom(tokens int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.room = tokens
+	e.cacheCapacity = tokens
 }
 
-// Restarted begins anew with an engine that started at born: it has nothing to read, and has
-// cached nothing if it is new, much if only the process that keeps this model was away.
+// Restarted resets the model to an engine that started at born, with an empty backlog. cached are
+// the parts in its cache: none for a new engine, many if only the process with this model restarted.
 func (e *Engine) Restarted(born int64, cached []Part) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -94,70 +95,70 @@
 	e.limiter = ratelimit.NewLimiter()
 	e.queue.Clear()
 	e.cache = Cache{}
-	e.cache.Add(cached, e.room)
+	e.cache.Add(cached, e.cacheCapacity)
 }
 
-// Unused says that the engine keeps nothing of any prompt and has no request: it has read none since
-// its start. So nothing came before this process began that counts against what it bears when cold.
-// After a loss of all power every engine is cold and every such process new; without this all prompts
-// were refused for a second more.
+// Unused records that the engine has no cached parts and no requests, so it has had no prompt since
+// its start, and none before this process started can count towards the bound for a cold engine.
+// After a loss of all power every engine is cold and every lender new; without this, all prompts
+// would be refused for one second more.
 func (e *Engine) Unused() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.began = time.Time{}
+	e.countingSince = time.Time{}
 }
 
-// Announce notes a prompt, and tells what was known before.
+// Announce records a prompt, and returns the engine's state before it.
 func (e *Engine) Announce(now time.Time, a Announcement) Told {
 	e.mu.Lock()
 	e.limiter.Believed(now, a.Limit)
-	told := Told{Born: e.born, Limit: e.limiter.Known()}
-	if told.Denied, told.Next = e.deniesLocked(now, a); told.Denied {
+	reply := Told{Born: e.born, Limit: e.limiter.Known()}
+	if reply.Denied, reply.Next = e.denyLocked(now, a); reply.Denied {
 		defer e.mu.Unlock()
-		return told
+		return reply
 	}
-	told.Cached = e.cache.Match(a.Parts)
-	if by, tokens := e.places.find(now, a.Parts); tokens > told.Cached {
-		told.Elsewhere, told.ElsewhereTokens = by, tokens
+	reply.Cached = e.cache.Match(a.Parts)
+	if engine, tokens := e.remoteParts.find(now, a.Parts); tokens > reply.Cached {
+		reply.Elsewhere, reply.ElsewhereTokens = engine, tokens
 	}
-	e.cache.Add(a.Parts, e.room)
+	e.cache.Add(a.Parts, e.cacheCapacity)
 	e.mu.Unlock()
 	e.queue.Learn(a.PerMs)
-	// Whoever is told of another engine has the parts fetched from there.
-	told.Unread = max(0, a.Prompt-max(told.Cached, a.Fetched, told.ElsewhereTokens))
-	told.Backlog = e.queue.Add(now, told.Unread)
-	return told
+	// A router that gets ElsewhereTokens has the engine fetch the parts from there.
+	reply.Unread = max(0, a.Prompt-max(reply.Cached, a.Fetched, reply.ElsewhereTokens))
+	reply.Backlog = e.queue.Add(now, reply.Unread)
+	return reply
 }
 
-// ReadElsewhere notes that another engine reads parts for which prompts prefer this one.
+// ReadElsewhere records that another engine prefills parts of prompts that prefer this one.
 func (e *Engine) ReadElsewhere(now time.Time, other Elsewhere) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.places.note(now, other)
+	e.remoteParts.record(now, other)
 }
 
-// coldHeardFor is how long an engine counts as cold for all routers after one took it for cold.
-// Others hear of it up to a second later.
-const coldHeardFor = time.Second
+// coldReportTTL is how long an engine counts as cold for all routers after one of them reported it
+// cold. The other routers are notified up to a second later.
+const coldReportTTL = time.Second
 
-// deniesLocked counts a prompt that the engine takes, and reports whether it does not, and in how long
-// one more may go if that is known.
-func (e *Engine) deniesLocked(now time.Time, a Announcement) (denied bool, next time.Duration) {
-	if !e.limiter.Take(now, wholeLimit, a.Rank) {
-		return true, e.limiter.Next(now, wholeLimit, a.Rank)
+// denyLocked counts a prompt if the engine can take it, and otherwise reports it as denied, with the
+// time until another may be sent if that is known.
+func (e *Engine) denyLocked(now time.Time, a Announcement) (denied bool, next time.Duration) {
+	if !e.limiter.Take(now, fullShare, a.Rank) {
+		return true, e.limiter.Next(now, fullShare, a.Rank)
 	}
-	if !e.leaveLocked(now, a) {
-		e.limiter.Return(wholeLimit)
+	if !e.admitColdLocked(now, a) {
+		e.limiter.Return(fullShare)
 		return true, 0
 	}
 	return false, 0
 }
 
-// wholeLimit is the share of an engine's limit that is given out beside it.
-const wholeLimit = 1
+// fullShare is the share of an engine's limit that its lender allots.
+const fullShare = 1
 
-// LimitNamed takes what an answer of the engine's life that started at born said of the requests
-// a second that it takes, and returns what is known.
+// LimitNamed records the limit of requests per second that an answer of the engine's incarnation
+// started at born stated, and returns the limit that applies. Other incarnations are ignored.
 func (e *Engine) LimitNamed(now time.Time, born int64, w ratelimit.Word) ratelimit.Known {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -167,44 +168,44 @@
 	return e.limiter.Known()
 }
 
-// leaveLocked counts a prompt, and reports whether the engine bears it. One that is warm bears
-// all; to hold it to what it would bear cold, in case that it has become so unnoticed, cost
-// 2 in 100 of what a day of cold returns at twice the usual load is worth (five seeds).
-func (e *Engine) leaveLocked(now time.Time, a Announcement) bool {
+// admitColdLocked counts a prompt, and reports whether it is within the bound for a cold engine. A
+// warm one has no bound: bounding it as well, in case it has become cold unnoticed, cost 2 in 100 of
+// the worth of a day of cold returns at twice the usual load (five seeds).
+func (e *Engine) admitColdLocked(now time.Time, a Announcement) bool {
 	if a.Most == 0 {
 		return true
 	}
 	if a.Cold {
-		e.cold = now
+		e.coldReportedAt = now
 	}
-	if e.cold.IsZero() || now.Sub(e.cold) >= coldHeardFor {
-		e.recent.Count(now)
+	if e.coldReportedAt.IsZero() || now.Sub(e.coldReportedAt) >= coldReportTTL {
+		e.recentPrompts.Count(now)
 		return true
 	}
-	if now.Sub(e.began) < time.Second {
-		return false // what came before this process began is not known
+	if now.Sub(e.countingSince) < time.Second {
+		return false // the prompts before countingSince are unknown
 	}
-	return e.recent.Take(now, warmup.ByLeave(a.Most))
+	return e.recentPrompts.Take(now, warmup.ByLeave(a.Most))
 }
 
-// Withdraw takes an announcement back: the prompt went elsewhere. One that was made before the
-// engine's restart is gone already; to take it back would remove what others announced since.
-func (e *Engine) Withdraw(now time.Time, a Announcement, told Told) {
+// Withdraw revokes an announcement whose prompt went elsewhere. An announcement from before the
+// engine's restart is no longer recorded; revoking it would remove what others have announced since.
+func (e *Engine) Withdraw(now time.Time, a Announcement, reply Told) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if a.Most > 0 {
-		e.recent.Return()
+		e.recentPrompts.Return()
 	}
-	if told.Born != e.born {
+	if reply.Born != e.born {
 		return
 	}
-	e.limiter.Return(wholeLimit)
-	e.queue.Add(now, -told.Unread)
-	e.cache.Forget(beyond(a.Parts, told.Cached))
+	e.limiter.Return(fullShare)
+	e.queue.Add(now, -reply.Unread)
+	e.cache.Forget(partsAfter(a.Parts, reply.Cached))
 }
 
-// beyond are the parts after the leading tokens.
-func beyond(parts []Part, tokens int64) []Part {
+// partsAfter returns the parts after the leading tokens.
+func partsAfter(parts []Part, tokens int64) []Part {
 	for i, p := range parts {
 		if tokens < p.Tokens {
 			return parts[i:]
@@ -214,19 +215,19 @@
 	return nil
 }
 
-// State is what is known of an engine, for dumps; all are tokens.
+// State is the state of an engine for debug dumps. Backlog, Cached and Room are in tokens.
 type State struct {
 	Backlog int64 `json:"backlog"`
 	Cached  int64 `json:"cached"`
 	Room    int64 `json:"room"`
 	Born    int64 `json:"born_unix_ms,omitempty"`
-	// Limit is the requests a second that it takes, 0 if it names none.
+	// Limit is the engine's limit of requests per second, 0 if it states none.
 	Limit float64 `json:"limit_per_second,omitempty"`
 }
 
-// State returns what is known now.
+// State returns the current state.
 func (e *Engine) State(now time.Time) State {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return State{Backlog: e.queue.Add(now, 0), Cached: e.cache.Tokens(), Room: e.room, Born: e.born, Limit: e.limiter.Known().PerSecond}
+	return State{Backlog: e.queue.Add(now, 0), Cached: e.cache.Tokens(), Room: e.cacheCapacity, Born: e.born, Limit: e.limiter.Known().PerSecond}
 }
--- a/prefill/leave_test.go
+++ b/prefill/leave_test.go
@@ -8,66 +8,66 @@
 	"github.com/stretchr/testify/require"
 )
 
-// coldMost is what the engine of these tests bears in a second while it is cold.
-const coldMost = 20
+// coldMax is the maximum number of prompts per second for the engine of these tests while cold.
+const coldMax = 20
 
-// leaves asks for leave for so many prompts at once, and returns how many got it.
-func leaves(e *Engine, now time.Time, prompts int, cold bool) (given int) {
+// announceMany announces prompts at the same time, and returns how many are admitted.
+func announceMany(e *Engine, now time.Time, prompts int, cold bool) (admitted int) {
 	for range prompts {
-		if !e.Announce(now, Announcement{Prompt: 100, Most: coldMost, Cold: cold}).Denied {
-			given++
+		if !e.Announce(now, Announcement{Prompt: 100, Most: coldMax, Cold: cold}).Denied {
+			admitted++
 		}
 	}
-	return given
+	return admitted
 }
 
-// An engine turns cold while prompts come. Those of the last second count against what it bears,
-// though they came while it was warm; and a router that has not heard of it yet is denied as well,
-// since another one has.
-func TestLeaveWhileAnEngineIsCold(t *testing.T) {
+// An engine becomes cold under load. Prompts of the last second count towards the bound, although
+// it was warm then; and after one router has reported it cold, prompts of routers that still
+// consider it warm are denied as well.
+func TestAdmissionWhileEngineIsCold(t *testing.T) {
 	start := time.Unix(0, 0)
 	e := NewEngine(start, 50)
 	now := start.Add(time.Minute)
-	require.Equal(t, 8, leaves(e, now, 8, false))
+	require.Equal(t, 8, announceMany(e, now, 8, false))
 	now = now.Add(500 * time.Millisecond)
-	bears := warmup.ByLeave(coldMost)
-	require.Equal(t, bears-8, leaves(e, now, 30, true))
-	require.Zero(t, leaves(e, now, 5, false), "a router that has not heard of it")
+	bound := warmup.ByLeave(coldMax)
+	require.Equal(t, bound-8, announceMany(e, now, 30, true))
+	require.Zero(t, announceMany(e, now, 5, false), "a router that still considers it warm")
 	now = now.Add(600 * time.Millisecond) // the first eight are more than a second ago
-	require.Equal(t, 8, leaves(e, now, 30, true))
-	now = now.Add(2 * time.Second) // nobody takes it for cold any more
-	require.Equal(t, 100, leaves(e, now, 100, false))
+	require.Equal(t, 8, announceMany(e, now, 30, true))
+	now = now.Add(2 * time.Second) // no router considers it cold any more
+	require.Equal(t, 100, announceMany(e, now, 100, false))
 }
 
-// The process beside a cold engine starts again, and does not know what came in the second before.
-// It gives no leave for as long; to a warm engine prompts go at once.
-func TestLeaveAfterAStart(t *testing.T) {
+// The lender of a cold engine restarts without a record of the previous second's prompts. It must
+// admit none for one second; a warm engine's prompts are admitted at once.
+func TestAdmissionAfterLenderRestart(t *testing.T) {
 	start := time.Unix(0, 0)
 	e := NewEngine(start, 50)
-	require.Equal(t, 3, leaves(e, start, 3, false))
-	require.Zero(t, leaves(e, start.Add(900*time.Millisecond), 5, true))
-	require.Equal(t, 5, leaves(e, start.Add(time.Second), 5, true))
+	require.Equal(t, 3, announceMany(e, start, 3, false))
+	require.Zero(t, announceMany(e, start.Add(900*time.Millisecond), 5, true))
+	require.Equal(t, 5, announceMany(e, start.Add(time.Second), 5, true))
 }
 
-// All power was lost: the engine is cold, and new like the process beside it. It keeps nothing of any
-// prompt and has no request, so that nothing came before: leave is given at once.
-func TestLeaveOfAnUnusedEngine(t *testing.T) {
+// After a loss of all power the engine is cold, and new like its lender. It has no cached parts and
+// no requests, so it had no earlier prompts: prompts must be admitted at once.
+func TestAdmissionOfUnusedEngine(t *testing.T) {
 	start := time.Unix(0, 0)
 	e := NewEngine(start, 50)
 	e.Unused()
-	require.Equal(t, warmup.ByLeave(coldMost), leaves(e, start, 30, true))
+	require.Equal(t, warmup.ByLeave(coldMax), announceMany(e, start, 30, true))
 }
 
-// A prompt that had leave goes elsewhere: another one gets its place. Services that name no rate
-// are not bounded.
-func TestLeaveThatIsNotUsed(t *testing.T) {
+// An admitted prompt goes elsewhere: another one is admitted instead. Services without a rate for
+// cold engines are not bounded.
+func TestWithdrawnAdmission(t *testing.T) {
 	start := time.Unix(0, 0)
 	e := NewEngine(start, 50)
 	now := start.Add(time.Minute)
-	bears := warmup.ByLeave(coldMost)
-	require.Equal(t, bears, leaves(e, now, 30, true))
-	a := Announcement{Prompt: 100, Most: coldMost, Cold: true}
+	bound := warmup.ByLeave(coldMax)
+	require.Equal(t, bound, announceMany(e, now, 30, true))
+	a := Announcement{Prompt: 100, Most: coldMax, Cold: true}
 	e.Withdraw(now, a, Told{Unread: 100})
-	require.Equal(t, 1, leaves(e, now, 5, true))
+	require.Equal(t, 1, announceMany(e, now, 5, true))
 	require.False(t, e.Announce(now, Announcement{Prompt: 100}).Denied)
 }
--- a/prefill/queue.go
+++ b/prefill/queue.go
@@ -1,5 +1,5 @@
-// Package prefill models what an engine has read of prompts and has yet to read, by what was
-// sent there. It is pure: the time comes in.
+// Package prefill models the prefill backlog and the prompt cache of an engine from the prompts
+// that were sent there. It reads no clock: callers pass the time.
 package prefill
 
 import (
@@ -7,44 +7,44 @@
 	"time"
 )
 
-// Queue is the prompt tokens that one engine has yet to read. The load pattern it answers:
-// each router knows what it sent itself, and must guess the rest; with four routers or
-// thirty, long prompts then meet at one engine while others idle. Whoever sends a prompt
-// adds it here, and sees what is before it.
+// Queue is the prefill backlog of one engine in tokens. A router has exact data only about
+// its own prompts and must estimate the rest; with four routers or thirty, long prompts
+// then collide at one engine while others are idle. So each router adds its prompts to this
+// shared queue, and gets the backlog before them.
 //
-// The engine reads at a known rate, so nobody has to tell that a prompt was read: a router
-// that dies leaves nothing behind. It is safe for concurrent use.
+// The backlog decreases at a known rate, without a message when a prompt is prefilled, so a
+// router that crashes leaves no stale entries. It is safe for concurrent use.
 type Queue struct {
-	// PerMs is the tokens that the engine reads in a millisecond, until others are learned.
+	// PerMs is the prefill rate in tokens per millisecond; Learn adjusts it.
 	PerMs float64
 
-	mu     sync.Mutex
-	tokens float64 // as of at
-	at     time.Time
+	mu        sync.Mutex
+	tokens    float64 // as of updatedAt
+	updatedAt time.Time
 }
 
-// Add puts tokens into the queue and returns what was in it before. Negative ones take back
-// what was added for a prompt that went elsewhere.
+// Add adds tokens to the queue and returns the backlog before them. A negative number removes
+// the tokens of a prompt that went elsewhere.
 func (q *Queue) Add(now time.Time, tokens int64) (before int64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	read := float64(now.Sub(q.at)) / float64(time.Millisecond) * q.PerMs
-	left := max(0, q.tokens-read)
-	q.tokens, q.at = max(0, left+float64(tokens)), now
+	prefilled := float64(now.Sub(q.updatedAt)) / float64(time.Millisecond) * q.PerMs
+	left := max(0, q.tokens-prefilled)
+	q.tokens, q.updatedAt = max(0, left+float64(tokens)), now
 	return int64(left)
 }
 
-// learnWeight is the weight of one router's rate in the queue's: some twenty prompts decide.
-const learnWeight = 0.1
+// rateWeight is the weight of one router's rate in the queue's moving average, which covers about twenty prompts.
+const rateWeight = 0.1
 
-// Learn takes the rate that a router has learned from its prompts; 0 says nothing.
+// Learn updates the prefill rate with a router's estimate in tokens per millisecond; 0 is ignored.
 func (q *Queue) Learn(perMs float64) {
 	if perMs <= 0 {
 		return
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.PerMs += learnWeight * (perMs - q.PerMs)
+	q.PerMs += rateWeight * (perMs - q.PerMs)
 }
 
 // Clear empties the queue.
--- a/prefill/queue_test.go
+++ b/prefill/queue_test.go
@@ -7,26 +7,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Two routers send long prompts to the same engine within milliseconds. The second one sees
-// the first one's prompt, also when the first router is gone by then; some time later the
-// engine has read it.
-func TestEachSeesWhatIsBeforeIt(t *testing.T) {
+// Two routers send long prompts to the same engine within milliseconds. The second one must get
+// the first one's prompt in the backlog, even if the first router has ended; the backlog
+// decreases with time.
+func TestQueueReturnsBacklog(t *testing.T) {
 	now := time.Unix(0, 0)
 	q := Queue{PerMs: 50}
 	require.Zero(t, q.Add(now, 20_000))
 	now = now.Add(10 * time.Millisecond)
 	require.EqualValues(t, 19_500, q.Add(now, 5_000))
-	require.EqualValues(t, 24_500, q.Add(now, -5_000), "it went elsewhere")
+	require.EqualValues(t, 24_500, q.Add(now, -5_000), "the prompt went elsewhere")
 	now = now.Add(290 * time.Millisecond)
 	require.EqualValues(t, 5_000, q.Add(now, 0))
 	now = now.Add(time.Second)
-	require.Zero(t, q.Add(now, -100), "never less than nothing")
+	require.Zero(t, q.Add(now, -100), "the backlog is never negative")
 	require.Zero(t, q.Add(now, 0))
 }
 
-// A router announces a prompt and takes it back, since another engine is better. Neither the
-// queue nor the cache keeps anything of it; parts that were cached before stay.
-func TestWithdrawnAnnouncementLeavesNothing(t *testing.T) {
+// A router announces a prompt and withdraws it because another engine is better. The queue and the
+// cache must drop it; parts that were cached before stay.
+func TestWithdrawnAnnouncementIsRemoved(t *testing.T) {
 	now := time.Unix(0, 0)
 	e := NewEngine(time.Unix(0, 0), 50)
 	e.SetRoom(100_000)
@@ -35,9 +35,9 @@
 	require.Equal(t, Told{Unread: 17_000}, e.Announce(now, first))
 	now = now.Add(time.Second)
 	second := Announcement{Prompt: 17_000, Parts: []Part{subject, {ID: "own-2", Tokens: 3_700}}}
-	told := e.Announce(now, second)
-	require.Equal(t, Told{Cached: 13_300, Unread: 3_700}, told)
-	e.Withdraw(now, second, told)
+	reply := e.Announce(now, second)
+	require.Equal(t, Told{Cached: 13_300, Unread: 3_700}, reply)
+	e.Withdraw(now, second, reply)
 	require.Equal(t, Told{Cached: 13_300, Unread: 3_700}, e.Announce(now, second))
 	e.Restarted(0, []Part{subject})
 	require.EqualValues(t, 13_300, e.Announce(now.Add(time.Second), first).Cached)
@@ -45,26 +45,26 @@
 	require.Zero(t, e.Announce(now.Add(time.Second), first).Cached)
 }
 
-// What an engine fetches from another one it need not read.
-func TestFetchedTokensAreNotRead(t *testing.T) {
+// Tokens that an engine fetches from another one do not count as prefill.
+func TestFetchedTokensAreNotPrefilled(t *testing.T) {
 	e := NewEngine(time.Unix(0, 0), 50)
 	e.SetRoom(100_000)
 	a := Announcement{Prompt: 17_000, Fetched: 13_300, Parts: []Part{{ID: "s", Tokens: 13_300}, {ID: "own", Tokens: 3_700}}}
 	require.EqualValues(t, 3_700, e.Announce(time.Unix(0, 0), a).Unread)
 }
 
-// An engine starts again between an announcement and its withdrawal. Its queue and cache are
-// those of its new life, which another router has announced to by then: nothing of that goes.
-func TestWithdrawalOfAnEarlierLife(t *testing.T) {
+// An engine restarts between an announcement and its withdrawal, and another router announces the same
+// prompt to the new incarnation. The withdrawal must not change the new incarnation's queue and cache.
+func TestWithdrawalFromEarlierIncarnation(t *testing.T) {
 	now := time.Unix(0, 0)
 	e := NewEngine(time.Unix(0, 0), 50)
 	e.SetRoom(100_000)
 	prompt := Announcement{Prompt: 17_000, Parts: []Part{{ID: "subject", Tokens: 13_300}, {ID: "own", Tokens: 3_700}}}
 	e.Restarted(1, nil)
-	told := e.Announce(now, prompt)
-	require.EqualValues(t, 1, told.Born)
+	reply := e.Announce(now, prompt)
+	require.EqualValues(t, 1, reply.Born)
 	e.Restarted(2, nil)
-	require.Equal(t, Told{Unread: 17_000, Born: 2}, e.Announce(now, prompt), "nothing is queued or cached in the new life")
-	e.Withdraw(now, prompt, told)
+	require.Equal(t, Told{Unread: 17_000, Born: 2}, e.Announce(now, prompt), "the new incarnation starts with an empty queue and cache")
+	e.Withdraw(now, prompt, reply)
 	require.Equal(t, State{Backlog: 17_000, Cached: 17_000, Room: 100_000, Born: 2}, e.State(now))
 }
