--- a/pool/choose.go
+++ b/pool/choose.go
@@ -24,7 +24,7 @@
 func (p *Pool) Pick(r *serving.Request, attempts []serving.Attempt) (serving.Target, bool) {
 	for range maxChoices {
 		c := p.candidates(r, attempts)
-		choice, ok := c.choosePreferred()
+		choice, ok := c.selectUpstream()
 		if !ok {
 			c.reportHeld(nil)
 			return serving.Target{}, false
@@ -42,14 +42,14 @@
 	return serving.Target{}, false
 }
 
-// beginAttempt begins an attempt at the chosen upstream; see takeLocked.
+// beginAttempt begins an attempt at the chosen upstream; see beginAttemptLocked.
 func (p *Pool) beginAttempt(c *candidates, choice placement.Choice) (serving.Target, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.beginAttemptLocked(p.Now(), c.r, c.ups, choice, c.granted)
 }
 
-// Serves reports whether any upstream may take the request, now or later.
+// Serves reports whether any upstream may take the request, now or soon.
 func (p *Pool) Serves(r *serving.Request) bool { return len(p.eligible(r, nil)) > 0 }
 
 // candidates holds the eligible upstreams of one choice and their state.
@@ -93,8 +93,8 @@
 	return out
 }
 
-// choosePreferred chooses by local state and, for prompts, confirms the choice with the upstream's lender.
-func (c *candidates) choosePreferred() (placement.Choice, bool) {
+// selectUpstream chooses by local state and, for prompts, by the replies of the upstreams' lenders.
+func (c *candidates) selectUpstream() (placement.Choice, bool) {
 	choice, ok := c.best()
 	if !ok || c.pool.Ask == nil || c.r.Prompt <= 0 {
 		return choice, ok
@@ -140,8 +140,8 @@
 	return placement.Choice{}, false
 }
 
-// rejected reports whether an upstream must not get the prompt, because its lender denied it or
-// did not answer.
+// rejected reports whether an upstream must not get the prompt: its lender denied it, or did not
+// answer and the request needs its admission or exceeds this router's share of the limit.
 func (c *candidates) rejected(u directory.Upstream, reply prefill.Told, answered bool) bool {
 	if !answered {
 		return c.pool.requiresAdmission(c.r, u) || c.pool.exceedsUnreachedLimit(c.r, u)
--- a/pool/cold.go
+++ b/pool/cold.go
@@ -17,8 +17,8 @@
 	if r.Service.Cold.PerSecond <= 0 {
 		return false
 	}
-	back := u.Returned.Add(coldReportDelay + r.Service.Cold.For)
-	return now.Before(u.ColdUntil) || !u.Returned.IsZero() && now.Before(back)
+	coldUntil := u.Returned.Add(coldReportDelay + r.Service.Cold.For)
+	return now.Before(u.ColdUntil) || !u.Returned.IsZero() && now.Before(coldUntil)
 }
 
 // usesAdmission reports whether the upstream has a lender that counts the requests sent there.
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -59,9 +59,9 @@
 	// parts of the prompt. It may be nil.
 	ReadElsewhere func(address string, e prefill.Elsewhere)
 	// Exposed, if set, is called when an engine starts or stops to be reserved for short prompts,
-	// with the reasons: heldUp is how long prefills delay streams of its service, as a share of
+	// with the reasons: gapShare is how long prefills delay streams of its service, as a share of
 	// their gap goal, and slowness the ratio of its event interval to the usual one. It must not block.
-	Exposed func(incarnation directory.Life, stallProne bool, heldUp, slowness float64)
+	Exposed func(incarnation directory.Life, stallProne bool, gapShare, slowness float64)
 	// Limits shares and reports the limits that upstreams state.
 	Limits Limits
 	// Region returns the region of a data centre, "" if unknown.
@@ -87,13 +87,13 @@
 
 // state is the observed state of one incarnation of an upstream.
 type state struct {
-	running     int
-	unread      int64
-	fails       int
-	avoidUntil  time.Time
-	failShare   float64
-	failShareAt time.Time
-	cache       prefill.Cache
+	running        int
+	pendingPrefill int64
+	fails          int
+	avoidUntil     time.Time
+	failShare      float64
+	failShareAt    time.Time
+	cache          prefill.Cache
 	// baseInterval is the time between two events of a stream that nothing delays, eventInterval
 	// that of all streams; 0 if unknown.
 	baseInterval, eventInterval time.Duration
@@ -203,7 +203,7 @@
 		Datacentre:   u.Datacentre,
 		Slots:        u.Slots,
 		Running:      s.running,
-		Unread:       s.unread,
+		Unread:       s.pendingPrefill,
 		Cached:       s.cache.Match(r.Parts),
 		Avoid:        now.Before(s.avoidUntil),
 		FailureShare: s.failureShare(now),
@@ -235,7 +235,7 @@
 		s.unadmitted.Count(now)
 	}
 	s.running++
-	s.unread += c.Unread
+	s.pendingPrefill += c.Unread
 	if e := r.Service.Engine; e != nil {
 		s.cache.Add(r.Parts, int64(cacheShare*float64(e.CacheTokens)))
 	}
@@ -256,7 +256,7 @@
 func (p *Pool) prefillDone(incarnation directory.Life, tokens int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stateLocked(incarnation).unread -= tokens
+	p.stateLocked(incarnation).pendingPrefill -= tokens
 }
 
 // load returns the load of this router's requests at an upstream.
@@ -264,7 +264,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.stateLocked(incarnation)
-	return serving.Load{Running: s.running, Unread: s.unread}
+	return serving.Load{Running: s.running, Unread: s.pendingPrefill}
 }
 
 // observeIntervals records a report of the event intervals of an engine's stream.
@@ -356,7 +356,7 @@
 	now := p.Now()
 	out := make([]State, 0, len(p.states))
 	for incarnation, s := range p.states {
-		out = append(out, State{Upstream: incarnation.String(), Running: s.running, Unread: s.unread,
+		out = append(out, State{Upstream: incarnation.String(), Running: s.running, Unread: s.pendingPrefill,
 			Cached: s.cache.Tokens(), Fails: s.fails, FailureShare: s.failureShare(now),
 			Slowness: s.slowness, Exposed: s.stallProne, Limit: s.limiter.Known().PerSecond})
 	}
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -60,14 +60,14 @@
 func TestUnreachableUpstreamIsAvoided(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := poolOf(&now)
-	for _, pause := range []time.Duration{initialAvoid, 2 * initialAvoid} {
+	for _, avoid := range []time.Duration{initialAvoid, 2 * initialAvoid} {
 		target, ok := pickUntil(t, p, now, "a")
 		require.True(t, ok)
 		target.Done(serving.Attempt{Result: serving.Unreached})
-		require.Equal(t, now.Add(pause), p.states[directory.Life{ID: "a"}].avoidUntil)
+		require.Equal(t, now.Add(avoid), p.states[directory.Life{ID: "a"}].avoidUntil)
 		_, ok = pickUntil(t, p, now, "a")
 		require.False(t, ok)
-		now = now.Add(pause + 20*failureHalfLife) // the share of failures decays to 0 as well
+		now = now.Add(avoid + 20*failureHalfLife) // the share of failures decays to 0 as well
 	}
 }
 
@@ -226,7 +226,7 @@
 // The preferred engine of a shared part is busy, so another engine prefills it and the preferred
 // engine's lender is informed. The next router's prompt goes to the other engine or, while that one is
 // busy, to the preferred one, which fetches the part. Without this record the part was
-// prefilled again; on busy days that made up half of all shared tokens that were.
+// prefilled again; such parts were half of the shared tokens prefilled again on busy days.
 func TestPartsPrefilledElsewhereAreFetched(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := poolOf(&now)
--- a/pool/run.go
+++ b/pool/run.go
@@ -25,7 +25,7 @@
 	// sent is when the upstream was chosen.
 	sent time.Time
 
-	lastEvent  time.Time // of the last event
+	lastEvent  time.Time
 	prefilled  bool
 	longestGap serving.Pause
 	intervals  eventIntervals
