--- a/pool/limit.go
+++ b/pool/limit.go
@@ -10,8 +10,8 @@
 	"github.com/arbutusmill/arbutusmill/serving"
 )
 
-// Limits shares the rate limits that upstreams state and reports on them. Its methods must not
-// block.
+// Limits divides the rate limits that upstreams state among routers, and reports changes of them.
+// Its methods must not block.
 type Limits interface {
 	// Share returns this router's share of an upstream's limit, for upstreams without a lender.
 	Share(upstream string, perSecond float64) float64
@@ -39,7 +39,7 @@
 
 // Held describes a choice in which limits excluded upstreams.
 type Held struct {
-	// Held is how many of the Of eligible upstreams had no capacity left within their limits.
+	// Held is the number of upstreams whose limits were used up, out of all eligible ones.
 	Held, Of int
 	// Chosen is the upstream that gets the request; nil if there is none.
 	Chosen *directory.Life
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -62,7 +62,7 @@
 	// with the reasons: gapShare is how long prefills delay streams of its service, as a share of
 	// their gap goal, and slowness the ratio of its event interval to the usual one. It must not block.
 	Exposed func(incarnation directory.Life, stallProne bool, gapShare, slowness float64)
-	// Limits shares and reports the limits that upstreams state.
+	// Limits divides and reports the limits that upstreams state.
 	Limits Limits
 	// Region returns the region of a data centre, "" if unknown.
 	Region func(datacentre string) string
