--- a/poison/document.go
+++ b/poison/document.go
@@ -6,46 +6,46 @@
 	"time"
 )
 
-// document is what is stored of prompts. Times are of the wall clock: processes that read it know
-// no other that their writers knew. Clocks that differ by seconds shift trials by as much.
+// document is the stored form of the evidence. Times are wall-clock times, the only clock that
+// writers and readers share. Clocks that differ by seconds shift trials by the same amount.
 type document struct {
 	Prompts []storedPrompt `json:"prompts"`
 }
 
 type storedPrompt struct {
-	Prompt   Prompt      `json:"prompt"`
-	Answered []string    `json:"answered,omitempty"`
-	Ends     []storedEnd `json:"ends"`
+	Prompt   Prompt        `json:"prompt"`
+	Answered []string      `json:"answered,omitempty"`
+	Crashes  []storedCrash `json:"ends"`
 }
 
-type storedEnd struct {
+type storedCrash struct {
 	Upstream string `json:"upstream"`
 	Service  string `json:"service"`
 	UnixMS   int64  `json:"unix_ms"`
 }
 
-// KeepersKey is the key by which all processes find, by rendezvous, the same ones that keep what is
-// known of prompts. The first of them writes the document.
+// KeepersKey is the rendezvous key that selects the processes that keep the evidence on prompts.
+// The first of them writes the document.
 const KeepersKey = "prompts"
 
-// mostStored bounds the prompts in a document: some ten kilobytes, written at most once a second.
-const mostStored = 128
+// maxStoredPrompts limits a document to about ten kilobytes; it is written at most once a second.
+const maxStoredPrompts = 128
 
-// Encode makes a document of evidence, the first mostStored prompts of it.
+// Encode returns the document of the first maxStoredPrompts prompts.
 func Encode(now time.Time, all []Evidence) ([]byte, error) {
 	var d document
-	for _, e := range all[:min(len(all), mostStored)] {
+	for _, e := range all[:min(len(all), maxStoredPrompts)] {
 		p := storedPrompt{Prompt: e.Prompt, Answered: e.Answered}
-		for _, end := range e.Ends {
-			p.Ends = append(p.Ends, storedEnd{Upstream: end.Upstream, Service: end.Service, UnixMS: now.Add(-end.Age).UnixMilli()})
+		for _, c := range e.Ends {
+			p.Crashes = append(p.Crashes, storedCrash{Upstream: c.Upstream, Service: c.Service, UnixMS: now.Add(-c.Age).UnixMilli()})
 		}
 		d.Prompts = append(d.Prompts, p)
 	}
 	return json.Marshal(d)
 }
 
-// Decode reads a document. An end in the future counts as one of this moment; of a prompt or an end
-// that lacks its name, the error tells which.
+// Decode parses a document. A crash in the future is treated as happening now. The error
+// identifies a prompt or crash whose name is missing.
 func Decode(now time.Time, value []byte) ([]Evidence, error) {
 	var d document
 	if err := json.Unmarshal(value, &d); err != nil {
@@ -57,12 +57,12 @@
 			return nil, fmt.Errorf("prompts[%d].prompt is missing", n)
 		}
 		e := Evidence{Prompt: p.Prompt, Answered: p.Answered}
-		for k, end := range p.Ends {
-			if end.Upstream == "" {
+		for k, c := range p.Crashes {
+			if c.Upstream == "" {
 				return nil, fmt.Errorf("prompts[%d].ends[%d].upstream is missing", n, k)
 			}
-			if age := max(0, now.Sub(time.UnixMilli(end.UnixMS))); age < rememberedFor {
-				e.Ends = append(e.Ends, End{Upstream: end.Upstream, Service: end.Service, Age: age})
+			if age := max(0, now.Sub(time.UnixMilli(c.UnixMS))); age < evidenceTTL {
+				e.Ends = append(e.Ends, End{Upstream: c.Upstream, Service: c.Service, Age: age})
 			}
 		}
 		if len(e.Ends) > 0 {
--- a/poison/document_test.go
+++ b/poison/document_test.go
@@ -11,9 +11,9 @@
 
 func TestDocumentOfPrompts(t *testing.T) {
 	var r Register
-	r.Add(start, endedOf("p", "one", "i-1"))
-	r.Add(start.Add(time.Minute), endedOf("p", "two", "i-2"))
-	r.Add(start.Add(time.Minute), endedOf("q", "two", "i-2"))
+	r.Add(start, serviceCrashEvidence("p", "one", "i-1"))
+	r.Add(start.Add(time.Minute), serviceCrashEvidence("p", "two", "i-2"))
+	r.Add(start.Add(time.Minute), serviceCrashEvidence("q", "two", "i-2"))
 	r.Answered(start.Add(time.Minute), "p", "three")
 	later := start.Add(time.Hour)
 	value, err := Encode(later, r.List(later))
@@ -24,21 +24,21 @@
 
 	read, err = Decode(later.Add(-3*time.Hour), value)
 	require.NoError(t, err)
-	require.Zero(t, read[0].Ends[0].Age, "the reader's clock is behind")
-	read, err = Decode(start.Add(rememberedFor+time.Second), value)
+	require.Zero(t, read[0].Ends[0].Age, "the reader's clock is behind the writer's")
+	read, err = Decode(start.Add(evidenceTTL+time.Second), value)
 	require.NoError(t, err)
-	require.Equal(t, []string{"i-2"}, []string{read[0].Ends[0].Upstream}, "the first end is more than a day old")
+	require.Equal(t, []string{"i-2"}, []string{read[0].Ends[0].Upstream}, "the first crash is more than a day old")
 	require.Len(t, read, 2)
 }
 
-// Guards against a document that grows with each request which a failing rack cuts.
+// Guards against a document that grows with each request that a failing rack interrupts.
 func TestDocumentIsBounded(t *testing.T) {
 	var r Register
-	for n := range mostPrompts {
-		r.Add(start, endedOf(Prompt(fmt.Sprintf("%024d", n)), "model", "i-1"))
+	for n := range maxPrompts {
+		r.Add(start, serviceCrashEvidence(Prompt(fmt.Sprintf("%024d", n)), "model", "i-1"))
 	}
-	for n := range endsProven {
-		r.Add(start, endedOf("deadly", "model", fmt.Sprint("i-", n)))
+	for n := range provenThreshold {
+		r.Add(start, serviceCrashEvidence("deadly", "model", fmt.Sprint("i-", n)))
 	}
 	value, err := Encode(start, r.List(start))
 	require.NoError(t, err)
--- a/poison/evidence.go
+++ b/poison/evidence.go
@@ -6,71 +6,72 @@
 	"time"
 )
 
-// Standing is what the ends of upstreams say of a prompt.
+// Standing classifies a prompt by the upstream crashes recorded for it.
 type Standing int
 
-// The standings, from the best on.
+// The standings, in order of increasing severity.
 const (
-	// Clear says that nothing speaks against the prompt.
+	// Clear means that no crash is recorded.
 	Clear Standing = iota
-	// Suspect says that an upstream ended under it.
+	// Suspect means that one upstream crashed while running the prompt.
 	Suspect
-	// OnTrial says that it may be sent for one request now and then.
+	// OnTrial means that at most one request per trialInterval may send the prompt.
 	OnTrial
-	// Proven says that it must not be sent.
+	// Proven means that the prompt must not be sent.
 	Proven
 )
 
 var standingNames = [...]string{"clear", "suspect", "on_trial", "proven"}
 
-// String is the standing's name in logs.
+// String returns the name used in logs.
 func (s Standing) String() string { return standingNames[s] }
 
-// Evidence is what is known of a prompt: which upstreams ended under it, and how long ago.
+// Evidence lists the upstreams that crashed while running a prompt, with the age of each crash.
 type Evidence struct {
 	Prompt Prompt `json:"prompt"`
 	Ends   []End  `json:"ends"`
-	// Answered are the services that have answered it although upstreams of others ended.
+	// Answered lists the services that answered the prompt although upstreams of others crashed.
 	Answered []string `json:"answered,omitempty"`
 }
 
-// End is that of one life of an upstream.
+// End is the crash of one incarnation of an upstream.
 type End struct {
 	Upstream string        `json:"upstream"`
 	Service  string        `json:"service"`
 	Age      time.Duration `json:"age_ns"`
 }
 
-// For is the evidence that counts for requests to a service. Ends count for all services, since
-// operators move and split routes, but not for one that has answered the prompt itself.
+// For returns the evidence that applies to requests to a service. Crashes count for all services,
+// since operators move and split routes, except for a service that has answered the prompt itself:
+// only its own crashes count there.
 func (e Evidence) For(service string) Evidence {
 	if !slices.Contains(e.Answered, service) {
 		return e
 	}
-	e.Ends = slices.DeleteFunc(slices.Clone(e.Ends), func(end End) bool { return end.Service != service })
+	e.Ends = slices.DeleteFunc(slices.Clone(e.Ends), func(c End) bool { return c.Service != service })
 	return e
 }
 
-// Standing is what the evidence says.
-func (e Evidence) Standing() Standing { return standing(len(e.Ends), e.newest()) }
+// Standing returns the standing that the evidence implies.
+func (e Evidence) Standing() Standing { return standing(len(e.Ends), e.newestAge()) }
 
-// newest is how long ago the last upstream ended; 0 if none did.
-func (e Evidence) newest() time.Duration {
+// newestAge returns the age of the latest crash, 0 if there is none.
+func (e Evidence) newestAge() time.Duration {
 	if len(e.Ends) == 0 {
 		return 0
 	}
 	return slices.MinFunc(e.Ends, func(a, b End) int { return cmp.Compare(a.Age, b.Age) }).Age
 }
 
-// standing is that of a prompt with so many ends, the last one that long ago.
-func standing(ends int, since time.Duration) Standing {
-	trials := ends - endsProven
+// standing returns the standing for a number of crashes and the time since the last one.
+func standing(crashes int, since time.Duration) Standing {
+	trials := crashes - provenThreshold
 	switch {
-	case trials >= mostTrials, trials >= 0 && since < provenFor<<trials:
+	case trials >= maxTrials, trials >= 0 && since < refusalPeriod<<trials:
 		return Proven
-	case ends >= endsOnTrial:
+	case crashes >= trialThreshold:
 		return OnTrial
-	case ends > 0:
+	case crashes > 0:
 		return Suspect
 	}
 	return Clear
--- a/poison/register.go
+++ b/poison/register.go
@@ -9,189 +9,191 @@
 )
 
 const (
-	// endsOnTrial is how many upstreams ended under a prompt when only one request now and then
-	// tries it. One may be chance, and whoever was cut keeps a second try.
-	endsOnTrial = 2
-	// endsProven is how many prove that the prompt ends upstreams.
-	endsProven = 3
-	// mostTrials is how often a proven prompt is tried once more.
-	mostTrials = 3
-	// trialPause is the time between the starts of two requests that try a prompt on trial:
+	// trialThreshold is the number of crashes from which only one request per trialInterval may
+	// try the prompt. A single crash may be coincidence, so interrupted requests keep their retry.
+	trialThreshold = 2
+	// provenThreshold is the number of crashes that prove that the prompt causes them.
+	provenThreshold = 3
+	// maxTrials limits how often a proven prompt is tried again.
+	maxTrials = 3
+	// trialInterval is the time between the starts of two requests that try a prompt on trial:
 	// longer than engines usually take to read a prompt and begin to answer.
-	trialPause = 2 * time.Second
-	// provenFor is how long a prompt is refused after the end that proved it; then it is on trial
-	// again, since engines get new versions. Each further end doubles it.
-	provenFor = 5 * time.Minute
-	// rememberedFor is how long ends count without another one.
-	rememberedFor = 24 * time.Hour
-	// mostPrompts bounds the prompts that are known. A rack of engines that ends cuts some
+	trialInterval = 2 * time.Second
+	// refusalPeriod is how long a prompt is refused after the crash that proved it. Then it is on
+	// trial again, since engines are upgraded. Each further crash doubles the period.
+	refusalPeriod = 5 * time.Minute
+	// evidenceTTL is how long crashes count if no other one follows.
+	evidenceTTL = 24 * time.Hour
+	// maxPrompts limits the recorded prompts. A rack of engines that fails interrupts some
 	// thousand requests.
-	mostPrompts = 4096
-	// mostEnds bounds the ends that are kept of one prompt.
-	mostEnds = 8
+	maxPrompts = 4096
+	// maxCrashesPerPrompt limits the crashes kept for one prompt.
+	maxCrashesPerPrompt = 8
 )
 
-// record is one prompt.
+// record holds the evidence on one prompt.
 type record struct {
-	// ends are those of upstreams, by their lives.
-	ends map[string]end
+	// crashes holds the upstream crashes, by incarnation.
+	crashes map[string]crash
 	// answered are the services that have answered the prompt.
 	answered map[string]bool
-	// tried is when the last request that tried the prompt was let through, and by its id.
-	tried time.Time
-	by    string
-	// was is the standing at the last look for what lapsed.
-	was Standing
+	// lastTrial is the time of the last request that was allowed to try the prompt, trialRequest
+	// its id.
+	lastTrial    time.Time
+	trialRequest string
+	// lastStanding is the standing at the last check for expired evidence.
+	lastStanding Standing
 }
 
-// end is when an upstream of a service ended.
-type end struct {
+// crash is the time at which an upstream of a service crashed.
+type crash struct {
 	service string
 	at      time.Time
 }
 
-// last is when the last upstream ended.
-func (r *record) last() (last time.Time) {
-	for _, e := range r.ends {
-		if e.at.After(last) {
-			last = e.at
+// lastCrash returns the time of the latest crash.
+func (r *record) lastCrash() (last time.Time) {
+	for _, c := range r.crashes {
+		if c.at.After(last) {
+			last = c.at
 		}
 	}
 	return last
 }
 
-// oldest is the upstream whose end is the longest ago.
-func (r *record) oldest() string {
-	return slices.MinFunc(slices.Collect(maps.Keys(r.ends)), func(a, b string) int {
-		return cmp.Or(r.ends[a].at.Compare(r.ends[b].at), cmp.Compare(a, b))
+// oldestCrash returns the upstream that crashed the longest ago.
+func (r *record) oldestCrash() string {
+	return slices.MinFunc(slices.Collect(maps.Keys(r.crashes)), func(a, b string) int {
+		return cmp.Or(r.crashes[a].at.Compare(r.crashes[b].at), cmp.Compare(a, b))
 	})
 }
 
-// add notes the end of an upstream, and reports whether there is one more than before. Of more
-// than are kept the newest are.
-func (r *record) add(upstream string, e end) bool {
-	if _, told := r.ends[upstream]; told {
+// add records the crash of an upstream and reports whether the number of crashes grew. Beyond
+// maxCrashesPerPrompt, the newest are kept.
+func (r *record) add(upstream string, c crash) bool {
+	if _, exists := r.crashes[upstream]; exists {
 		return false
 	}
-	if len(r.ends) < mostEnds {
-		r.ends[upstream] = e
+	if len(r.crashes) < maxCrashesPerPrompt {
+		r.crashes[upstream] = c
 		return true
 	}
-	if oldest := r.oldest(); r.ends[oldest].at.Before(e.at) {
-		delete(r.ends, oldest)
-		r.ends[upstream] = e
+	if oldest := r.oldestCrash(); r.crashes[oldest].at.Before(c.at) {
+		delete(r.crashes, oldest)
+		r.crashes[upstream] = c
 	}
 	return false
 }
 
-// standing is that for services which have not answered the prompt.
-func (r *record) standing(now time.Time) Standing { return standing(len(r.ends), now.Sub(r.last())) }
+// standing returns the standing for services that have not answered the prompt.
+func (r *record) standing(now time.Time) Standing {
+	return standing(len(r.crashes), now.Sub(r.lastCrash()))
+}
 
-// forgotten reports whether nothing ended under the prompt for so long that it counts as clear.
-func (r *record) forgotten(now time.Time) bool { return !now.Before(r.last().Add(rememberedFor)) }
+// expired reports whether the last crash is old enough that the prompt counts as clear.
+func (r *record) expired(now time.Time) bool { return !now.Before(r.lastCrash().Add(evidenceTTL)) }
 
-// Register is what one process knows of prompts under which upstreams ended. A prompt that a
-// service has answered is cleared there: one that ends upstreams is never answered, while a good
-// one that many callers send loses an upstream now and then. The zero value knows of none. It is safe for
-// concurrent use.
+// Register holds one process's evidence on prompts that crash upstreams. An answer from a service
+// clears the prompt there: a prompt that crashes upstreams is never answered, while a harmless one
+// that many callers send coincides with a crash now and then. The zero value is empty. It is safe
+// for concurrent use.
 type Register struct {
 	mu      sync.Mutex
 	records map[Prompt]*record
 }
 
-// Empty reports whether no prompt is known, so that requests need not be identified.
+// Empty reports whether no prompt is recorded, so that requests need not be identified.
 func (r *Register) Empty() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.records) == 0
 }
 
-// Add takes in evidence, and returns all that is known of the prompt and whether any of it was new.
+// Add merges evidence. It returns all evidence on the prompt and whether any of it was new.
 func (r *Register) Add(now time.Time, e Evidence) (all Evidence, news bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known := r.recordLocked(now, e.Prompt)
 	for _, e := range e.Ends {
-		news = known.add(e.Upstream, end{service: e.Service, at: now.Add(-e.Age)}) || news
+		news = known.add(e.Upstream, crash{service: e.Service, at: now.Add(-e.Age)}) || news
 	}
 	for _, service := range e.Answered {
 		known.answered[service] = true
 	}
-	known.was = max(known.was, known.standing(now))
+	known.lastStanding = max(known.lastStanding, known.standing(now))
 	return known.evidence(now, e.Prompt), news
 }
 
-// recordLocked is the record of a prompt, made if there is none.
+// recordLocked returns the record of a prompt and creates it if there is none.
 func (r *Register) recordLocked(now time.Time, p Prompt) *record {
-	r.forgetLocked(now, p)
+	r.dropExpiredLocked(now, p)
 	if known := r.records[p]; known != nil {
 		return known
 	}
 	if r.records == nil {
 		r.records = map[Prompt]*record{}
 	}
-	if len(r.records) >= mostPrompts {
-		r.dropLocked()
+	if len(r.records) >= maxPrompts {
+		r.evictLocked()
 	}
-	known := &record{ends: map[string]end{}, answered: map[string]bool{}}
+	known := &record{crashes: map[string]crash{}, answered: map[string]bool{}}
 	r.records[p] = known
 	return known
 }
 
-// forgetLocked forgets a prompt under which nothing ended for long.
-func (r *Register) forgetLocked(now time.Time, p Prompt) {
-	if known := r.records[p]; known != nil && known.forgotten(now) {
+// dropExpiredLocked removes a prompt whose evidence has expired.
+func (r *Register) dropExpiredLocked(now time.Time, p Prompt) {
+	if known := r.records[p]; known != nil && known.expired(now) {
 		delete(r.records, p)
 	}
 }
 
-// dropLocked makes room: the prompt goes against which least is known, and of these the one
-// whose last end is the oldest. A flood of requests that were cut by other causes must not make a
-// proven prompt forgotten.
-func (r *Register) dropLocked() {
+// evictLocked removes the prompt with the fewest crashes, and among these the one whose last crash
+// is the oldest. A flood of requests interrupted by other causes must not evict a proven prompt.
+func (r *Register) evictLocked() {
 	var out Prompt
 	var least *record
 	for p, known := range r.records {
-		if least == nil || known.before(least) {
+		if least == nil || known.weakerThan(least) {
 			out, least = p, known
 		}
 	}
 	delete(r.records, out)
 }
 
-func (r *record) before(other *record) bool {
-	if len(r.ends) != len(other.ends) {
-		return len(r.ends) < len(other.ends)
+func (r *record) weakerThan(other *record) bool {
+	if len(r.crashes) != len(other.crashes) {
+		return len(r.crashes) < len(other.crashes)
 	}
-	return r.last().Before(other.last())
+	return r.lastCrash().Before(other.lastCrash())
 }
 
 func (r *record) evidence(now time.Time, p Prompt) Evidence {
 	e := Evidence{Prompt: p, Answered: slices.Sorted(maps.Keys(r.answered))}
-	for _, upstream := range slices.Sorted(maps.Keys(r.ends)) {
-		end := r.ends[upstream]
-		e.Ends = append(e.Ends, End{Upstream: upstream, Service: end.service, Age: now.Sub(end.at)})
+	for _, upstream := range slices.Sorted(maps.Keys(r.crashes)) {
+		c := r.crashes[upstream]
+		e.Ends = append(e.Ends, End{Upstream: upstream, Service: c.service, Age: now.Sub(c.at)})
 	}
 	return e
 }
 
-// Known returns what is known of a prompt.
+// Known returns the evidence on a prompt.
 func (r *Register) Known(now time.Time, p Prompt) Evidence {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.forgetLocked(now, p)
+	r.dropExpiredLocked(now, p)
 	if known := r.records[p]; known != nil {
 		return known.evidence(now, p)
 	}
 	return Evidence{Prompt: p}
 }
 
-// Try reports whether a request, by its id, may send a prompt to a service now, and notes it if the
-// prompt is on trial. Only the process that decides for the prompt is asked.
+// Try reports whether the request with this id may send a prompt to a service now, and records the
+// trial if the prompt is on trial. Only the process that decides for the prompt calls it.
 func (r *Register) Try(now time.Time, p Prompt, service, request string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.forgetLocked(now, p)
+	r.dropExpiredLocked(now, p)
 	known := r.records[p]
 	if known == nil {
 		return true
@@ -201,17 +203,18 @@
 		return true
 	case standing == Proven:
 		return false
-	case known.by == request:
-		return true // it could not be sent to the upstream that was chosen first
-	case now.Sub(known.tried) < trialPause:
+	case known.trialRequest == request:
+		return true // the first upstream chosen for it could not be reached
+	case now.Sub(known.lastTrial) < trialInterval:
 		return false
 	}
-	known.tried, known.by = now, request
+	known.lastTrial, known.trialRequest = now, request
 	return true
 }
 
-// Answered notes that a service answered a prompt, and returns what counted for it before. What
-// ended of that service does not count any more; what ended of others does, for them.
+// Answered records that a service answered a prompt, and returns the evidence that applied to the
+// service before. Crashes of that service no longer count; those of other services still count for
+// these.
 func (r *Register) Answered(now time.Time, p Prompt, service string) Evidence {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -220,29 +223,29 @@
 		return Evidence{Prompt: p}
 	}
 	was := known.evidence(now, p).For(service)
-	maps.DeleteFunc(known.ends, func(_ string, e end) bool { return e.service == service })
+	maps.DeleteFunc(known.crashes, func(_ string, c crash) bool { return c.service == service })
 	known.answered[service] = true
-	if len(known.ends) == 0 {
+	if len(known.crashes) == 0 {
 		delete(r.records, p)
 	}
 	return was
 }
 
-// Lapsed is a prompt whose standing became better with time.
+// Lapsed is a prompt whose standing improved because evidence expired.
 type Lapsed struct {
 	Prompt   Prompt
 	Was, Now Standing
 }
 
-// Lapse takes the time into account that passed, and returns the prompts that were on trial or
-// proven and are not any more.
+// Lapse removes expired evidence and returns the prompts that were on trial or proven and whose
+// standing improved.
 func (r *Register) Lapse(now time.Time) (lapsed []Lapsed) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for p, known := range r.records {
-		l := Lapsed{Prompt: p, Was: known.was, Now: known.standing(now)}
-		known.was = l.Now
-		if known.forgotten(now) {
+		l := Lapsed{Prompt: p, Was: known.lastStanding, Now: known.standing(now)}
+		known.lastStanding = l.Now
+		if known.expired(now) {
 			l.Now = Clear
 			delete(r.records, p)
 		}
@@ -253,20 +256,20 @@
 	return lapsed
 }
 
-// All returns the prompts on trial and the proven ones.
+// All returns the prompts that are on trial or proven.
 func (r *Register) All(now time.Time) []Evidence { return r.atLeast(now, OnTrial) }
 
-// mostListed bounds the prompts that one process tells another at once.
-const mostListed = 512
+// maxListedPrompts limits the prompts that one process sends another at once.
+const maxListedPrompts = 512
 
-// List returns the prompts under which any upstream ended, those with the most ends first and of
-// these the newest; at most mostListed.
+// List returns the prompts with any crash, ordered by the number of crashes, then the newest crash
+// first; at most maxListedPrompts.
 func (r *Register) List(now time.Time) []Evidence {
 	all := r.atLeast(now, Suspect)
 	slices.SortFunc(all, func(a, b Evidence) int {
-		return cmp.Or(cmp.Compare(len(b.Ends), len(a.Ends)), cmp.Compare(a.newest(), b.newest()), cmp.Compare(a.Prompt, b.Prompt))
+		return cmp.Or(cmp.Compare(len(b.Ends), len(a.Ends)), cmp.Compare(a.newestAge(), b.newestAge()), cmp.Compare(a.Prompt, b.Prompt))
 	})
-	return all[:min(len(all), mostListed)]
+	return all[:min(len(all), maxListedPrompts)]
 }
 
 func (r *Register) atLeast(now time.Time, least Standing) (all []Evidence) {
--- a/poison/register_test.go
+++ b/poison/register_test.go
@@ -15,8 +15,8 @@
 
 var start = time.Unix(1000, 0)
 
-// ended is evidence of one end.
-func ended(p Prompt, upstream string) Evidence {
+// crashEvidence returns evidence of one crash.
+func crashEvidence(p Prompt, upstream string) Evidence {
 	return Evidence{Prompt: p, Ends: []End{{Upstream: upstream, Service: "model"}}}
 }
 
@@ -29,7 +29,7 @@
 	}
 	same := request(func(*serving.Request) {})
 	require.Equal(t, same, request(func(r *serving.Request) { r.ID, r.Team, r.LastEvent, r.URI = "2", "skippers", "7", "/a/2" }), "a retry, whoever asks")
-	require.Equal(t, same, request(func(r *serving.Request) { r.Service.Name = "other" }), "its route was moved or split")
+	require.Equal(t, same, request(func(r *serving.Request) { r.Service.Name = "other" }), "the route was moved or split")
 	for name, change := range map[string]func(r *serving.Request){
 		"last part":   func(r *serving.Request) { r.Parts[1].ID = "cc" },
 		"order":       func(r *serving.Request) { r.Parts[0], r.Parts[1] = r.Parts[1], r.Parts[0] },
@@ -47,52 +47,51 @@
 	require.NotEqual(t, bare("x"), bare("y"))
 }
 
-// Three upstreams end under a prompt. The first end stops nobody, after the second one request is
-// let through now and then, after the third none; and when its time is over the prompt may be
-// tried anew.
+// After one crash, requests are still allowed; after two, one request per trialInterval; after
+// three, none until the refusal period has passed.
 func TestStandings(t *testing.T) {
 	var r Register
 	require.True(t, r.Empty())
 	require.True(t, r.Try(start, "p", "model", "1"))
-	r.Add(start, ended("p", "i-1"))
-	_, news := r.Add(start, ended("p", "i-1"))
-	require.False(t, news, "the same upstream, told by another")
+	r.Add(start, crashEvidence("p", "i-1"))
+	_, news := r.Add(start, crashEvidence("p", "i-1"))
+	require.False(t, news, "the same upstream, reported by another process")
 	require.Equal(t, Suspect, r.Known(start, "p").Standing())
 	require.True(t, r.Try(start, "p", "model", "1"))
 	require.True(t, r.Try(start, "p", "model", "2"))
 
-	r.Add(start, ended("p", "i-2"))
+	r.Add(start, crashEvidence("p", "i-2"))
 	require.Equal(t, OnTrial, r.Known(start, "p").Standing())
 	require.True(t, r.Try(start, "p", "model", "3"))
-	require.False(t, r.Try(start, "p", "model", "4"), "another one is trying")
-	require.True(t, r.Try(start, "p", "model", "3"), "its first choice could not be reached")
-	require.True(t, r.Try(start.Add(trialPause), "p", "model", "4"), "the first one came to nothing")
+	require.False(t, r.Try(start, "p", "model", "4"), "another request is trying it")
+	require.True(t, r.Try(start, "p", "model", "3"), "the upstream chosen first could not be reached")
+	require.True(t, r.Try(start.Add(trialInterval), "p", "model", "4"), "the first trial had no result")
 
-	r.Add(start.Add(time.Second), ended("p", "i-3"))
+	r.Add(start.Add(time.Second), crashEvidence("p", "i-3"))
 	require.Equal(t, Proven, r.Known(start, "p").Standing())
 	require.False(t, r.Try(start.Add(time.Minute), "p", "model", "5"))
 	require.Len(t, r.All(start.Add(time.Minute)), 1)
-	after := start.Add(time.Second + provenFor)
+	after := start.Add(time.Second + refusalPeriod)
 	require.Equal(t, []Lapsed{{Prompt: "p", Was: Proven, Now: OnTrial}}, r.Lapse(after))
 	require.True(t, r.Try(after, "p", "model", "6"))
 	require.False(t, r.Try(after, "p", "model", "7"), "one at a time, as before")
-	r.Add(after.Add(time.Second), ended("p", "i-4"))
+	r.Add(after.Add(time.Second), crashEvidence("p", "i-4"))
 	require.Equal(t, Proven, r.Known(after.Add(time.Second), "p").Standing())
-	again := after.Add(time.Second + 2*provenFor)
+	again := after.Add(time.Second + 2*refusalPeriod)
 	require.Empty(t, r.Lapse(again.Add(-1)), "twice as long as the first time")
 	require.Equal(t, []Lapsed{{Prompt: "p", Was: Proven, Now: OnTrial}}, r.Lapse(again))
 	require.Empty(t, r.Lapse(again.Add(time.Hour)))
-	much := after.Add(time.Second + rememberedFor)
+	much := after.Add(time.Second + evidenceTTL)
 	require.Equal(t, []Lapsed{{Prompt: "p", Was: OnTrial, Now: Clear}}, r.Lapse(much))
 	require.True(t, r.Empty())
 }
 
-// A prompt that many callers send loses an upstream now and then, as all do. Any answer to it
-// shows that it is not the cause.
+// Guards against refusing a harmless prompt: one that many callers send coincides with a crash now
+// and then. An answer to it shows that it is not the cause.
 func TestAnsweredPromptIsCleared(t *testing.T) {
 	var r Register
 	for n := range 10 {
-		r.Add(start, ended("p", fmt.Sprint("i-", n)))
+		r.Add(start, crashEvidence("p", fmt.Sprint("i-", n)))
 		if n%2 == 1 {
 			require.Equal(t, OnTrial, r.Answered(start, "p", "model").Standing())
 		}
@@ -101,94 +100,94 @@
 	require.Equal(t, Clear, r.Answered(start, "unknown", "model").Standing())
 }
 
-// A rack of upstreams ends and cuts more requests than are kept. A proven prompt is still known.
-func TestFloodOfCutRequestsForgetsNothingProven(t *testing.T) {
+// Guards against evicting a proven prompt when a rack of upstreams fails and interrupts more
+// requests than are recorded.
+func TestInterruptedRequestsDoNotEvictProvenPrompts(t *testing.T) {
 	var r Register
-	for n := range endsProven {
-		r.Add(start, ended("p", fmt.Sprint("i-", n)))
+	for n := range provenThreshold {
+		r.Add(start, crashEvidence("p", fmt.Sprint("i-", n)))
 	}
-	for n := range mostPrompts + 100 {
-		r.Add(start.Add(time.Duration(n)*time.Millisecond), ended(Prompt(fmt.Sprint("good-", n)), "i-9"))
+	for n := range maxPrompts + 100 {
+		r.Add(start.Add(time.Duration(n)*time.Millisecond), crashEvidence(Prompt(fmt.Sprint("good-", n)), "i-9"))
 	}
-	require.Len(t, r.records, mostPrompts)
+	require.Len(t, r.records, maxPrompts)
 	require.Equal(t, Proven, r.Known(start, "p").Standing())
 	for n := range 20 {
-		r.Add(start, ended("p", fmt.Sprint("more-", n)))
+		r.Add(start, crashEvidence("p", fmt.Sprint("more-", n)))
 	}
-	require.Len(t, r.Known(start, "p").Ends, mostEnds)
-	require.Equal(t, Proven, r.Known(start.Add(rememberedFor-1), "p").Standing())
+	require.Len(t, r.Known(start, "p").Ends, maxCrashesPerPrompt)
+	require.Equal(t, Proven, r.Known(start.Add(evidenceTTL-1), "p").Standing())
 }
 
-// Suspicions lapse in a day without another end, and not before.
+// A crash expires after a day without another one, and not earlier.
 func TestSuspicionLapses(t *testing.T) {
 	var r Register
-	r.Add(start, ended("p", "i-1"))
-	require.Empty(t, r.Lapse(start.Add(rememberedFor-1)))
-	require.Equal(t, Suspect, r.Known(start.Add(rememberedFor-1), "p").Standing())
-	r.Add(start.Add(rememberedFor), ended("p", "i-2"))
-	require.Equal(t, Suspect, r.Known(start.Add(rememberedFor), "p").Standing())
+	r.Add(start, crashEvidence("p", "i-1"))
+	require.Empty(t, r.Lapse(start.Add(evidenceTTL-1)))
+	require.Equal(t, Suspect, r.Known(start.Add(evidenceTTL-1), "p").Standing())
+	r.Add(start.Add(evidenceTTL), crashEvidence("p", "i-2"))
+	require.Equal(t, Suspect, r.Known(start.Add(evidenceTTL), "p").Standing())
 }
 
-// world is a fleet of upstreams that run prompts, some of which end them, while others end by
-// chance.
-type world struct {
+// fleet simulates upstreams that run prompts. Some prompts crash them; others crash by chance.
+type fleet struct {
 	t        *rapid.T
 	register Register
 	now      time.Time
 	requests int
-	// running are the prompts at each upstream.
+	// running holds the prompts at each upstream.
 	running map[string][]Prompt
-	// hits are the upstreams that ended under each prompt since it was last answered, sentAfter
-	// the sends after three had.
-	hits      map[Prompt]int
-	sentAfter int
-	// refused are good prompts that were turned away with fewer than two ends.
+	// crashesSinceAnswer counts the upstreams that crashed under each prompt since it was last
+	// answered, sentAfterProof the sends after three crashes.
+	crashesSinceAnswer map[Prompt]int
+	sentAfterProof     int
+	// refused counts harmless prompts that were refused with fewer than two crashes.
 	refused int
 }
 
-func (w *world) end(upstream string) {
+func (w *fleet) crash(upstream string) {
 	slices.Sort(w.running[upstream])
 	for _, p := range slices.Compact(w.running[upstream]) {
-		w.register.Add(w.now, ended(p, fmt.Sprint(upstream, "@", w.now.UnixNano())))
-		w.hits[p]++
+		w.register.Add(w.now, crashEvidence(p, fmt.Sprint(upstream, "@", w.now.UnixNano())))
+		w.crashesSinceAnswer[p]++
 	}
 	w.running[upstream] = nil
 }
 
-func (w *world) send(p Prompt, upstream string) {
+func (w *fleet) send(p Prompt, upstream string) {
 	w.requests++
 	if !w.register.Try(w.now, p, "model", fmt.Sprint(w.requests)) {
-		if w.hits[p] < endsOnTrial {
+		if w.crashesSinceAnswer[p] < trialThreshold {
 			w.refused++
 		}
 		return
 	}
-	if w.hits[p] >= endsProven {
-		w.sentAfter++
+	if w.crashesSinceAnswer[p] >= provenThreshold {
+		w.sentAfterProof++
 	}
 	w.running[upstream] = append(w.running[upstream], p)
 }
 
-func (w *world) answer(upstream string) {
+func (w *fleet) answer(upstream string) {
 	if len(w.running[upstream]) == 0 {
 		return
 	}
 	p := w.running[upstream][0]
 	w.running[upstream] = w.running[upstream][1:]
-	if !deadly(p) {
+	if !crashesUpstreams(p) {
 		w.register.Answered(w.now, p, "model")
-		w.hits[p] = 0
+		w.crashesSinceAnswer[p] = 0
 	}
 }
 
-func deadly(p Prompt) bool { return p[0] == 'd' }
+func crashesUpstreams(p Prompt) bool { return p[0] == 'd' }
 
-// Random mixes of good prompts, prompts that end upstreams, and upstreams that end by chance. No
-// prompt is sent after three upstreams ended under it without an answer between, and no prompt
-// under which fewer than two did is ever refused.
-func TestBlameInRandomMixes(t *testing.T) {
+// Random mixes of harmless prompts, prompts that crash upstreams, and upstreams that crash by
+// chance. No prompt is sent after three crashes without an answer in between, and none with fewer
+// than two crashes is refused.
+func TestThresholdsInRandomMixes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{t: t, now: start, running: map[string][]Prompt{}, hits: map[Prompt]int{}}
+		w := &fleet{t: t, now: start, running: map[string][]Prompt{}, crashesSinceAnswer: map[Prompt]int{}}
 		upstreams := rapid.IntRange(2, 12).Draw(t, "upstreams")
 		kinds := rapid.SampledFrom([]string{"d", "g", "gg", "dg", "dggg"}).Draw(t, "kinds")
 		for range rapid.IntRange(20, 200).Draw(t, "steps") {
@@ -197,13 +196,13 @@
 			p := Prompt(fmt.Sprint(string(kinds[rapid.IntRange(0, len(kinds)-1).Draw(t, "kind")]), rapid.IntRange(1, 5).Draw(t, "prompt")))
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
-				w.end(upstream) // by chance
+				w.crash(upstream) // by chance
 			case 1, 2, 3:
 				w.answer(upstream)
 			case 4:
 				for _, running := range w.running[upstream] {
-					if deadly(running) {
-						w.end(upstream)
+					if crashesUpstreams(running) {
+						w.crash(upstream)
 						break
 					}
 				}
@@ -211,7 +210,7 @@
 				w.send(p, upstream)
 			}
 		}
-		require.Zero(t, w.sentAfter)
+		require.Zero(t, w.sentAfterProof)
 		require.Zero(t, w.refused)
 	})
 }
--- a/poison/retries_test.go
+++ b/poison/retries_test.go
@@ -8,20 +8,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a prompt that ends another upstream each few minutes for as long as callers bring it.
-func TestProvenPromptIsRetriedThreeTimesInADay(t *testing.T) {
+// Guards against a prompt that crashes another upstream every few minutes for as long as callers
+// send it.
+func TestProvenPromptIsRetriedAtMostThreeTimesADay(t *testing.T) {
 	for _, every := range []time.Duration{time.Second, 10 * time.Second, time.Minute, 7 * time.Minute, 30 * time.Minute} {
 		t.Run(every.String(), func(t *testing.T) {
 			var r Register
-			ends := 0
+			crashes := 0
 			for now := start; now.Before(start.Add(24 * time.Hour)); now = now.Add(every) {
 				r.Lapse(now)
 				if r.Try(now, "p", "model", fmt.Sprint(now.UnixNano())) {
-					ends++
-					r.Add(now, ended("p", fmt.Sprint("i-", ends)))
+					crashes++
+					r.Add(now, crashEvidence("p", fmt.Sprint("i-", crashes)))
 				}
 			}
-			require.LessOrEqual(t, ends, endsProven+3)
+			require.LessOrEqual(t, crashes, provenThreshold+3)
 		})
 	}
 }
