--- a/serving/attempt.go
+++ b/serving/attempt.go
@@ -8,38 +8,38 @@
 	"github.com/arbutusmill/arbutusmill/directory"
 )
 
-// Result is what one send came to.
+// Result is the outcome of one send.
 type Result int
 
 // The results.
 const (
-	// Whole says that the caller has the whole answer.
+	// Whole means that the caller has the complete answer.
 	Whole Result = iota
-	// Unreached says that nothing was sent: no connection was made.
+	// Unreached means that no connection was made and nothing was sent.
 	Unreached
-	// Declined says that the upstream refused and proved that it did not run.
+	// Declined means that the upstream refused and proved that it did not run the request.
 	Declined
-	// Misdirected says that another process answered at the address; it did not run.
+	// Misdirected means that another process answered at the address; it did not run the request.
 	Misdirected
-	// Failed says that the upstream ran the request and answered with a failure.
+	// Failed means that the upstream ran the request and answered with a failure.
 	Failed
-	// Unknown says that the request was sent and no valid answer came.
+	// Unknown means that the request was sent and no valid answer arrived.
 	Unknown
-	// Broken says that a stream stopped after the caller had got a part of it.
+	// Broken means that a stream stopped after the caller had received part of it.
 	Broken
-	// CallerGone says that the caller left or took nothing more.
+	// CallerGone means that the caller disconnected or stopped reading.
 	CallerGone
-	// Refused says that the upstream refused the request for good: no other one
-	// would take it. Attempt.Refusal has its reason.
+	// Refused means that the upstream refused the request permanently: no other upstream would
+	// accept it. Attempt.Refusal holds the reason.
 	Refused
-	// OutOfTime says that the request's time ended while the upstream had it.
+	// OutOfTime means that the request's deadline passed while the upstream had it.
 	OutOfTime
 )
 
 var resultNames = [...]string{"whole", "unreached", "declined", "misdirected", "failed",
 	"unknown", "broken", "caller_gone", "refused", "out_of_time"}
 
-// String is the result's name in logs.
+// String returns the name used in logs.
 func (r Result) String() string { return resultNames[r] }
 
 // NotRun reports whether the result proves that the upstream did not run the request.
@@ -52,67 +52,68 @@
 	return r == Whole || r == CallerGone || r == OutOfTime || r == Refused
 }
 
-// Attempt is one send and what came of it.
+// Attempt is one send and its outcome.
 type Attempt struct {
 	Upstream directory.Life
 	Result   Result
-	// Why says more, for the log.
+	// Why gives details for the log.
 	Why string
-	// Cost and Unread are what the choice of the upstream expected.
+	// Cost and Unread are the estimates made when the upstream was chosen.
 	Cost   time.Duration
 	Unread int64
-	// Pause is the longest one between two events.
+	// Pause is the longest pause between two events.
 	Pause Pause
-	// Answer is the upstream's failure, for Failed; it is passed on unless the
-	// request is sent again.
+	// Answer is the upstream's failure response, for Failed; it is passed on unless the request is
+	// sent again.
 	Answer *Answer
-	// Refusal is the reason that the upstream gave, for Declined, Refused and Failed;
-	// nil leaves it to the path.
+	// Refusal is the reason given by the upstream, for Declined, Refused and Failed; if nil, Path
+	// determines it.
 	Refusal *contract.Refusal
 	// Break is set if the connection broke while the upstream had the request.
 	Break *Break
-	// Recalled says that the send was ended since its prompt was found to end upstreams.
+	// Recalled reports whether the send was canceled because its prompt was found to crash
+	// upstreams.
 	Recalled bool
-	// Output is the most tokens that the run may have produced.
+	// Output is the maximum number of tokens that the run may have produced.
 	Output int64
-	// Began says that the run read the prompt, or may have.
+	// Began reports whether the run may have read the prompt.
 	Began bool
 }
 
-// Break is the end of a connection to an upstream that had a request.
+// Break describes a connection that broke while the upstream had a request.
 type Break struct {
-	// Address is the upstream's.
+	// Address is the address of the upstream.
 	Address string
-	// Events is how many events of its answer had come, and Running the time since the first
-	// of them.
+	// Events is the number of answer events received, and Running the time since the first of
+	// them.
 	Events  int64
 	Running time.Duration
 }
 
-// Pause is one between two events of a stream.
+// Pause is a pause between two events of a stream.
 type Pause struct {
 	For time.Duration
-	// Beside is what else this router had at the upstream when the pause ended, for the
-	// log: an engine that reads a long prompt pauses the streams that run beside.
+	// Beside is the router's other load at the upstream when the pause ended, for the log: an
+	// engine that reads a long prompt pauses the streams that run concurrently.
 	Beside Load
 }
 
-// Load is what a router has at an upstream.
+// Load is one router's load at an upstream.
 type Load struct {
-	// Running is requests that have not ended.
+	// Running is the number of requests that have not ended.
 	Running int
-	// Unread is the prompt tokens of those whose first event has not come.
+	// Unread is the number of prompt tokens of requests whose first event has not arrived.
 	Unread int64
 }
 
-// Answer is a complete answer that is not yet passed on.
+// Answer is a complete answer that has not been passed on yet.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Pass gives the whole answer to a caller who has had nothing of one yet.
+// Pass writes the complete answer to a caller that has received nothing yet.
 func (a *Answer) Pass(out Caller) error {
 	if err := out.Begin(a.Status, a.Header); err != nil {
 		return err
@@ -123,14 +124,14 @@
 	return out.Flush()
 }
 
-// End is how a request ended.
+// End is the outcome of a request.
 type End struct {
 	Attempts []Attempt
-	// Refusal is set when the caller gets none of an upstream's answers.
+	// Refusal is set if no upstream's answer is passed on.
 	Refusal *contract.Refusal
-	// Cut says that the caller has a part of an answer that never ends; its
-	// connection must be broken, or the part would look whole.
+	// Cut reports whether the caller received only part of an answer. Its connection must be
+	// closed abnormally, or the part would look complete.
 	Cut bool
-	// Used is what the team is charged, in tokens.
+	// Used is the number of tokens charged to the team.
 	Used int64
 }
--- a/serving/decide.go
+++ b/serving/decide.go
@@ -6,29 +6,29 @@
 	"github.com/arbutusmill/arbutusmill/contract"
 )
 
-// maxSends bounds the sends of one request, those that upstreams declined included:
-// each is an arrival at a service that may be failing.
+// maxSends limits the sends of one request, including those that upstreams declined: each is load
+// on a service that may be failing.
 const maxSends = 4
 
-// maxUnreached bounds the upstreams that a request could not even be sent to. Trying
-// them costs the service nothing, but the caller time.
+// maxUnreached limits the upstreams that could not be connected to. Trying them adds no load to
+// the service but delays the caller.
 const maxUnreached = 8
 
-// verdict is what follows an attempt.
-type verdict struct {
-	// again says that another upstream may be tried.
-	again bool
-	// counted says that another send is a repeat by the retry budget.
-	counted bool
+// retryDecision is the decision that follows an attempt.
+type retryDecision struct {
+	// retry reports whether another upstream may be tried.
+	retry bool
+	// countsAsRetry reports whether the next send counts against the retry budget.
+	countsAsRetry bool
 }
 
-// decide is the rule on repeats. A request that may have run is sent again only if it
-// is idempotent, and to no more upstreams than its route allows; one that provably did
-// not run may always be sent again.
-func decide(r *Request, attempts []Attempt, now time.Time) verdict {
+// decideRetry implements the retry rule. A request that may have run is sent again only if it is
+// idempotent, and to no more upstreams than its route allows; one that provably did not run may
+// always be sent again.
+func decideRetry(r *Request, attempts []Attempt, now time.Time) retryDecision {
 	last := attempts[len(attempts)-1]
 	if last.Result.final() || !now.Before(r.Until) {
-		return verdict{}
+		return retryDecision{}
 	}
 	var sends, runs, unreached int
 	for _, a := range attempts {
@@ -42,15 +42,15 @@
 			runs++
 		}
 	}
-	if sends >= maxSends || unreached >= maxUnreached || runs >= r.runs() {
-		return verdict{}
+	if sends >= maxSends || unreached >= maxUnreached || runs >= r.maxRuns() {
+		return retryDecision{}
 	}
-	return verdict{again: true, counted: sends > 0}
+	return retryDecision{retry: true, countsAsRetry: sends > 0}
 }
 
-// refusal names how a request without an answer ended. "Not run" is said only when no
-// attempt may have run.
-func refusal(r *Request, attempts []Attempt, now time.Time) *contract.Refusal {
+// refusalFor returns the refusal of a request without an answer. It states that the request did
+// not run only if no attempt may have run.
+func refusalFor(r *Request, attempts []Attempt, now time.Time) *contract.Refusal {
 	ran := false
 	declined := false
 	for _, a := range attempts {
@@ -74,9 +74,9 @@
 	return contract.Refuse(contract.NoUpstream, "no upstream of %s can be reached", r.Service.Name)
 }
 
-// used is what a request is charged: its prompt once if any run may have read it, and
-// all output that its runs may have produced.
-func used(r *Request, attempts []Attempt) int64 {
+// chargedTokens returns the tokens charged for a request: its prompt once if any run may have read
+// it, and all output that its runs may have produced.
+func chargedTokens(r *Request, attempts []Attempt) int64 {
 	var n int64
 	began := false
 	for _, a := range attempts {
--- a/serving/decide_test.go
+++ b/serving/decide_test.go
@@ -32,37 +32,37 @@
 
 func TestDecide(t *testing.T) {
 	cases := []struct {
-		name    string
-		route   *catalog.Route
-		results []Result
-		again   bool
-		counted bool
+		name          string
+		route         *catalog.Route
+		results       []Result
+		retry         bool
+		countsAsRetry bool
 	}{
-		{"whole is the end", safe, []Result{Whole}, false, false},
+		{"a complete answer ends the request", safe, []Result{Whole}, false, false},
 		{"unsafe is not repeated after it may have run", unsafe, []Result{Unknown}, false, false},
 		{"unsafe is not repeated after a failure", unsafe, []Result{Failed}, false, false},
-		{"unsafe goes on after a proof that it did not run", unsafe, []Result{Declined}, true, true},
-		{"a send that never left is no repeat", unsafe, []Result{Unreached}, true, false},
-		{"not after run and decline", unsafe, []Result{Declined, Unknown}, false, false},
+		{"unsafe is retried after a proof that it did not run", unsafe, []Result{Declined}, true, true},
+		{"a send that was never transmitted is no retry", unsafe, []Result{Unreached}, true, false},
+		{"unsafe is not repeated after a decline and a run", unsafe, []Result{Declined, Unknown}, false, false},
 		{"safe is repeated once", safe, []Result{Failed}, true, true},
 		{"safe is repeated once only", safe, []Result{Failed, Unknown}, false, false},
-		{"a stream that may not be resumed ends", chat, []Result{Broken}, false, false},
-		{"a stream that may be resumed goes on", review, []Result{Broken}, true, true},
-		{"a caller that left ends it", review, []Result{CallerGone}, false, false},
-		{"declined by as many as may be asked", safe, []Result{Declined, Declined, Declined, Declined}, false, false},
+		{"a stream that is not resumable ends", chat, []Result{Broken}, false, false},
+		{"a resumable stream is retried", review, []Result{Broken}, true, true},
+		{"a caller that disconnected ends the request", review, []Result{CallerGone}, false, false},
+		{"declined by the maximum number of upstreams", safe, []Result{Declined, Declined, Declined, Declined}, false, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			v := decide(requestOn(c.route), attempts(c.results...), start)
-			require.Equal(t, verdict{again: c.again, counted: c.counted}, v)
-			require.False(t, decide(requestOn(c.route), attempts(c.results...), start.Add(time.Second)).again, "time is over")
+			v := decideRetry(requestOn(c.route), attempts(c.results...), start)
+			require.Equal(t, retryDecision{retry: c.retry, countsAsRetry: c.countsAsRetry}, v)
+			require.False(t, decideRetry(requestOn(c.route), attempts(c.results...), start.Add(time.Second)).retry, "the deadline has passed")
 		})
 	}
 }
 
-// Whatever happened, a request that must not run twice is never sent again after it may
-// have run, and none is said not to have run when it may have.
-func TestNeverTwiceAndTrueRefusals(t *testing.T) {
+// A request that must not run twice is never sent again after it may have run, and no refusal
+// states that a request did not run when it may have.
+func TestAtMostAllowedRunsAndAccurateRefusals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		route := rapid.SampledFrom([]*catalog.Route{unsafe, safe, chat, review}).Draw(t, "route")
 		results := rapid.SliceOfN(rapid.SampledFrom([]Result{Unreached, Declined, Misdirected, Failed, Unknown, Broken,
@@ -74,33 +74,33 @@
 			if !results[i].NotRun() {
 				ran++
 			}
-			v := decide(r, at, start)
+			v := decideRetry(r, at, start)
 			if ran > 0 && !route.Idempotent() {
-				require.False(t, v.again)
+				require.False(t, v.retry)
 			}
 			if ran >= route.MaxRuns {
-				require.False(t, v.again)
+				require.False(t, v.retry)
 			}
-			refused := refusal(r, at, start)
+			refused := refusalFor(r, at, start)
 			if ran > 0 {
 				require.False(t, refused.Kind.Answer().NotRun, "%v: %s", results[:i+1], refused.Kind)
 			}
-			require.LessOrEqual(t, used(r, at), r.Worst())
+			require.LessOrEqual(t, chargedTokens(r, at), r.Worst())
 			if ran == 0 {
-				require.Zero(t, used(r, at))
+				require.Zero(t, chargedTokens(r, at))
 			}
 		}
 	})
 }
 
-// The failure of an earlier run is not passed on when a later run may have gone on: its
-// outcome is what the caller would have to know.
-func TestFailureThenSilence(t *testing.T) {
+// Guards against passing on the failure of an earlier run when a later run may have continued: the
+// caller needs the outcome of the later one.
+func TestFailureThenUnknownOutcome(t *testing.T) {
 	at := attempts(Failed, Unknown)
 	at[0].Answer = &Answer{Status: 500}
-	require.Nil(t, failure(at))
+	require.Nil(t, failureAnswer(at))
 	at = attempts(Failed, Declined)
 	at[0].Answer = &Answer{Status: 500}
-	require.Equal(t, 500, failure(at).Status)
-	require.Equal(t, contract.OutcomeUnknown, refusal(requestOn(safe), attempts(Failed, Unknown), start).Kind)
+	require.Equal(t, 500, failureAnswer(at).Status)
+	require.Equal(t, contract.OutcomeUnknown, refusalFor(requestOn(safe), attempts(Failed, Unknown), start).Kind)
 }
--- a/serving/httpcaller.go
+++ b/serving/httpcaller.go
@@ -7,12 +7,12 @@
 	"github.com/arbutusmill/arbutusmill/hop"
 )
 
-// HTTPCaller is a Caller over an HTTP server.
+// HTTPCaller implements Caller over an HTTP server.
 type HTTPCaller struct {
 	w            http.ResponseWriter
 	rc           *http.ResponseController
 	writeTimeout time.Duration
-	// stream answers have no length: the router may add to them from another run.
+	// stream answers have no length: the router may append to them from another run.
 	stream    bool
 	began     bool
 	status    int
@@ -20,8 +20,8 @@
 	lastEvent string
 }
 
-// NewHTTPCaller returns the caller's side of one answer. A stream's length is not known
-// when it begins.
+// NewHTTPCaller returns the Caller that writes one answer to w. The length of a stream is not
+// known when it begins.
 func NewHTTPCaller(w http.ResponseWriter, writeTimeout time.Duration, stream bool) *HTTPCaller {
 	return &HTTPCaller{w: w, rc: http.NewResponseController(w), writeTimeout: writeTimeout, stream: stream}
 }
@@ -34,8 +34,7 @@
 	if c.stream {
 		h.Del("Content-Length")
 	}
-	// Without these nil entries the server would add headers that the upstream
-	// did not send.
+	// Without these nil entries the server would add headers that the upstream did not send.
 	for _, name := range []string{"Content-Type", "Date"} {
 		if _, ok := h[name]; !ok {
 			h[name] = nil
@@ -45,8 +44,8 @@
 	return nil
 }
 
-// Piece implements Caller. A caller that takes nothing within the write timeout
-// is cut off, so that slow ones hold bounded memory.
+// Piece implements Caller. A caller that accepts nothing within the write timeout is disconnected,
+// so that slow callers hold bounded memory.
 func (c *HTTPCaller) Piece(b []byte) error {
 	if err := c.rc.SetWriteDeadline(time.Now().Add(c.writeTimeout)); err != nil {
 		return err
@@ -58,7 +57,7 @@
 // Flush implements Caller.
 func (c *HTTPCaller) Flush() error { return c.rc.Flush() }
 
-// FirstAfter is the time from a moment to the first piece, or 0 if there was none.
+// FirstAfter returns the time from start to the first piece, or 0 if there was none.
 func (c *HTTPCaller) FirstAfter(start time.Time) time.Duration {
 	if !c.began {
 		return 0
@@ -66,7 +65,7 @@
 	return c.first.Sub(start)
 }
 
-// Status is the status that was sent, or 0.
+// Status returns the status that was sent, or 0.
 func (c *HTTPCaller) Status() int { return c.status }
 
 // Began implements Caller.
--- a/serving/path.go
+++ b/serving/path.go
@@ -10,92 +10,93 @@
 	"github.com/arbutusmill/arbutusmill/directory"
 )
 
-// Upstreams chooses upstreams and speaks their dialect.
+// Upstreams chooses upstreams and sends requests to them in their protocol.
 type Upstreams interface {
-	// Pick chooses an upstream that was not tried, or none.
+	// Pick chooses an upstream that was not tried, and reports whether there is one.
 	Pick(r *Request, attempts []Attempt) (Target, bool)
-	// Limited is the refusal of a request for which Pick found none, if upstreams would have served it
-	// but for the requests a second that they take; nil otherwise.
+	// Limited returns the refusal of a request for which Pick found no upstream only because of
+	// the upstreams' rate limits; nil otherwise.
 	Limited(r *Request, attempts []Attempt) *contract.Refusal
-	// Send sends the request and passes the answer on. It returns when the answer
-	// has ended, one way or another, and never sends a second time.
+	// Send sends the request and passes the answer on. It returns when the answer has ended or
+	// failed, and never sends a second time.
 	Send(ctx context.Context, r *Request, t Target, out Caller) Attempt
 }
 
-// Target is the upstream that was chosen.
+// Target is a chosen upstream.
 type Target struct {
-	// Life is the upstream and its start.
+	// Life identifies the incarnation of the upstream.
 	Life directory.Life
 	// Address is host:port.
 	Address string
-	// FetchFrom is the address of an upstream that probably has more of the
-	// prompt cached, or "".
+	// FetchFrom is the address of an upstream that probably has more of the prompt cached, or "".
 	FetchFrom string
-	// Until bounds this attempt; it is before the request's own bound when
-	// another upstream may still be tried after it.
+	// Until is the deadline of this attempt. It is before the request's own deadline if another
+	// upstream may still be tried afterwards.
 	Until time.Time
-	// Event is called as each event of the answer arrives, or once with all of it.
+	// Event is called as each event of the answer arrives, or once with the complete answer.
 	Event func(now time.Time)
-	// Limit is called as soon as an answer of the upstream has begun, with how many requests a second
-	// it says that it takes from all routers together, 0 if it names no limit, or why that cannot be read.
+	// Limit is called as soon as an answer of the upstream has begun, with the upstream's limit in
+	// requests per second for all routers together, 0 if the answer names no limit, or the error
+	// of parsing it.
 	Limit func(perSecond float64, err error)
-	// Done is called once with the attempt, and returns it with what the chooser knows
-	// of it: what it expected, and how the stream paused.
+	// Done is called once with the attempt, and returns it with the chooser's data: its estimates
+	// and the pauses of the stream.
 	Done func(Attempt) Attempt
 }
 
-// Caller is the caller's side of an answer.
+// Caller receives the answer on behalf of the client.
 type Caller interface {
-	// Begin sends status and headers; it is called once, with the first piece.
+	// Begin sends status and headers; it is called once, before the first piece.
 	Begin(status int, header map[string][]string) error
-	// Piece sends bytes; they need not be on their way before Flush.
+	// Piece writes bytes; they may be buffered until Flush.
 	Piece(b []byte) error
 	Flush() error
 	// Began reports whether Begin was called.
 	Began() bool
-	// LastEvent is the id of the last whole event that was sent, or "".
+	// LastEvent returns the id of the last complete event that was sent, or "".
 	LastEvent() string
-	// SetLastEvent notes it.
+	// SetLastEvent records the id of the last complete event.
 	SetLastEvent(id string)
 }
 
-// Budgets sets tokens aside before a request may run.
+// Budgets reserves tokens before a request may run.
 type Budgets interface {
-	// Reserve sets the request's worst case aside; settle must be called once
-	// with what was used.
+	// Reserve reserves the request's maximum usage; settle must be called once with the tokens
+	// used.
 	Reserve(ctx context.Context, r *Request) (settle func(used int64), refusal *contract.Refusal)
 }
 
-// Repeats bounds the sends beyond the first of each request.
+// Repeats is the retry budget: it limits the sends beyond the first of each request.
 type Repeats interface {
-	// Request counts a request of a service.
+	// Request counts a request to a service.
 	Request(service string)
-	// Allow reports whether one more send of the request is within the bound, and
-	// counts it.
+	// Allow reports whether the budget permits one more send of the request, and counts it.
 	Allow(r *Request) bool
 }
 
-// Poison keeps prompts that end upstreams from being sent again.
+// Poison prevents repeated sends of prompts that crash upstreams.
 type Poison interface {
-	// Refuse is asked before each send; nil lets the request be sent.
+	// Refuse is called before each send; nil permits the send.
 	Refuse(ctx context.Context, r *Request) *contract.Refusal
-	// Proven is the final refusal of a prompt that is known to end upstreams, nil of others.
+	// Proven returns the final refusal of a prompt that is proven to crash upstreams, nil for
+	// other prompts.
 	Proven(r *Request) *contract.Refusal
-	// Broke is told when the connection to an upstream broke under the last of a request's
-	// attempts. Unless it was the first one under its prompt, Broke returns when Refuse knows.
+	// Broke is called when the connection to an upstream broke during the last of a request's
+	// attempts. Unless it was the first break for its prompt, Broke returns after Refuse takes it
+	// into account.
 	Broke(ctx context.Context, r *Request, attempts []Attempt)
-	// Answered is told that a request was answered.
+	// Answered is called when a request was answered.
 	Answered(r *Request)
-	// Sending is told of each send. The context that it returns ends with ErrRecalled as its cause if
-	// the request's prompt is found to end upstreams, unless began was called before, with the first
-	// piece of the answer. done is called when the send has ended.
+	// Sending is called for each send. The returned context is canceled with the cause ErrRecalled
+	// if the request's prompt is found to crash upstreams, unless began was called before, with
+	// the first piece of the answer. done is called when the send has ended.
 	Sending(ctx context.Context, r *Request) (sending context.Context, began, done func())
 }
 
-// ErrRecalled is why a send ended: its prompt was found to end upstreams.
-var ErrRecalled = errors.New("the prompt was found to end upstreams")
+// ErrRecalled is the cause of a canceled send whose prompt was found to crash upstreams.
+var ErrRecalled = errors.New("the prompt was found to crash upstreams")
 
-// Path is the path of requests.
+// Path serves requests: it reserves tokens, sends to upstreams and retries.
 type Path struct {
 	Upstreams Upstreams
 	Budgets   Budgets
@@ -106,13 +107,13 @@
 	Now func() time.Time
 }
 
-// Serve takes a request to its end. The caller of Serve sends the refusal, if there is
-// one, or breaks the connection of an answer that was cut.
+// Serve processes a request to its end. The caller of Serve sends the refusal, if there is one, or
+// closes the connection of a truncated answer.
 func (p *Path) Serve(ctx context.Context, r *Request, out Caller) End {
 	ctx, cancel := context.WithDeadline(ctx, r.Until)
 	defer cancel()
 	p.Repeats.Request(r.Service.Name)
-	if refused := p.poisoned(ctx, r); refused != nil {
+	if refused := p.refusePoisoned(ctx, r); refused != nil {
 		return End{Refusal: refused}
 	}
 	settle, refused := p.Budgets.Reserve(ctx, r)
@@ -120,29 +121,29 @@
 		return End{Refusal: refused}
 	}
 	end := p.run(ctx, r, out)
-	end.Used = used(r, end.Attempts)
+	end.Used = chargedTokens(r, end.Attempts)
 	settle(end.Used)
 	return end
 }
 
-// run sends the request until it has its answer or nothing more is allowed.
+// run sends the request until it is answered or no further send is allowed.
 func (p *Path) run(ctx context.Context, r *Request, out Caller) End {
 	var attempts []Attempt
 	for {
 		target, ok := p.Upstreams.Pick(r, attempts)
 		if !ok {
-			return p.end(r, attempts, out)
+			return p.finish(r, attempts, out)
 		}
 		attempts = append(attempts, target.Done(p.send(ctx, r, target, out)))
-		p.learn(ctx, r, attempts)
-		v := decide(r, attempts, p.Now())
-		if !v.again || p.poisoned(ctx, r) != nil || v.counted && !p.Repeats.Allow(r) {
-			return p.end(r, attempts, out)
+		p.recordOutcome(ctx, r, attempts)
+		v := decideRetry(r, attempts, p.Now())
+		if !v.retry || p.refusePoisoned(ctx, r) != nil || v.countsAsRetry && !p.Repeats.Allow(r) {
+			return p.finish(r, attempts, out)
 		}
 	}
 }
 
-// send sends the request once, so that it can be recalled until its answer begins.
+// send sends the request once. The send can be recalled until its answer begins.
 func (p *Path) send(ctx context.Context, r *Request, t Target, out Caller) Attempt {
 	if p.Poison == nil || out.Began() {
 		return p.Upstreams.Send(ctx, r, t, out)
@@ -157,16 +158,16 @@
 	return p.Upstreams.Send(ctx, r, t, out)
 }
 
-// poisoned is the refusal of a prompt that must not be sent now.
-func (p *Path) poisoned(ctx context.Context, r *Request) *contract.Refusal {
+// refusePoisoned returns the refusal of a prompt that must not be sent now.
+func (p *Path) refusePoisoned(ctx context.Context, r *Request) *contract.Refusal {
 	if p.Poison == nil {
 		return nil
 	}
 	return p.Poison.Refuse(ctx, r)
 }
 
-// learn tells what the last attempt says of the request's prompt.
-func (p *Path) learn(ctx context.Context, r *Request, attempts []Attempt) {
+// recordOutcome reports the last attempt's evidence on the request's prompt to Poison.
+func (p *Path) recordOutcome(ctx context.Context, r *Request, attempts []Attempt) {
 	last := attempts[len(attempts)-1]
 	switch {
 	case p.Poison == nil:
@@ -177,15 +178,15 @@
 	}
 }
 
-// refusal names how a request without an answer ended.
-func (p *Path) refusal(r *Request, attempts []Attempt) *contract.Refusal {
+// finalRefusal returns the refusal of a request without an answer.
+func (p *Path) finalRefusal(r *Request, attempts []Attempt) *contract.Refusal {
 	hit := slices.ContainsFunc(attempts, func(a Attempt) bool { return a.Break != nil || a.Recalled })
 	if hit && p.Poison != nil {
 		if proven := p.Poison.Proven(r); proven != nil {
 			return proven
 		}
 	}
-	named := refusal(r, attempts, p.Now())
+	named := refusalFor(r, attempts, p.Now())
 	if named.Kind == contract.NoUpstream {
 		if limited := p.Upstreams.Limited(r, attempts); limited != nil {
 			return limited
@@ -194,8 +195,8 @@
 	return named
 }
 
-// end passes on the best of what there is.
-func (p *Path) end(r *Request, attempts []Attempt, out Caller) End {
+// finish passes on the most useful of the available answers and refusals.
+func (p *Path) finish(r *Request, attempts []Attempt, out Caller) End {
 	e := End{Attempts: attempts}
 	if n := len(attempts); n > 0 {
 		last := attempts[n-1]
@@ -207,17 +208,17 @@
 		e.Cut = true
 		return e
 	}
-	if a := failure(attempts); a != nil {
+	if a := failureAnswer(attempts); a != nil {
 		e.Cut = a.Pass(out) != nil
 		return e
 	}
-	e.Refusal = p.refusal(r, attempts)
+	e.Refusal = p.finalRefusal(r, attempts)
 	return e
 }
 
-// failure is the upstream's own failure that the caller gets. It is the last one of a
-// run, and only if no later run may have gone on: then the outcome is not known.
-func failure(attempts []Attempt) *Answer {
+// failureAnswer returns the upstream's failure response that the caller gets: that of the last
+// run, and only if no later run may have continued, since the outcome is unknown then.
+func failureAnswer(attempts []Attempt) *Answer {
 	for i := len(attempts) - 1; i >= 0; i-- {
 		a := attempts[i]
 		if a.Answer != nil {
--- a/serving/request.go
+++ b/serving/request.go
@@ -1,6 +1,6 @@
-// Package serving is the path of one request through a router: set tokens aside, choose
-// an upstream, send, decide what a failure allows, and end with the whole answer or a
-// true refusal. What callers and upstreams speak stands behind small interfaces.
+// Package serving processes one request in a router: it reserves tokens, chooses an upstream,
+// sends the request, decides on retries, and ends with the complete answer or an accurate refusal.
+// The protocols of callers and upstreams are behind small interfaces.
 package serving
 
 import (
@@ -11,9 +11,9 @@
 	"github.com/arbutusmill/arbutusmill/prefill"
 )
 
-// Request is one request of a caller, as far as the path needs to know it.
+// Request is one request of a caller.
 type Request struct {
-	// ID names the request; every send carries it.
+	// ID identifies the request; every send carries it.
 	ID string
 	// Team is empty on public routes without a key.
 	Team string
@@ -21,11 +21,11 @@
 	Prepaid int64
 	Route   *catalog.Route
 	Service catalog.Service
-	// Version is that of the configuration that decided the fields above.
+	// Version is the version of the configuration that determined the fields above.
 	Version int64
 	// Rank is the priority; 0 goes first.
 	Rank int
-	// Regions are those in which it may be served.
+	// Regions are the regions in which the request may be served.
 	Regions catalog.Regions
 
 	Method string
@@ -35,12 +35,12 @@
 	Header http.Header
 	Body   []byte
 
-	// Arrived is when the request's headers were read.
+	// Arrived is the time at which the request's headers were read.
 	Arrived time.Time
-	// Until is when the caller or the route stops waiting, whichever is first.
+	// Until is the deadline of the caller or the route, whichever is earlier.
 	Until time.Time
 
-	// Prompt and MaxOutput are tokens; both are 0 for plain services.
+	// Prompt and MaxOutput are in tokens; both are 0 for plain services.
 	Prompt    int64
 	MaxOutput int64
 	Parts     []prefill.Part
@@ -48,17 +48,17 @@
 	LastEvent string
 }
 
-// Worst is the most tokens that the request can use. A run that broke off may have
-// produced output that is not known here, so each further run counts its own.
+// Worst returns the maximum number of tokens that the request can use. An interrupted run may have
+// produced unrecorded output, so each further run counts its own.
 func (r *Request) Worst() int64 {
 	if r.Prompt+r.MaxOutput == 0 {
 		return 0
 	}
-	return r.Prompt + r.MaxOutput*int64(r.runs())
+	return r.Prompt + r.MaxOutput*int64(r.maxRuns())
 }
 
-// runs is the most upstreams on which the request may begin to work.
-func (r *Request) runs() int {
+// maxRuns is the maximum number of upstreams on which the request may start.
+func (r *Request) maxRuns() int {
 	if !r.Route.Idempotent() {
 		return 1
 	}
