--- a/ratelimit/known.go
+++ b/ratelimit/known.go
@@ -1,37 +1,40 @@
-// Package ratelimit holds what an upstream is sent to the rate that it names in its answers: the
-// requests a second that it takes from all routers together, for as long as it says so.
+// Package ratelimit keeps the requests sent to an upstream within the limit that it names in its
+// answers: the requests per second that it accepts from all routers together, for as long as it
+// names it.
 //
-// Routers do not hear of each other's requests. So one process counts for each upstream where
-// there is one beside it, to which each prompt is announced; it gives leave for each (Limiter).
-// Where there is none, a few routers share the rate (Share).
+// Routers do not exchange their request counts. If an upstream has a lender on its VM, all prompts
+// are announced there, and the lender counts them and grants a permit for each (Limiter).
+// Otherwise a few routers share the limit (Share).
 package ratelimit
 
 import "math/rand/v2"
 
-// Mark tells states of what is known of one upstream's limit apart. One process's marks are of one
-// source; 0 is a router's own. They are compared for being the same only: processes' clocks differ.
+// Mark identifies a state of the information on one upstream's limit. All marks of one process
+// have the same source; source 0 marks a router's own state. Marks of different sources have no
+// order, since clocks of processes differ.
 type Mark struct {
 	Source int64 `json:"source,omitempty"`
 	Number int64 `json:"number,omitempty"`
 }
 
-// Known is a limit in requests a second, 0 for none, and the state in which it is known.
+// Known is a limit in requests per second, 0 for none, and the mark of the state in which it was
+// recorded.
 type Known struct {
 	PerSecond float64 `json:"per_second,omitempty"`
 	Mark      Mark    `json:"mark,omitzero"`
 }
 
-// Word is what one answer said of the limit.
+// Word is the limit that one answer named.
 type Word struct {
 	PerSecond float64 `json:"per_second,omitempty"`
-	// Under is what was known when the answer's request was let go.
+	// Under is the mark that was current when the answer's request was permitted.
 	Under Mark `json:"under,omitzero"`
 }
 
-// hear takes in a word, and reports whether it changed the limit. Answers overtake each other: one
-// whose request was let go before the limit that is known now may have been given before that
-// was named. It can only make the limit stricter.
-func (k *Known) hear(w Word) bool {
+// apply applies the limit named by an answer and reports whether that changed the limit. Answers
+// may arrive out of order: one whose request was permitted under an earlier mark may have been
+// given before the current limit was named. It can only make the limit stricter.
+func (k *Known) apply(w Word) bool {
 	switch {
 	case w.PerSecond == k.PerSecond:
 		return false
@@ -43,8 +46,9 @@
 	return true
 }
 
-// stricter reports whether a limit allows less than another; 0 is none.
+// stricter reports whether limit a allows less than limit b; 0 is no limit.
 func stricter(a, b float64) bool { return a > 0 && (b == 0 || a < b) }
 
-// newSource makes the source of a process's marks, or of those that follow a restart of its upstream.
+// newSource returns a random source for the marks of a process, or for those after a restart of
+// its upstream.
 func newSource() int64 { return 1 + rand.Int64N(1<<62) }
--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -3,33 +3,35 @@
 import "time"
 
 const (
-	// burstSeconds is the time whose requests may come at once after a pause, beside one.
+	// burstSeconds is the duration whose requests may be sent as a burst after a pause, in
+	// addition to one request.
 	burstSeconds = 0.5
-	// ranks is the number of priorities that are told apart; 0 goes first.
-	ranks = 10
-	// holdRequests and mostHold bound for how long less urgent requests yield after a more urgent
-	// one was turned away: it is told to come back within the time of that many requests.
-	holdRequests = 2
-	mostHold     = 4 * time.Second
+	// numRanks is the number of distinct priorities; 0 is the most urgent.
+	numRanks = 10
+	// yieldRequests and maxYield limit how long less urgent requests yield after a more urgent one
+	// was denied: its client is told to retry within the time of yieldRequests requests.
+	yieldRequests = 2
+	maxYield      = 4 * time.Second
 )
 
-// Limiter counts the requests to one upstream and lets through what its limit allows. While no limit
-// is known it lets all through. It is not safe for concurrent use. The zero value is a router's own.
+// Limiter is a token bucket for the requests to one upstream. While no limit is known it permits
+// all requests. It is not safe for concurrent use. The zero value is for a router.
 type Limiter struct {
 	known Known
-	// level is how many requests may go at once, as of at.
-	level float64
-	at    time.Time
-	// turnedAway is when a request of a rank was last turned away.
-	turnedAway [ranks]time.Time
-	// own is the number of the last mark of a router's own.
-	own int64
+	// tokens is the number of requests that may be sent at once, as of filledAt.
+	tokens   float64
+	filledAt time.Time
+	// lastDenied is the time at which a request of each rank was last denied.
+	lastDenied [numRanks]time.Time
+	// ownMarks is the number of the last mark that a router created itself.
+	ownMarks int64
 }
 
-// NewLimiter makes the limiter of the process that counts for an upstream, which knows of no limit.
+// NewLimiter returns the limiter of the process that counts all requests to an upstream, without a
+// limit.
 func NewLimiter() Limiter { return Limiter{known: Known{Mark: Mark{Source: newSource()}}} }
 
-// Known is what is known; the zero value as long as no limit ever was.
+// Known returns the current limit and its mark; the zero value until a limit has been named.
 func (l *Limiter) Known() Known {
 	if l.known.Mark.Number == 0 {
 		return Known{}
@@ -37,31 +39,32 @@
 	return l.known
 }
 
-// Limited reports whether a limit is known.
+// Limited reports whether there is a limit.
 func (l *Limiter) Limited() bool { return l.known.PerSecond > 0 }
 
-// Hear takes in what an answer said, and reports whether that changed the limit.
+// Hear applies the limit named by an answer and reports whether that changed the limit.
 func (l *Limiter) Hear(now time.Time, w Word) bool {
 	was := l.known.PerSecond
-	if !l.known.hear(w) {
+	if !l.known.apply(w) {
 		return false
 	}
-	l.changed(now, was)
+	l.resetIfNew(now, was)
 	return true
 }
 
-// HearOwn is Hear at a router, whose marks must not be taken for those of the process that counts.
+// HearOwn is Hear at a router, whose marks must differ from those of the process that counts all
+// requests.
 func (l *Limiter) HearOwn(now time.Time, w Word) bool {
 	if !l.Hear(now, w) {
 		return false
 	}
-	l.own++
-	l.known.Mark = Mark{Number: l.own}
+	l.ownMarks++
+	l.known.Mark = Mark{Number: l.ownMarks}
 	return true
 }
 
-// Believed takes in what a router believes. It tells a process that has just started of a limit;
-// what this process told itself is no news.
+// Believed applies the limit that a router reports, so that a process that has just started learns
+// it. Reports that originate from this process are ignored.
 func (l *Limiter) Believed(now time.Time, by Known) bool {
 	if by.PerSecond == 0 || by.Mark.Source == l.known.Mark.Source {
 		return false
@@ -69,93 +72,94 @@
 	return l.Hear(now, Word{PerSecond: by.PerSecond})
 }
 
-// Adopt takes what the process that counts knows, and reports whether that changed the limit.
+// Adopt replaces the state by that of the process that counts all requests, and reports whether
+// that changed the limit.
 func (l *Limiter) Adopt(now time.Time, k Known) bool {
 	if k.Mark.Source == l.known.Mark.Source && k.Mark.Number < l.known.Mark.Number {
-		return false // told late
+		return false // outdated
 	}
 	was := l.known.PerSecond
 	l.known = k
 	if was == k.PerSecond {
 		return false
 	}
-	l.changed(now, was)
+	l.resetIfNew(now, was)
 	return true
 }
 
-// changed begins to count where none was: a fresh limit allows nothing at once, since what the
-// upstream got just before was not counted.
-func (l *Limiter) changed(now time.Time, was float64) {
+// resetIfNew empties the bucket if there was no limit before: a new limit permits no burst, since
+// the requests sent just before were not counted.
+func (l *Limiter) resetIfNew(now time.Time, was float64) {
 	if was == 0 {
-		l.level, l.at = 0, now
+		l.tokens, l.filledAt = 0, now
 	}
 }
 
-// fill adds what has come free since the last look. share is the part of the limit that is this process's.
+// fill refills the bucket and returns the rate. share is this process's part of the limit.
 func (l *Limiter) fill(now time.Time, share float64) (rate float64) {
 	rate = l.known.PerSecond * share
-	l.level = min(most(rate), l.level+rate*max(0, now.Sub(l.at).Seconds()))
-	l.at = now
+	l.tokens = min(burst(rate), l.tokens+rate*max(0, now.Sub(l.filledAt).Seconds()))
+	l.filledAt = now
 	return rate
 }
 
-// most is how many requests may go at once at a rate.
-func most(rate float64) float64 { return 1 + rate*burstSeconds }
+// burst returns the capacity of the bucket at a rate.
+func burst(rate float64) float64 { return 1 + rate*burstSeconds }
 
-// Room reports whether a request of a rank may go now.
+// Room reports whether a request of a rank may be sent now.
 func (l *Limiter) Room(now time.Time, share float64, rank int) bool {
 	if !l.Limited() {
 		return true
 	}
 	rate := l.fill(now, share)
-	return l.level >= 1 && l.yields(now, rate, rank) == 0
+	return l.tokens >= 1 && l.yieldFor(now, rate, rank) == 0
 }
 
-// yields is how long a request of a rank still leaves what comes free to a more urgent one that was
-// turned away.
-func (l *Limiter) yields(now time.Time, rate float64, rank int) (left time.Duration) {
-	hold := mostHold
+// yieldFor returns how long a request of a rank must still yield to more urgent ones that were
+// denied.
+func (l *Limiter) yieldFor(now time.Time, rate float64, rank int) (left time.Duration) {
+	limit := maxYield
 	if rate > 0 {
-		hold = min(hold, time.Duration(holdRequests/rate*float64(time.Second)))
+		limit = min(limit, time.Duration(yieldRequests/rate*float64(time.Second)))
 	}
-	for _, at := range l.turnedAway[:index(rank)] {
+	for _, at := range l.lastDenied[:clampRank(rank)] {
 		if !at.IsZero() {
-			left = max(left, at.Add(hold).Sub(now))
+			left = max(left, at.Add(limit).Sub(now))
 		}
 	}
 	return left
 }
 
-// Take lets a request of a rank through and counts it, or turns it away.
+// Take permits and counts a request of a rank, or denies it.
 func (l *Limiter) Take(now time.Time, share float64, rank int) bool {
 	if !l.Room(now, share, rank) {
-		l.turnedAway[index(rank)] = now
+		l.lastDenied[clampRank(rank)] = now
 		return false
 	}
 	if l.Limited() {
-		l.level--
+		l.tokens--
 	}
 	return true
 }
 
-// Return takes a request back that was let through and went elsewhere.
+// Return gives back the permit of a request that was sent elsewhere.
 func (l *Limiter) Return(share float64) {
 	if l.Limited() {
-		l.level = min(most(l.known.PerSecond*share), l.level+1)
+		l.tokens = min(burst(l.known.PerSecond*share), l.tokens+1)
 	}
 }
 
-// Next is in how long there may be room for one more request of a rank; 0 if it can't be told.
+// Next returns the time until one more request of a rank may be permitted; 0 if unknown.
 func (l *Limiter) Next(now time.Time, share float64, rank int) time.Duration {
 	rate := l.fill(now, share)
 	if rate <= 0 {
 		return 0
 	}
-	fills := min(max(0, 1-l.level)/rate, mostNext.Seconds())
-	return max(time.Millisecond, time.Duration(fills*float64(time.Second)), l.yields(now, rate, rank))
+	refill := min(max(0, 1-l.tokens)/rate, maxNext.Seconds())
+	return max(time.Millisecond, time.Duration(refill*float64(time.Second)), l.yieldFor(now, rate, rank))
 }
 
-// mostNext bounds what Next tells, for limits near 0.
-const mostNext = time.Minute
+// maxNext limits the result of Next, for limits close to 0.
+const maxNext = time.Minute
 
-func index(rank int) int { return min(max(rank, 0), ranks-1) }
+func clampRank(rank int) int { return min(max(rank, 0), numRanks-1) }
--- a/ratelimit/limiter_test.go
+++ b/ratelimit/limiter_test.go
@@ -11,16 +11,16 @@
 
 var start = time.Unix(1000, 0)
 
-// at is a moment of a test, in seconds.
+// at returns the time s seconds after start.
 func at(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
 
-// span is the time in which the requests to an upstream are counted.
+// span is the window in which the requests to an upstream are counted.
 const span = 4 * time.Second
 
-// mostIn is how many requests an upstream with a limit may get in a span.
-func mostIn(perSecond float64) int { return int(1.5*perSecond*span.Seconds() + 5) }
+// maxInSpan is the maximum number of requests that an upstream with a limit may receive in a span.
+func maxInSpan(perSecond float64) int { return int(1.5*perSecond*span.Seconds() + 5) }
 
-// busiest is the most moments within one span; they are sorted.
+// busiest returns the maximum number of the sorted times within one span.
 func busiest(times []time.Time) (most int) {
 	first := 0
 	for last, t := range times {
@@ -32,15 +32,15 @@
 	return most
 }
 
-// limited is a limiter that has just heard of a limit.
+// limited returns a limiter with a limit that was just named.
 func limited(perSecond float64) *Limiter {
 	g := NewLimiter()
 	g.Hear(start, Word{PerSecond: perSecond, Under: g.Known().Mark})
 	return &g
 }
 
-// Guards against more than the bound in any span, whatever the load, with requests that went elsewhere
-// after all and limits that change.
+// Guards against more requests than the bound in any span, whatever the load, with requests that
+// were sent elsewhere and limits that change.
 func TestLimiterKeepsTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := rapid.SampledFrom([]float64{0.2, 0.7, 1, 3, 10, 50})
@@ -48,14 +48,14 @@
 		changes := rapid.Bool().Draw(t, "the limit changes")
 		g := limited(perSecond)
 		now, most := start, perSecond
-		var went []time.Time
+		var sent []time.Time
 		for range rapid.IntRange(50, 800).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 60).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 30).Draw(t, "what") {
 			case 0:
-				if len(went) > 0 && now.Sub(went[len(went)-1]) < 100*time.Millisecond {
+				if len(sent) > 0 && now.Sub(sent[len(sent)-1]) < 100*time.Millisecond {
 					g.Return(1)
-					went = went[:len(went)-1]
+					sent = sent[:len(sent)-1]
 				}
 			case 1:
 				now = now.Add(time.Duration(rapid.IntRange(0, 6000).Draw(t, "pause ms")) * time.Millisecond)
@@ -68,69 +68,73 @@
 				most = max(most, next)
 			default:
 				if g.Take(now, 1, rapid.IntRange(0, 3).Draw(t, "rank")) {
-					went = append(went, now)
+					sent = append(sent, now)
 				}
 			}
 		}
-		require.LessOrEqual(t, busiest(went), mostIn(most))
+		require.LessOrEqual(t, busiest(sent), maxInSpan(most))
 	})
 }
 
-// Guards against a limit whose room is left unused.
-func TestLimiterLetsThroughWhatTheLimitAllows(t *testing.T) {
+// Guards against a limit that is not used in full.
+func TestLimiterUsesTheWholeLimit(t *testing.T) {
 	for _, perSecond := range []float64{0.2, 1, 5, 50} {
 		g := limited(perSecond)
-		went := 0
+		sent := 0
 		const seconds = 60
 		for n := range seconds * 100 {
 			if g.Take(at(float64(n)/100), 1, 0) {
-				went++
+				sent++
 			}
 		}
-		require.InDelta(t, perSecond*seconds, went, 2)
+		require.InDelta(t, perSecond*seconds, sent, 2)
 	}
 }
 
-// Guards against a burst at the moment in which a limit becomes known, when the upstream may just have got many.
-func TestFreshLimitAllowsNothingAtOnce(t *testing.T) {
+// Guards against a burst when a limit becomes known: the upstream may just have received many
+// requests.
+func TestNewLimitAllowsNoBurst(t *testing.T) {
 	g := limited(2)
 	require.False(t, g.Take(start, 1, 0))
 	require.Equal(t, 500*time.Millisecond, g.Next(start, 1, 0))
 	require.True(t, g.Take(at(0.5), 1, 0))
 	require.False(t, g.Take(at(0.6), 1, 0))
-	require.Zero(t, g.Next(at(0.6), 0, 0), "without a share nobody can tell")
-	require.Equal(t, mostNext, limited(1e-9).Next(start, 1, 0))
+	require.Zero(t, g.Next(at(0.6), 0, 0), "unknown without a share")
+	require.Equal(t, maxNext, limited(1e-9).Next(start, 1, 0))
 }
 
-// Guards against urgent requests that wait while others use what comes free.
+// Guards against urgent requests that wait while less urgent ones use the capacity that becomes
+// free.
 func TestLessUrgentRequestsYield(t *testing.T) {
 	g := limited(1)
-	require.False(t, g.Take(at(0.5), 1, 1), "turned away")
-	require.False(t, g.Take(at(1), 1, 2), "yields to it")
+	require.False(t, g.Take(at(0.5), 1, 1), "denied")
+	require.False(t, g.Take(at(1), 1, 2), "yields to the denied request")
 	require.Equal(t, 1500*time.Millisecond, g.Next(at(1), 1, 2))
 	require.Equal(t, time.Millisecond, g.Next(at(1), 1, 1))
-	require.True(t, g.Take(at(1.1), 1, 1), "it came back")
+	require.True(t, g.Take(at(1.1), 1, 1), "the denied request is retried")
 	require.False(t, g.Take(at(2.2), 1, 2))
-	require.True(t, g.Take(at(2.6), 1, 2), "no more urgent one came back")
+	require.True(t, g.Take(at(2.6), 1, 2), "no more urgent request was retried")
 }
 
-// Guards against an answer that was given before the limit was named and lifts it since it arrives after that.
-func TestOldAnswersLiftNoLimit(t *testing.T) {
+// Guards against lifting a limit because of an answer that was given before the limit was named
+// and arrives after it.
+func TestDelayedAnswersDoNotLiftTheLimit(t *testing.T) {
 	g := NewLimiter()
 	before := g.Known().Mark
 	require.True(t, g.Hear(start, Word{PerSecond: 3, Under: before}))
-	require.False(t, g.Hear(start, Word{Under: before}), "let go before, answered before")
+	require.False(t, g.Hear(start, Word{Under: before}), "permitted and answered before the limit was named")
 	require.False(t, g.Hear(start, Word{PerSecond: 9, Under: before}))
-	require.True(t, g.Hear(start, Word{PerSecond: 1, Under: before}), "stricter, so it is taken")
+	require.True(t, g.Hear(start, Word{PerSecond: 1, Under: before}), "a stricter limit is applied")
 	now := g.Known().Mark
 	require.False(t, g.Hear(start, Word{PerSecond: 1, Under: now}))
 	require.True(t, g.Hear(start, Word{PerSecond: 2, Under: now}))
-	require.True(t, g.Hear(start, Word{Under: g.Known().Mark}), "let go after it was named, and names none")
+	require.True(t, g.Hear(start, Word{Under: g.Known().Mark}), "permitted after the limit was named, and names none")
 	require.True(t, g.Take(start, 1, 9))
 }
 
-// Guards against a process that counts and has just started, which lets all through until it hears of the limit itself.
-func TestProcessThatStartsIsToldOfTheLimit(t *testing.T) {
+// Guards against a restarted process that permits all requests until an answer names the limit
+// again.
+func TestRestartedProcessLearnsTheLimitFromRouters(t *testing.T) {
 	old, anew := limited(1), NewLimiter()
 	var router Limiter
 	require.True(t, router.Adopt(start, old.Known()))
@@ -138,28 +142,28 @@
 	require.False(t, anew.Take(start, 1, 0))
 	router.Adopt(start, anew.Known())
 	require.True(t, anew.Hear(start, Word{Under: anew.Known().Mark}))
-	require.False(t, anew.Believed(start, router.Known()), "its own word, told before the limit ended")
+	require.False(t, anew.Believed(start, router.Known()), "its own limit, reported before it was lifted")
 	require.True(t, router.Adopt(start, anew.Known()))
 	require.False(t, router.Limited())
 }
 
-// Guards against a router's own marks that pass for those of the process that counts.
-func TestOwnMarksOfRouters(t *testing.T) {
+// Guards against taking a router's own marks for those of the process that counts all requests.
+func TestRouterMarksAreNotTheCountingProcessMarks(t *testing.T) {
 	counts := limited(1)
 	var router Limiter
 	router.Adopt(start, counts.Known())
 	early := counts.Known()
 	require.True(t, router.HearOwn(start, Word{PerSecond: 2, Under: router.Known().Mark}))
 	require.Zero(t, router.Known().Mark.Source)
-	require.False(t, counts.Hear(start, Word{Under: router.Known().Mark}), "the process that counts does not know the mark")
+	require.False(t, counts.Hear(start, Word{Under: router.Known().Mark}), "the mark is not one of the process that counts")
 	counts.Hear(start, Word{PerSecond: 3, Under: counts.Known().Mark})
 	require.True(t, router.Adopt(start, counts.Known()))
-	require.False(t, router.Adopt(start, early), "told late")
+	require.False(t, router.Adopt(start, early), "outdated")
 	require.Equal(t, 3.0, router.Known().PerSecond)
 }
 
-// Guards against routers whose shares, with what they may send at once, pass the bound, however many
-// there are and while some start anew.
+// Guards against routers whose shares, including bursts, exceed the bound, for any number of
+// routers and while some restart.
 func TestSharesKeepTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		perSecond := rapid.SampledFrom([]float64{0.2, 1, 5, 20, 50}).Draw(t, "limit")
@@ -170,7 +174,7 @@
 			limiters[i] = limited(perSecond)
 			listed[i] = start.Add(-time.Hour)
 		}
-		var went []time.Time
+		var sent []time.Time
 		for n := range 1200 {
 			now := at(float64(n) / 100)
 			if n > 0 && n%int(span.Seconds()*100) == 0 {
@@ -179,16 +183,16 @@
 			}
 			for i, g := range limiters {
 				if g.Take(now, Share(i, routers, now.Sub(listed[i]), perSecond), 0) {
-					went = append(went, now)
+					sent = append(sent, now)
 				}
 			}
 		}
-		require.LessOrEqual(t, busiest(went), mostIn(perSecond))
+		require.LessOrEqual(t, busiest(sent), maxInSpan(perSecond))
 	})
 }
 
 func TestShares(t *testing.T) {
-	require.Zero(t, Share(0, 4, shareAfter-1, 1), "an earlier life may just have used it")
+	require.Zero(t, Share(0, 4, minListedTime-1, 1), "an earlier incarnation may just have used it")
 	require.Zero(t, Share(-1, 4, time.Hour, 1), "not listed")
 	require.Equal(t, 1.0, Share(0, 1, time.Hour, 1))
 	require.Zero(t, Share(99, 100, time.Hour, 1))
--- a/ratelimit/main_test.go
+++ b/ratelimit/main_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// seed makes each run of the properties the same. -rapid.seed=N looks elsewhere.
+// seed makes property tests reproducible. -rapid.seed=N overrides it.
 const seed = "20261204"
 
-// checks is the number of plays of a property.
+// checks is the number of cases per property.
 const checks = "300"
 
 func TestMain(m *testing.M) {
