--- a/directory/directory.go
+++ b/directory/directory.go
@@ -1,5 +1,5 @@
-// Package directory is the list of live upstreams as a process believes it, made from
-// the entries that upstreams keep in the store.
+// Package directory maintains a process's list of live upstreams, from the entries that upstreams
+// keep in the store.
 package directory
 
 import (
@@ -13,53 +13,53 @@
 	"github.com/arbutusmill/arbutusmill/coord/store"
 )
 
-// Upstream is one life of an upstream process, by its entry.
+// Upstream is one incarnation of an upstream process, as described by its entry.
 type Upstream struct {
 	Life
 	Service    string
 	Address    string
 	Datacentre string
 	Slots      int
-	// Leaving upstreams get no new work.
+	// Leaving upstreams are draining and get no new requests.
 	Leaving bool
-	// Cold is how much longer the upstream was cold when it wrote its entry, ColdUntil when that
-	// ends by the clock here; the directory fills it in. A cold upstream has just started, is
-	// slow, and ends if it is sent much.
+	// Cold is the remaining cold time when the upstream wrote its entry; ColdUntil is its end by
+	// the local clock, set by the directory. A cold upstream has just started, is slow, and
+	// crashes under high load.
 	Cold      time.Duration
 	ColdUntil time.Time
-	// Returned is when its data centre was last taken back from being emptied, zero if it was
-	// not; the directory fills it in. An upstream there may be cold without having said so.
+	// Returned is the time at which the drain of its data centre was last canceled, zero if it
+	// never was; set by the directory. Upstreams there may be cold although their entries do not
+	// say so.
 	Returned time.Time
 }
 
-// lapseGrace is how long entries that vanished around an outage of the store are
-// believed. Entries lapse while their owners cannot renew them, and the platform
-// promises that living ones are back about two seconds after the store's return; to
-// drop them at once would turn away everything until then.
-const lapseGrace = 2200 * time.Millisecond
+// missingGrace is how long entries that disappeared around an outage of the store are kept. Leases
+// expire while their owners cannot renew them, and the platform guarantees that live owners
+// register again about two seconds after the store's return. Dropping the entries at once would
+// cause all requests to be refused until then.
+const missingGrace = 2200 * time.Millisecond
 
-// Reporter hears what a directory learns.
+// Reporter receives the changes of a directory.
 type Reporter interface {
-	// UpstreamChanged is called for each entry that is new or changed.
+	// UpstreamChanged is called for each new or changed entry.
 	UpstreamChanged(u Upstream)
-	// UpstreamMissing is called when an entry is not there any more after the store could not
-	// be reached. The upstreams that are missing are believed to live for a while, or not: that
-	// depends on how many entries are missing and how many outlived the loss.
-	UpstreamMissing(u Upstream, believed bool, missing, kept int)
-	// UpstreamGone is called when an entry is believed no longer.
+	// UpstreamMissing is called when an entry is missing after the store could not be reached.
+	// live reports whether the missing upstreams are treated as live for a while, which depends on
+	// the number of entries that are missing and that survived the loss.
+	UpstreamMissing(u Upstream, live bool, missing, kept int)
+	// UpstreamGone is called when an upstream is no longer treated as live.
 	UpstreamGone(u Upstream, why string)
-	// DirectoryLost and DirectoryRead say that the entries are not followed, and
-	// that they were read afresh.
+	// DirectoryLost is called when the watch of the entries fails, DirectoryRead when all of them
+	// were read again.
 	DirectoryLost(err error)
 	DirectoryRead(count int)
-	// UpstreamUnreadable is called for an entry that cannot be decoded, once for each
-	// revision of it.
+	// UpstreamUnreadable is called once for each revision of an entry that cannot be decoded.
 	UpstreamUnreadable(err error)
 }
 
 // Directory implements mirror.Reader. It is safe for concurrent use.
 type Directory struct {
-	// Decode reads one entry.
+	// Decode decodes one entry.
 	Decode func(store.Item) (Upstream, error)
 	Report Reporter
 	// Now is the clock.
@@ -67,33 +67,36 @@
 
 	mu      sync.Mutex
 	entries map[string]*entry // by key
-	// unreadable are the revisions of the entries that could not be decoded, by key.
+	// unreadable holds the revisions of the entries that could not be decoded, by key.
 	unreadable map[string]store.Revision
-	// services holds the upstreams that take new work; it is made anew on each
-	// change and never written after that.
+	// services holds the upstreams that accept new requests. It is replaced on each change and
+	// never modified.
 	services map[string][]Upstream
-	// emptied are the data centres that get nothing, returned when others got work again.
-	emptied  map[string]bool
-	returned map[string]time.Time
-	// outage says that the store failed since the last Reset.
+	// drained holds the data centres that get no requests, undrainedAt the time at which the drain
+	// of others was canceled.
+	drained     map[string]bool
+	undrainedAt map[string]time.Time
+	// outage reports whether the store failed since the last Reset.
 	outage bool
-	// lapses judges entries that are missing after that.
+	// lapses decides whether entries that are missing after an outage have expired.
 	lapses lapse.Judge
 	read   bool
 }
 
 type entry struct {
 	Upstream
-	// revision is that of the entry's last change, created that of its creation; see store.Item.
+	// revision is the revision of the entry's last change, created that of its creation; see
+	// store.Item.
 	revision, created store.Revision
-	// kept says that the entry was there before the last loss of the store and after it.
-	kept bool
-	// missingUntil is when a vanished entry is dropped; zero for present ones.
+	// survived reports whether the entry existed both before and after the last loss of the store.
+	survived bool
+	// missingUntil is the time at which a missing entry is dropped; zero for present ones.
 	missingUntil time.Time
-	// rejected says that another process answered at the address.
+	// rejected reports whether another process answered at the address.
 	rejected bool
-	// replaced is the life that registered at the same address later; zero if none did.
-	replaced Life
+	// supersededBy is the incarnation that registered at the same address later; zero if there is
+	// none.
+	supersededBy Life
 }
 
 var _ mirror.Reader = (*Directory)(nil)
@@ -104,7 +107,7 @@
 	defer d.mu.Unlock()
 	now := d.Now()
 	if d.outage {
-		d.lapses.StoreIsBack(now, lapseGrace)
+		d.lapses.StoreIsBack(now, missingGrace)
 	}
 	d.outage, d.read = false, true
 	old := d.entries
@@ -114,14 +117,14 @@
 		listed[it.Key] = true
 		d.putLocked(it, old[it.Key])
 	}
-	d.judgeReadLocked(old)
+	d.countSurvivorsLocked(old)
 	for key, e := range old {
 		if !listed[key] {
-			d.missLocked(now, key, e)
+			d.handleMissingLocked(now, key, e)
 		}
 	}
 	maps.DeleteFunc(d.unreadable, func(key string, _ store.Revision) bool { return !listed[key] })
-	d.indexLocked(now)
+	d.rebuildIndexLocked(now)
 	d.Report.DirectoryRead(len(items))
 }
 
@@ -132,22 +135,22 @@
 	now := d.Now()
 	have := d.entries[ev.Key]
 	if have != nil && ev.Revision != 0 && ev.Revision < have.revision {
-		return // told late: what is known is newer
+		return // outdated event
 	}
 	switch {
 	case !ev.Deleted:
 		d.putLocked(ev.Item, have)
 	case have != nil:
 		delete(d.entries, ev.Key)
-		d.missLocked(now, ev.Key, have)
+		d.handleMissingLocked(now, ev.Key, have)
 	default:
 		delete(d.unreadable, ev.Key)
 	}
-	d.indexLocked(now)
+	d.rebuildIndexLocked(now)
 }
 
-// Lost implements mirror.Reader. History that is gone is no outage: the store was
-// there all the time, so what is missing in the next read has left.
+// Lost implements mirror.Reader. A compaction is no outage: the store was available all the time,
+// so entries that are missing in the next read were removed.
 func (d *Directory) Lost(err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -157,36 +160,36 @@
 	d.Report.DirectoryLost(err)
 }
 
-// putLocked takes an entry that was written. One of another life replaces the life before it
-// with all that was noted of that: an upstream whose address another process had used would
-// otherwise stay shut out after its restart.
+// putLocked stores an entry that was written. An entry of another incarnation replaces the
+// previous one with all its state: otherwise, an upstream that was rejected because another
+// process used its address would stay rejected after its restart.
 func (d *Directory) putLocked(it store.Item, have *entry) {
 	u, err := d.Decode(it)
 	if err != nil {
-		d.spoiledLocked(it, have, err)
+		d.putUndecodableLocked(it, have, err)
 		return
 	}
 	delete(d.unreadable, it.Key)
 	e := &entry{Upstream: u, revision: it.Revision, created: it.Created}
 	e.ColdUntil = d.coldUntil(u, it, have)
 	if have != nil {
-		e.kept = have.kept
+		e.survived = have.survived
 	}
 	switch {
 	case have == nil:
 	case have.Life == u.Life:
-		e.rejected, e.replaced = have.rejected, have.replaced
+		e.rejected, e.supersededBy = have.rejected, have.supersededBy
 	default:
-		d.Report.UpstreamGone(have.Upstream, "it started again under its id")
+		d.Report.UpstreamGone(have.Upstream, "restarted under its id")
 	}
 	d.entries[it.Key] = e
-	if have == nil || have.Life != u.Life || have.differs(u) {
+	if have == nil || have.Life != u.Life || have.differsFrom(u) {
 		d.Report.UpstreamChanged(u)
 	}
 }
 
-// coldUntil is the end of the time for which an entry says that its upstream is cold. An entry
-// that is read once more says nothing new.
+// coldUntil returns the time until which the entry's upstream is cold. Reading an unchanged entry
+// again does not extend it.
 func (d *Directory) coldUntil(u Upstream, it store.Item, have *entry) time.Time {
 	switch {
 	case u.Cold <= 0:
@@ -197,21 +200,21 @@
 	return d.Now().Add(u.Cold)
 }
 
-// differs reports whether another entry of the same life says something that is worth a line:
-// that a cold upstream has become a little warmer is not.
-func (u Upstream) differs(other Upstream) bool {
+// differsFrom reports whether another entry of the same incarnation differs in a way that is worth
+// a log line. A change of the remaining cold time is not.
+func (u Upstream) differsFrom(other Upstream) bool {
 	cold := (u.Cold > 0) != (other.Cold > 0)
 	return cold || u.Service != other.Service || u.Address != other.Address || u.Datacentre != other.Datacentre ||
 		u.Slots != other.Slots || u.Leaving != other.Leaving
 }
 
-// spoiledLocked takes an entry that cannot be decoded. It may come from another writer, over
-// that of a living upstream, so it names nothing to use: what stood there before may be gone.
+// putUndecodableLocked handles an entry that cannot be decoded. Another writer may have
+// overwritten the entry of a live upstream; the entry is dropped, since the upstream may be gone.
 // The next entry that can be decoded is used at once.
-func (d *Directory) spoiledLocked(it store.Item, have *entry, err error) {
+func (d *Directory) putUndecodableLocked(it store.Item, have *entry, err error) {
 	delete(d.entries, it.Key)
 	if have != nil {
-		d.Report.UpstreamGone(have.Upstream, "its entry cannot be read any more")
+		d.Report.UpstreamGone(have.Upstream, "entry cannot be decoded")
 	}
 	if d.unreadable == nil {
 		d.unreadable = map[string]store.Revision{}
@@ -222,8 +225,8 @@
 	}
 }
 
-// Reject notes that another process answered at the upstream's address: this life is over,
-// however long its entry stays.
+// Reject records that another process answered at the upstream's address: this incarnation has
+// ended, even if its entry remains.
 func (d *Directory) Reject(life Life) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -232,11 +235,11 @@
 			e.rejected = true
 			d.Report.UpstreamGone(e.Upstream, "another process answers at its address")
 		}
-		if e.replaced == life {
-			e.replaced = Life{}
+		if e.supersededBy == life {
+			e.supersededBy = Life{}
 		}
 	}
-	d.indexLocked(d.Now())
+	d.rebuildIndexLocked(d.Now())
 }
 
 // Read reports whether the entries were read at least once.
@@ -246,7 +249,7 @@
 	return d.read
 }
 
-// All lists everything that is known, for dumps.
+// All returns all entries, for dumps.
 func (d *Directory) All() []Upstream {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -11,29 +11,29 @@
 	"github.com/stretchr/testify/require"
 )
 
-// quiet hears reports and does nothing.
-type quiet struct{}
+// noopReporter ignores all reports.
+type noopReporter struct{}
 
-func (quiet) UpstreamChanged(Upstream)                 {}
-func (quiet) UpstreamGone(Upstream, string)            {}
-func (quiet) UpstreamMissing(Upstream, bool, int, int) {}
-func (quiet) DirectoryLost(error)                      {}
-func (quiet) DirectoryRead(int)                        {}
-func (quiet) UpstreamUnreadable(error)                 {}
+func (noopReporter) UpstreamChanged(Upstream)                 {}
+func (noopReporter) UpstreamGone(Upstream, string)            {}
+func (noopReporter) UpstreamMissing(Upstream, bool, int, int) {}
+func (noopReporter) DirectoryLost(error)                      {}
+func (noopReporter) DirectoryRead(int)                        {}
+func (noopReporter) UpstreamUnreadable(error)                 {}
 
 func entryOf(id, state string) store.Item {
 	return store.Item{Key: "u/" + id, Value: []byte(state), Revision: 1}
 }
 
 func directoryAt(now *time.Time) *Directory {
-	return &Directory{Report: quiet{}, Now: func() time.Time { return *now },
+	return &Directory{Report: noopReporter{}, Now: func() time.Time { return *now },
 		Decode: func(it store.Item) (Upstream, error) {
 			if string(it.Value) == "spoiled" {
 				return Upstream{}, errors.New("cannot be read")
 			}
 			u := Upstream{Life: Life{ID: it.Key[2:]}, Address: it.Key, Service: "s", Leaving: strings.HasPrefix(string(it.Value), "draining")}
 			_, born, _ := strings.Cut(string(it.Value), "@")
-			u.Born, _ = strconv.ParseInt(born, 10, 64) // 0 is none
+			u.Born, _ = strconv.ParseInt(born, 10, 64) // 0 is unknown
 			return u, nil
 		}}
 }
@@ -45,10 +45,10 @@
 	return out
 }
 
-// The store is away for some seconds and all entries lapse. Right after its return none
-// is listed; the living upstreams are back within two seconds. Requests go on meanwhile,
-// and what is still missing then is gone.
-func TestEntriesThatLapsed(t *testing.T) {
+// Guards against refusing requests after an outage of the store. All leases expire during the
+// outage, and the first read lists no entry; live upstreams register again within two seconds.
+// Requests continue meanwhile, and entries still missing after that are dropped.
+func TestExpiredEntriesAfterAnOutage(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := directoryAt(&now)
 	d.Reset([]store.Item{entryOf("a", "ready"), entryOf("b", "ready")})
@@ -63,8 +63,8 @@
 	require.Equal(t, []string{"a"}, ids(d))
 }
 
-// The store forgot its history but was never away: what is missing has left, and gets
-// nothing more.
+// Guards against keeping removed upstreams after a compaction: the store was available all the
+// time, so missing entries were removed.
 func TestEntriesMissingAfterACompaction(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := directoryAt(&now)
@@ -73,7 +73,7 @@
 	d.Reset([]store.Item{entryOf("a", "ready")})
 	require.Equal(t, []string{"a"}, ids(d))
 
-	// Also where most have left.
+	// Also if most upstreams were removed.
 	d.Reset([]store.Item{entryOf("a", "ready"), entryOf("b", "ready"), entryOf("c", "ready"), entryOf("d", "ready")})
 	d.Lost(store.Error.Wrap(store.ErrCompacted))
 	d.Reset([]store.Item{entryOf("a", "ready")})
@@ -89,10 +89,10 @@
 	d.Reject(Life{ID: "c"})
 	require.Equal(t, []string{"d"}, ids(d))
 	d.Changed(store.Event{Item: entryOf("c", "ready")})
-	require.Equal(t, []string{"d"}, ids(d), "an incarnation whose address another one has does not return")
+	require.Equal(t, []string{"d"}, ids(d), "a rejected incarnation stays rejected")
 }
 
-// An upstream that said that it leaves is not believed back by an outage of the store.
+// Guards against treating a draining upstream as live because of an outage of the store.
 func TestLeavingDuringAnOutage(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := directoryAt(&now)
@@ -103,9 +103,10 @@
 	require.Empty(t, d.All())
 }
 
-// An upstream crashes and starts again under its id before its entry lapsed. Another process
-// had answered at its address meanwhile, so its first life was shut out; the second one takes
-// requests at once. What is told late of the first life changes nothing.
+// Guards against rejecting a restarted upstream. It crashes and restarts under its id before its
+// lease expires, and its first incarnation was rejected because another process answered at its
+// address. The second incarnation gets requests at once, and late events of the first one have no
+// effect.
 func TestRestartUnderTheSameID(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := directoryAt(&now)
@@ -116,18 +117,18 @@
 	d.Reject(Life{ID: "a", Born: 1})
 	require.Empty(t, ids(d))
 	d.Changed(store.Event{Item: written("ready@1", 6)})
-	require.Empty(t, ids(d), "the same life writes again")
+	require.Empty(t, ids(d), "the same incarnation writes again")
 	d.Changed(store.Event{Item: written("ready@2", 8)})
 	require.Equal(t, []string{"a"}, ids(d))
 	require.EqualValues(t, 2, d.Of("s")[0].Born)
 	d.Changed(store.Event{Item: written("draining@1", 7)})
 	d.Changed(store.Event{Item: store.Item{Key: "u/a", Revision: 7}, Deleted: true})
 	d.Reject(Life{ID: "a", Born: 1})
-	require.EqualValues(t, 2, d.Of("s")[0].Born, "what is late or about the first life changes nothing")
+	require.EqualValues(t, 2, d.Of("s")[0].Born, "late events of the first incarnation have no effect")
 }
 
-// An upstream's life ends while the store is away, and its entry is one of a new life at the
-// return. The old life, which was leaving, does not keep the new one from getting requests.
+// Guards against applying the state of an old incarnation to a new one. An upstream that was
+// draining restarts during an outage of the store, and its new incarnation gets requests.
 func TestRestartDuringAnOutage(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := directoryAt(&now)
@@ -137,11 +138,11 @@
 	require.Equal(t, []string{"a"}, ids(d))
 }
 
-// All upstreams lose power and start again at their addresses, under new ids. The entries of their
-// lives before stay for seconds, until their leases run out. Routers sent half of the prompts to
-// those, were told four times in a row that another process answers ("misdirected"), and refused
-// them for 2.5 s with 47 living upstreams at hand. An address is one process's: the newer entry of
-// an address ends the older one.
+// Guards against sending requests to entries of previous incarnations. After a power loss all
+// upstreams restart at their addresses under new ids, and the old entries remain for seconds until
+// their leases expire. Routers sent half of the prompts to those, found another process at the
+// address four times in a row ("misdirected"), and refused the prompts for 2.5 s with 47 live
+// upstreams available. A newer entry for an address supersedes the older one.
 func TestEntriesOfOneAddress(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := directoryAt(&now)
@@ -159,7 +160,7 @@
 	d.Changed(store.Event{Item: created("new", 9)})
 	require.ElementsMatch(t, []string{"new", "other"}, ids(d))
 	d.Changed(store.Event{Item: store.Item{Key: "u/old", Value: []byte("ready"), Revision: 12, Created: 5}})
-	require.ElementsMatch(t, []string{"new", "other"}, ids(d), "what the life before wrote late changes nothing")
+	require.ElementsMatch(t, []string{"new", "other"}, ids(d), "a late write of the previous incarnation has no effect")
 
 	// Another writer's entry names the address of a living upstream: the first request there shows it.
 	d.Changed(store.Event{Item: created("false", 14)})
@@ -167,28 +168,29 @@
 	d.Reject(Life{ID: "false"})
 	require.ElementsMatch(t, []string{"new", "other"}, ids(d))
 
-	// The newer one leaves; the older one ended long ago.
+	// The newer one drains and is removed; the older one stays superseded.
 	d.Changed(store.Event{Item: store.Item{Key: "u/new", Value: []byte("draining"), Revision: 20, Created: 9}})
 	require.ElementsMatch(t, []string{"other"}, ids(d))
 	d.Changed(store.Event{Item: store.Item{Key: "u/new", Revision: 21}, Deleted: true})
 	require.ElementsMatch(t, []string{"other"}, ids(d))
 }
 
-// counting counts the entries that were said to be unreadable.
-type counting struct {
-	quiet
+// countingReporter counts the entries reported as undecodable.
+type countingReporter struct {
+	noopReporter
 	unreadable int
 }
 
-func (c *counting) UpstreamUnreadable(error) { c.unreadable++ }
+func (c *countingReporter) UpstreamUnreadable(error) { c.unreadable++ }
 
-// Another writer spoils one entry. It names nothing to use from then on, also while the store
-// is away; the others hold. The fault is said once, and a good entry is used at once.
-func TestSpoiledEntry(t *testing.T) {
+// Guards against using an entry overwritten by another writer. It is dropped at once, also while
+// the store is unavailable, and other entries are unaffected. The error is reported once, and the
+// next valid entry is used at once.
+func TestUndecodableEntry(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := directoryAt(&now)
-	said := &counting{}
-	d.Report = said
+	reports := &countingReporter{}
+	d.Report = reports
 	both := func(a string) []store.Item { return []store.Item{entryOf("a", a), entryOf("b", "ready")} }
 	d.Reset(both("ready"))
 	d.Changed(store.Event{Item: entryOf("a", "spoiled")})
@@ -197,17 +199,17 @@
 	d.Reset(both("spoiled"))
 	d.Reset(both("spoiled"))
 	require.Equal(t, []string{"b"}, ids(d))
-	require.Equal(t, 1, said.unreadable)
+	require.Equal(t, 1, reports.unreadable)
 	d.Changed(store.Event{Item: store.Item{Key: "u/a", Value: []byte("ready"), Revision: 9}})
 	require.ElementsMatch(t, []string{"a", "b"}, ids(d))
 	d.Changed(store.Event{Item: store.Item{Key: "u/a", Value: []byte("spoiled"), Revision: 10}})
-	require.Equal(t, 2, said.unreadable)
+	require.Equal(t, 2, reports.unreadable)
 }
 
-// All upstreams of this platform tell when they started, and one entry does not: another
-// writer made it up. Where none tells it, as on other platforms, all are used; one entry that
-// does changes nothing there.
-func TestEntriesThatTellNoStart(t *testing.T) {
+// Guards against using entries made up by another writer. If most upstreams register their start
+// time, an entry without one is ignored. If most do not, as on other platforms, all are used, and
+// a single entry with a start time changes nothing.
+func TestEntriesWithoutStartTime(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := directoryAt(&now)
 	d.Reset([]store.Item{entryOf("a", "ready@1"), entryOf("b", "ready@1"), entryOf("made-up", "ready")})
@@ -216,13 +218,12 @@
 	require.ElementsMatch(t, []string{"a", "b", "made-up"}, ids(d))
 }
 
-// One router is cut off from the store for 12 s while the store serves all others. An upstream
-// says that it leaves, and its entry is removed, all in that time. The router's log after the
-// cut: "upstream_missing" "believed_for_ms":2200, and requests went to the upstream until
-// "upstream_gone" "why":"entry did not return after an outage of the store", 3.1 s after the
-// cut. The router took its own cut for an outage of the store, in which leases run out; but the
-// entries of all other upstreams stood there unchanged, so no lease had run out.
-func TestUpstreamThatLeftDuringACut(t *testing.T) {
+// Guards against treating a partition of one router as an outage of the store. The router is cut
+// off from the store for 12 s while an upstream starts to drain and removes its entry. The router
+// took its partition for an outage in which leases expire, kept the upstream for 2200 ms and sent
+// it requests until 3.1 s after the partition. But the entries of all other upstreams were
+// unchanged, so no lease had expired.
+func TestUpstreamRemovedDuringAPartition(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := directoryAt(&now)
 	d.Reset([]store.Item{entryOf("a", "ready"), entryOf("b", "ready"), entryOf("c", "ready"), entryOf("d", "ready")})
@@ -232,20 +233,20 @@
 	require.ElementsMatch(t, []string{"b", "c", "d"}, ids(d))
 	now = now.Add(time.Second)
 	d.Changed(store.Event{Item: store.Item{Key: "u/b", Revision: 2}, Deleted: true})
-	require.ElementsMatch(t, []string{"c", "d"}, ids(d), "nor was there an outage for those that leave after the cut")
+	require.ElementsMatch(t, []string{"c", "d"}, ids(d), "nor was there an outage for upstreams removed after the partition")
 }
 
-// created is an entry that its owner created at a revision, and wrote last at another one.
+// created returns an entry created at one revision and last written at another.
 func created(id, state string, at, last store.Revision) store.Item {
 	it := entryOf(id, state)
 	it.Created, it.Revision = at, last
 	return it
 }
 
-// Upstreams write their entries again while a router is cut off, as those that are cold do, and
-// one leaves. The written ones are the same entries, so no lease ran out, and the one that is
-// missing gets nothing more.
-func TestEntriesWrittenDuringACut(t *testing.T) {
+// Guards against taking rewritten entries for new ones. Upstreams rewrite their entries during a
+// partition, as cold ones do, and one removes its entry. The rewritten entries are the same, so no
+// lease expired and the missing upstream gets no more requests.
+func TestEntriesWrittenDuringAPartition(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := directoryAt(&now)
 	d.Reset([]store.Item{created("a", "ready", 1, 1), created("b", "ready", 2, 2), created("c", "ready", 3, 3)})
@@ -254,8 +255,9 @@
 	require.ElementsMatch(t, []string{"b", "c"}, ids(d))
 }
 
-// The store is away until all leases have run out. At the first read after its return two of
-// three upstreams have registered again already; the third one lives too, and gets requests.
+// Guards against dropping a live upstream when others registered again first. All leases expire
+// during an outage of the store. At the first read two of three upstreams have registered again;
+// the third one is live too and gets requests.
 func TestEntriesCreatedAgainAfterAnOutage(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := directoryAt(&now)
@@ -263,15 +265,15 @@
 	d.Lost(store.ErrUnknown)
 	d.Reset([]store.Item{created("b", "ready", 7, 7), created("c", "ready", 8, 8)})
 	require.ElementsMatch(t, []string{"a", "b", "c"}, ids(d))
-	now = now.Add(lapseGrace)
+	now = now.Add(missingGrace)
 	d.Expire()
 	require.ElementsMatch(t, []string{"b", "c"}, ids(d))
 }
 
-// The store removes the entries whose leases ran out only after the first read that follows its
-// return: the read lists them all, and a moment later they vanish one after the other. Requests
-// go on, since nearly all of them are missing.
-func TestLeasesThatRunOutAfterTheFirstRead(t *testing.T) {
+// Guards against dropping live upstreams if the store removes expired entries only after the first
+// read: the read lists all entries, and they disappear one by one a moment later. Requests
+// continue, since nearly all are missing.
+func TestLeasesThatExpireAfterTheFirstRead(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := directoryAt(&now)
 	all := []store.Item{entryOf("a", "ready"), entryOf("b", "ready"), entryOf("c", "ready"), entryOf("d", "ready")}
@@ -284,8 +286,9 @@
 	require.ElementsMatch(t, []string{"a", "b", "c", "d"}, ids(d))
 }
 
-// The store is lost again a second after its return, when one of three upstreams that lapsed has
-// registered again. The other two live as well, and get requests until their time is over.
+// Guards against dropping live upstreams on a second outage. The store is lost again a second
+// after its return, when one of three expired upstreams has registered again. The other two are
+// live as well and get requests until the grace period ends.
 func TestTwoOutagesInARow(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := directoryAt(&now)
@@ -296,7 +299,7 @@
 	now = now.Add(time.Second)
 	d.Reset([]store.Item{created("a", "ready", 7, 7)})
 	require.ElementsMatch(t, []string{"a", "b", "c"}, ids(d))
-	now = now.Add(lapseGrace)
+	now = now.Add(missingGrace)
 	d.Expire()
 	require.Equal(t, []string{"a"}, ids(d))
 }
--- a/directory/emptied.go
+++ b/directory/emptied.go
@@ -6,36 +6,37 @@
 	"time"
 )
 
-// SetEmptied says which data centres are to get nothing new, by the operators' newest orders:
-// their upstreams leave the lists at once. Those of a data centre that is no longer among them
-// are listed again, with the time of its return.
+// SetEmptied sets the data centres that get no new requests, by the operators' latest drain
+// orders: their upstreams are removed from the lists at once. Upstreams of a data centre whose
+// drain is canceled are listed again, with the time of the cancellation.
 func (d *Directory) SetEmptied(datacentres []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Now()
-	if d.returned == nil {
-		d.returned = map[string]time.Time{}
+	if d.undrainedAt == nil {
+		d.undrainedAt = map[string]time.Time{}
 	}
-	for datacentre := range d.emptied {
+	for datacentre := range d.drained {
 		if !slices.Contains(datacentres, datacentre) {
-			d.returned[datacentre] = now
+			d.undrainedAt[datacentre] = now
 		}
 	}
-	d.emptied = map[string]bool{}
+	d.drained = map[string]bool{}
 	for _, datacentre := range datacentres {
-		d.emptied[datacentre] = true
+		d.drained[datacentre] = true
 	}
-	d.indexLocked(now)
+	d.rebuildIndexLocked(now)
 }
 
-// Emptied lists the data centres that get nothing new, in order.
+// Emptied returns the drained data centres in sorted order.
 func (d *Directory) Emptied() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return slices.Sorted(maps.Keys(d.emptied))
+	return slices.Sorted(maps.Keys(d.drained))
 }
 
-// CountIn is how many upstreams are known in a data centre, whether or not they get work.
+// CountIn returns the number of known upstreams in a data centre, whether or not they get
+// requests.
 func (d *Directory) CountIn(datacentre string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -48,8 +49,8 @@
 	return n
 }
 
-// Takes reports whether an upstream takes new work now. Between a choice and the send that
-// follows it, the process beside the upstream is asked, which may take a while.
+// Takes reports whether an upstream accepts new requests now. It is checked again before the send,
+// since asking the upstream's lender after the choice may take a while.
 func (d *Directory) Takes(u Upstream) bool {
 	return slices.ContainsFunc(d.Of(u.Service), func(other Upstream) bool { return other.Life == u.Life })
 }
--- a/directory/emptied_test.go
+++ b/directory/emptied_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// placed has upstreams a and b in bergen and c in oslo.
-func placed(now *time.Time) *Directory {
+// directoryWithDatacentres has upstreams a and b in bergen and c in oslo.
+func directoryWithDatacentres(now *time.Time) *Directory {
 	d := directoryAt(now)
 	decode := d.Decode
 	d.Decode = func(it store.Item) (Upstream, error) {
@@ -21,57 +21,57 @@
 	return d
 }
 
-// What a process may believe of a data centre that is emptied, whatever else happens: nothing new
-// goes there from the order on until it is taken back, however old the order is.
-func TestEmptiedDatacentres(t *testing.T) {
+// A drained data centre gets no new requests until the drain is canceled, whatever else happens
+// and however old the order is.
+func TestDrainedDatacentres(t *testing.T) {
 	for name, row := range map[string]struct {
 		happens func(d *Directory, now *time.Time)
 		listed  []string
 	}{
-		"no order": {func(*Directory, *time.Time) {}, []string{"a", "b", "c"}},
-		"one":      {func(d *Directory, _ *time.Time) { d.SetEmptied([]string{"bergen"}) }, []string{"c"}},
-		"twice":    {func(d *Directory, _ *time.Time) { d.SetEmptied([]string{"bergen"}); d.SetEmptied([]string{"bergen"}) }, []string{"c"}},
+		"no order":        {func(*Directory, *time.Time) {}, []string{"a", "b", "c"}},
+		"one data centre": {func(d *Directory, _ *time.Time) { d.SetEmptied([]string{"bergen"}) }, []string{"c"}},
+		"twice":           {func(d *Directory, _ *time.Time) { d.SetEmptied([]string{"bergen"}); d.SetEmptied([]string{"bergen"}) }, []string{"c"}},
 		"overlapping": {func(d *Directory, _ *time.Time) {
 			d.SetEmptied([]string{"bergen"})
 			d.SetEmptied([]string{"bergen", "oslo"})
 			d.SetEmptied([]string{"oslo"})
 		}, []string{"a", "b"}},
-		"all":            {func(d *Directory, _ *time.Time) { d.SetEmptied([]string{"bergen", "oslo"}) }, nil},
-		"taken back":     {func(d *Directory, _ *time.Time) { d.SetEmptied([]string{"bergen"}); d.SetEmptied(nil) }, []string{"a", "b", "c"}},
-		"an unknown one": {func(d *Directory, _ *time.Time) { d.SetEmptied([]string{"atlantis"}) }, []string{"a", "b", "c"}},
-		"an upstream new": {func(d *Directory, _ *time.Time) {
+		"all":                 {func(d *Directory, _ *time.Time) { d.SetEmptied([]string{"bergen", "oslo"}) }, nil},
+		"drain canceled":      {func(d *Directory, _ *time.Time) { d.SetEmptied([]string{"bergen"}); d.SetEmptied(nil) }, []string{"a", "b", "c"}},
+		"unknown data centre": {func(d *Directory, _ *time.Time) { d.SetEmptied([]string{"atlantis"}) }, []string{"a", "b", "c"}},
+		"new incarnation": {func(d *Directory, _ *time.Time) {
 			d.SetEmptied([]string{"bergen"})
 			d.Changed(store.Event{Item: entryOf("a", "ready@2")})
 		}, []string{"c"}},
-		"the store away": {func(d *Directory, now *time.Time) {
+		"store unavailable": {func(d *Directory, now *time.Time) {
 			d.SetEmptied([]string{"bergen"})
 			d.Lost(store.ErrUnknown)
 			*now = now.Add(time.Minute)
 		}, []string{"c"}},
-		"entries lapsed": {func(d *Directory, _ *time.Time) {
+		"entries expired": {func(d *Directory, _ *time.Time) {
 			d.SetEmptied([]string{"bergen"})
 			d.Lost(store.ErrUnknown)
 			d.Reset(nil)
 		}, []string{"c"}},
-		"before all reads": {func(d *Directory, _ *time.Time) {
+		"drained before a read": {func(d *Directory, _ *time.Time) {
 			d.SetEmptied([]string{"bergen"})
 			d.Reset([]store.Item{entryOf("b", "ready"), entryOf("c", "ready")})
 		}, []string{"c"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			d := placed(&now)
+			d := directoryWithDatacentres(&now)
 			row.happens(d, &now)
 			require.ElementsMatch(t, row.listed, ids(d))
 		})
 	}
 }
 
-// A router asks the process beside an upstream, and the data centre is emptied meanwhile. The
-// upstream is not sent the request that was meant for it.
-func TestUpstreamOfAnEmptiedDatacentreTakesNothing(t *testing.T) {
+// Guards against sending a request to an upstream whose data centre is drained while the router
+// waits for the upstream's lender.
+func TestUpstreamOfADrainedDatacentreTakesNothing(t *testing.T) {
 	now := time.Unix(1000, 0)
-	d := placed(&now)
+	d := directoryWithDatacentres(&now)
 	chosen := d.Of("s")
 	d.SetEmptied([]string{"bergen"})
 	for _, u := range chosen {
@@ -81,9 +81,8 @@
 	require.Equal(t, []string{"bergen"}, d.Emptied())
 }
 
-// An upstream is cold for the time that its entry says, from when that was first heard. An entry
-// that is read again after a loss of the store is old: taken for new, it would make the upstream
-// cold once more.
+// Guards against making an upstream cold again because its entry is read again after a loss of the
+// store. The cold time starts when the entry is first read.
 func TestColdUntil(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := directoryAt(&now)
@@ -91,13 +90,13 @@
 	d.Decode = func(it store.Item) (Upstream, error) {
 		return Upstream{Life: Life{ID: "a"}, Service: "s", Cold: cold}, nil
 	}
-	heard := now
+	firstRead := now
 	d.Reset([]store.Item{entryOf("a", "")})
-	require.Equal(t, heard.Add(cold), d.Of("s")[0].ColdUntil)
+	require.Equal(t, firstRead.Add(cold), d.Of("s")[0].ColdUntil)
 	now = now.Add(time.Second)
 	d.Lost(store.ErrUnknown)
 	d.Reset([]store.Item{entryOf("a", "")})
-	require.Equal(t, heard.Add(3*time.Second), d.Of("s")[0].ColdUntil)
+	require.Equal(t, firstRead.Add(3*time.Second), d.Of("s")[0].ColdUntil)
 	cold = time.Second
 	d.Changed(store.Event{Item: store.Item{Key: "u/a", Revision: 2}})
 	require.Equal(t, now.Add(time.Second), d.Of("s")[0].ColdUntil)
--- a/directory/index.go
+++ b/directory/index.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// indexLocked makes the lists by service anew.
-func (d *Directory) indexLocked(now time.Time) {
+// rebuildIndexLocked rebuilds the lists by service.
+func (d *Directory) rebuildIndexLocked(now time.Time) {
 	services := map[string][]Upstream{}
-	bornTold, lapsed := d.bornIsToldLocked(), d.lapses.Lapsed(now)
-	d.replaceLocked()
+	startTimesExpected, lapsed := d.startTimesExpectedLocked(), d.lapses.Lapsed(now)
+	d.supersedeLocked()
 	for key, e := range d.entries {
 		missing := !e.missingUntil.IsZero()
 		switch {
@@ -17,33 +17,33 @@
 		case missing && !lapsed:
 			continue
 		}
-		if e.Leaving || e.rejected || e.replaced != (Life{}) || d.emptied[e.Datacentre] || bornTold && e.Born == 0 {
+		if e.Leaving || e.rejected || e.supersededBy != (Life{}) || d.drained[e.Datacentre] || startTimesExpected && e.Born == 0 {
 			continue
 		}
-		e.Returned = d.returned[e.Datacentre]
+		e.Returned = d.undrainedAt[e.Datacentre]
 		services[e.Service] = append(services[e.Service], e.Upstream)
 	}
 	d.services = services
 }
 
-// bornIsToldLocked reports whether the upstreams here tell when they started. On one platform
-// all do or none does, so the few entries that differ are those of another writer: where most
-// tell it, one that does not names nothing to use.
-func (d *Directory) bornIsToldLocked() bool {
-	told := 0
+// startTimesExpectedLocked reports whether most entries have a start time. On one platform all
+// upstreams register it or none does, so the few entries that differ are from another writer: if
+// most have a start time, entries without one are ignored.
+func (d *Directory) startTimesExpectedLocked() bool {
+	withStart := 0
 	for _, e := range d.entries {
 		if e.Born != 0 {
-			told++
+			withStart++
 		}
 	}
-	return 2*told > len(d.entries)
+	return 2*withStart > len(d.entries)
 }
 
-// replaceLocked finds the entries whose address another one has registered at since. Upstreams that
-// lose power start again at their addresses, and the entries of their lives before stay until
-// their leases run out: requests sent there find another process, and a few in a row end the
-// request. An entry that was shown to be false replaces nothing.
-func (d *Directory) replaceLocked() {
+// supersedeLocked marks the entries for whose address another one has registered since. Upstreams
+// that lose power restart at their addresses, and their old entries remain until the leases
+// expire: requests sent there reach another process, and a few in a row end the request. A
+// rejected entry supersedes nothing.
+func (d *Directory) supersedeLocked() {
 	newest := map[string]*entry{} // by address
 	for _, e := range d.entries {
 		if have := newest[e.Address]; !e.rejected && (have == nil || e.created > have.created) {
@@ -52,16 +52,16 @@
 	}
 	for _, e := range d.entries {
 		by := newest[e.Address]
-		if by == nil || by.created <= e.created || e.replaced != (Life{}) || e.rejected {
+		if by == nil || by.created <= e.created || e.supersededBy != (Life{}) || e.rejected {
 			continue
 		}
-		e.replaced = by.Life
-		d.Report.UpstreamGone(e.Upstream, "a later one has its address")
+		e.supersededBy = by.Life
+		d.Report.UpstreamGone(e.Upstream, "superseded by a later entry for its address")
 	}
 }
 
-// Of lists the upstreams of a service that take new work. The caller must not change
-// the list.
+// Of returns the upstreams of a service that accept new requests. The caller must not modify the
+// list.
 func (d *Directory) Of(service string) []Upstream {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/directory/life.go
+++ b/directory/life.go
@@ -2,20 +2,20 @@
 
 import "fmt"
 
-// Life is one life of an upstream: from its start to its end. An upstream may start again
-// under the id that it had, and has nothing then of what it held before. So everything that a
-// process learns of an upstream belongs to a life.
+// Life identifies one incarnation of an upstream, from a start of its process to its end. An
+// upstream may restart under the same id and has lost all its state then, so everything recorded
+// about an upstream belongs to one incarnation.
 //
-// Lives are told apart by being different; which one is newer follows from the revisions of
-// the store, never from a comparison of times, since clocks step.
+// Lives are compared for equality only. Their order follows from the revisions of the store, never
+// from start times, since clocks step.
 type Life struct {
-	// ID is what the upstream is registered under.
+	// ID is the id under which the upstream is registered.
 	ID string `json:"id"`
-	// Born is when it started, in Unix milliseconds by its own clock; 0 if it does not say.
+	// Born is the start time in Unix milliseconds by the upstream's own clock; 0 if unknown.
 	Born int64 `json:"born,omitempty"`
 }
 
-// String is the life in logs.
+// String returns the form used in logs.
 func (l Life) String() string {
 	if l.Born == 0 {
 		return l.ID
--- a/directory/missing.go
+++ b/directory/missing.go
@@ -2,36 +2,35 @@
 
 import "time"
 
-// judgeReadLocked counts the entries whose leases outlasted the time since the old ones were
-// known, and those whose leases did not: a lease that runs out takes its entry with it, and the
-// owner creates another one.
-func (d *Directory) judgeReadLocked(old map[string]*entry) {
-	kept, again := 0, 0
+// countSurvivorsLocked counts the old entries whose leases survived and those whose leases
+// expired: an expired lease removes its entry, and the owner creates a new one.
+func (d *Directory) countSurvivorsLocked(old map[string]*entry) {
+	survived, recreated := 0, 0
 	for key, e := range d.entries {
 		was := old[key]
 		if was == nil || !was.missingUntil.IsZero() {
 			continue
 		}
-		if e.kept = was.created == e.created; e.kept {
-			kept++
+		if e.survived = was.created == e.created; e.survived {
+			survived++
 		} else {
-			again++
+			recreated++
 		}
 	}
-	d.lapses.Read(kept, again)
+	d.lapses.Read(survived, recreated)
 }
 
-// missLocked drops an entry, or keeps it for a while when it may have lapsed only
-// because the store was away.
-func (d *Directory) missLocked(now time.Time, key string, e *entry) {
+// handleMissingLocked drops an entry, or keeps it for a while if its lease may have expired only
+// because of an outage of the store.
+func (d *Directory) handleMissingLocked(now time.Time, key string, e *entry) {
 	switch {
 	case now.Before(e.missingUntil):
 		d.entries[key] = e
 	case e.missingUntil.IsZero() && d.lapses.Possible(now) && !e.Leaving:
 		e.missingUntil = d.lapses.Until()
 		d.entries[key] = e
-		d.lapses.Miss(e.kept)
-		e.kept = false
+		d.lapses.Miss(e.survived)
+		e.survived = false
 		missing, kept := d.lapses.Counts()
 		d.Report.UpstreamMissing(e.Upstream, d.lapses.Lapsed(now), missing, kept)
 	default:
@@ -39,14 +38,14 @@
 	}
 }
 
-// Expire drops entries that did not return; call it a few times a second.
+// Expire drops missing entries whose grace period is over; it must be called a few times a second.
 func (d *Directory) Expire() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Now()
 	for _, e := range d.entries {
 		if !e.missingUntil.IsZero() && !now.Before(e.missingUntil) {
-			d.indexLocked(now)
+			d.rebuildIndexLocked(now)
 			return
 		}
 	}
