--- a/warmup/warmup.go
+++ b/warmup/warmup.go
@@ -1,11 +1,11 @@
-// Package warmup bounds what an upstream is sent that has just started, or has become cold
-// otherwise. The load pattern that it answers: a data centre's upstreams come back together,
-// idle, and all routers find them the least loaded at the same moment. A cold upstream bears a
-// few requests a second from all routers together, and ends at a rate well above that; its
-// callers' requests fail, and it comes back cold.
+// Package warmup limits the requests sent to an upstream that has just started or has become cold
+// for another reason. It handles a data centre whose upstreams return together: they are idle, and
+// all routers choose them as the least loaded at the same moment. A cold upstream sustains a few
+// requests per second from all routers together and crashes at a rate well above that; its callers'
+// requests fail, and it returns cold.
 //
-// Routers do not hear of each other's requests. So the process beside an upstream, to which each
-// prompt is announced, counts them and gives leave (Window). Where no such process is known, a few
+// Routers do not exchange their request counts. So the lender on the upstream's VM, to which all
+// prompts are announced, counts them and grants permits (Window). Where no lender is known, a few
 // routers share the bound (Share).
 package warmup
 
@@ -16,17 +16,17 @@
 	"github.com/arbutusmill/arbutusmill/coord/rendezvous"
 )
 
-// Bound is what cold upstreams bear beyond the rate that their service names, the same for all
-// services.
+// Bound is the tolerance of cold upstreams beyond the rate that their service names, the same for
+// all services.
 type Bound struct {
 	// Overshoot multiplies the rate.
 	Overshoot float64
-	// Slack is the requests in a second that are added to that.
+	// Slack is the number of requests per second added to that.
 	Slack float64
 }
 
-// Most is how many requests in any second a cold upstream bears whose service names that rate; 0
-// is no bound, for services that name none.
+// Most returns the maximum number of requests in any second for a cold upstream whose service
+// names this rate; 0 is no bound, for services that name none.
 func (b Bound) Most(perSecond float64) int {
 	if perSecond <= 0 {
 		return 0
@@ -34,17 +34,17 @@
 	return max(1, int(perSecond*b.Overshoot+b.Slack))
 }
 
-// span is the time in which requests are counted.
-const span = time.Second
+// windowLength is the duration in which requests are counted.
+const windowLength = time.Second
 
-// Window counts the requests of the last second. The zero value is empty. It is not safe for
-// concurrent use.
+// Window is a sliding-window counter of the requests of the last second. The zero value is empty.
+// It is not safe for concurrent use.
 type Window struct {
 	times []time.Time // oldest first
 }
 
-// Take counts a request if fewer than most were counted in the last second, and reports whether
-// it did.
+// Take counts a request if fewer than most were counted in the last second, and reports whether it
+// did.
 func (w *Window) Take(now time.Time, most int) bool {
 	if !w.Room(now, most) {
 		return false
@@ -59,22 +59,22 @@
 	return len(w.times) < most
 }
 
-// Count notes a request whatever the bound.
+// Count counts a request regardless of the bound.
 func (w *Window) Count(now time.Time) {
 	w.Trim(now)
 	w.times = append(w.times, now)
 }
 
-// Return takes the newest request back: it went elsewhere.
+// Return removes the newest request, which was sent elsewhere.
 func (w *Window) Return() {
 	if n := len(w.times); n > 0 {
 		w.times = w.times[:n-1]
 	}
 }
 
-// Trim forgets the requests that were counted more than a second ago.
+// Trim removes the requests that were counted more than a second ago.
 func (w *Window) Trim(now time.Time) {
-	old, _ := slices.BinarySearchFunc(w.times, now.Add(-span), func(t, bound time.Time) int {
+	old, _ := slices.BinarySearchFunc(w.times, now.Add(-windowLength), func(t, bound time.Time) int {
 		if t.After(bound) {
 			return 1
 		}
@@ -83,32 +83,32 @@
 	w.times = slices.Delete(w.times, 0, old)
 }
 
-// leaveShare is the part of what a cold upstream bears that is given by leave. The rest is for
-// routers that know of nobody to ask: while a process beside an upstream is just becoming known,
-// some have leave and others their share, and together these must not pass the bound. Requests
-// also arrive some milliseconds after they got leave, so that those of a little more than a second
-// may arrive in one.
-const leaveShare = 0.6
+// permitShare is the part of a cold upstream's bound that is granted by permits. The rest is for
+// routers that know no lender to ask: while a lender is becoming known, some routers have permits
+// and others their share, and together these must not exceed the bound. Requests also arrive some
+// milliseconds after their permits, so those permitted in slightly more than a second may arrive
+// within one.
+const permitShare = 0.6
 
-// ByLeave is how many requests in any second get leave, of most that an upstream bears.
-func ByLeave(most int) int { return max(1, int(leaveShare*float64(most))) }
+// ByLeave returns the maximum number of permits in any second for an upstream with the bound most.
+func ByLeave(most int) int { return max(1, int(permitShare*float64(most))) }
 
-// sharers is how many routers share the bound of one cold upstream. With one, its death leaves
-// the upstream without work; with more, routers that know different members and so find others
-// would pass the bound.
-const sharers = 3
+// maxSharers is the number of routers that share the bound of one cold upstream. With one, its
+// failure would leave the upstream idle; with more, routers with different views of the membership
+// select different sharers and would exceed the bound.
+const maxSharers = 3
 
-// Share is how many requests in any second a router may send to a cold upstream for which nobody
-// gives leave. All routers that know the same routers find the same few for it, without a
-// message. One that has been listed among them for less than a second has no share yet: an earlier
-// life of it may just have used it.
+// Share returns how many requests in any second a router may send to a cold upstream for which no
+// process grants permits. Routers with the same view of the membership select the same sharers
+// without communication. A router that has been listed for less than a second has no share yet: an
+// earlier incarnation of it may just have used the share.
 func Share(router string, listedFor time.Duration, routers []string, upstream string, most int) int {
-	if listedFor < span {
+	if listedFor < windowLength {
 		return 0
 	}
 	rest := max(1, most-ByLeave(most))
 	ranked := rendezvous.Rank(upstream, routers)
-	ranked = ranked[:min(len(ranked), sharers, rest)]
+	ranked = ranked[:min(len(ranked), maxSharers, rest)]
 	if !slices.Contains(ranked, router) {
 		return 0
 	}
--- a/warmup/warmup_test.go
+++ b/warmup/warmup_test.go
@@ -17,8 +17,8 @@
 	require.Equal(t, 1, Bound{Overshoot: 1}.Most(0.2))
 }
 
-// Requests come at any moments. No second, wherever it begins, has more than the bound, and one
-// that could have had more is never denied.
+// With requests at random times, no second contains more than the bound, and no request within the
+// bound is denied.
 func TestNoSecondHasMoreThanTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const most = 5
@@ -43,8 +43,8 @@
 	})
 }
 
-// A prompt that got leave goes elsewhere; another one gets its place.
-func TestReturnedLeave(t *testing.T) {
+// The permit of a prompt that is sent elsewhere is available to another one.
+func TestReturnedPermit(t *testing.T) {
 	var w Window
 	now := time.Unix(0, 0)
 	require.True(t, w.Take(now, 1))
@@ -52,11 +52,12 @@
 	w.Return()
 	require.True(t, w.Take(now, 1))
 	w.Return()
-	w.Return() // one too many does no harm
+	w.Return() // a surplus call has no effect
 	require.True(t, w.Room(now, 1))
 }
 
-// All routers find the same few for an upstream, and together these do not pass the bound.
+// All routers select the same sharers for an upstream, and the shares together do not exceed the
+// bound.
 func TestSharesStayWithinTheBound(t *testing.T) {
 	var routers []string
 	for n := range 26 {
@@ -67,18 +68,18 @@
 		for _, r := range routers {
 			together += Share(r, time.Minute, routers, upstream, 14)
 		}
-		require.LessOrEqual(t, together+ByLeave(14), 14, "with all that others have leave for")
+		require.LessOrEqual(t, together+ByLeave(14), 14, "together with all permits")
 		require.Positive(t, together)
 	}
 	require.Equal(t, 1, Share("a", time.Minute, []string{"a", "b"}, "i", 1)+Share("b", time.Minute, []string{"a", "b"}, "i", 1))
-	require.Zero(t, Share("c", time.Minute, []string{"a", "b"}, "i", 14), "it is not a router itself")
+	require.Zero(t, Share("c", time.Minute, []string{"a", "b"}, "i", 14), "it is not a listed router")
 }
 
-// A router is killed and starts anew within a second, while an upstream is cold that no process stands
-// beside. What its earlier life sent there is known to nobody, so the new one waits a second;
-// before, each life had the whole share, and three routers that were killed together passed what the
-// upstream bears: 20 requests in a second instead of 14.
-func TestRestartsGiveNoShareAgain(t *testing.T) {
+// Guards against a restarted router that uses its share twice. A router is killed and restarts
+// within a second while an upstream without a lender is cold. Without a wait of a second each
+// incarnation would have the whole share, and three routers killed together sent 20 requests in a
+// second instead of 14, more than the upstream sustains.
+func TestRestartedRouterGetsNoImmediateShare(t *testing.T) {
 	const most = 14
 	routers := []string{"a", "b", "c"}
 	inOneSecond := ByLeave(most)
