--- a/admission/lag.go
+++ b/admission/lag.go
@@ -5,39 +5,38 @@
 	"time"
 )
 
-// Lag estimates how long work waits for the VM's processor, by how late a periodic timer
-// comes. The load pattern it answers is that of Link, at a VM with a small share of a
-// core: everything that the process does is late by the same time then. It is safe for
-// concurrent use.
+// Lag estimates how long work waits for the VM's processor, by the delay of a periodic timer. Like
+// Link, it handles overload, at a VM with a small share of a core: everything that the process
+// does is delayed by the same time then. It is safe for concurrent use.
 type Lag struct {
-	// Period is that of the timer.
+	// Period is the period of the timer.
 	Period time.Duration
 
-	mu   sync.Mutex
-	last time.Time // of the last tick
-	late time.Duration
+	mu         sync.Mutex
+	lastTick   time.Time
+	averageLag time.Duration
 }
 
-// Tick notes that the timer came.
+// Tick records that the timer fired.
 func (l *Lag) Tick(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.last.IsZero() {
-		// The mean of two spares a single pause, such as a collection, from
-		// counting as lag.
-		l.late = (l.late + max(0, now.Sub(l.last)-l.Period)) / 2
+	if !l.lastTick.IsZero() {
+		// Averaging two values keeps a single pause, such as a garbage collection, from counting
+		// as lag.
+		l.averageLag = (l.averageLag + max(0, now.Sub(l.lastTick)-l.Period)) / 2
 	}
-	l.last = now
+	l.lastTick = now
 }
 
-// Delay is how long work that comes now is believed to wait. A tick that is overdue
-// counts as well, since it cannot come while the processor is not to be had.
+// Delay returns the estimated wait of work that arrives now. An overdue tick counts as well, since
+// the timer cannot fire while the processor is unavailable.
 func (l *Lag) Delay(now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.last.IsZero() {
+	if l.lastTick.IsZero() {
 		return 0
 	}
-	overdue := max(0, now.Sub(l.last)-l.Period)
-	return max(l.late, overdue/2)
+	overdue := max(0, now.Sub(l.lastTick)-l.Period)
+	return max(l.averageLag, overdue/2)
 }
--- a/admission/lag_test.go
+++ b/admission/lag_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The processor is taken for a while: ticks come late, work that comes then is known to
-// wait, and soon after the ticks are in time again nothing is.
+// While the processor is unavailable, ticks are late and work is estimated to wait; soon after the
+// ticks are on time again, the estimate is near 0.
 func TestLag(t *testing.T) {
 	now := time.Unix(0, 0)
 	l := Lag{Period: 50 * time.Millisecond}
--- a/admission/link_test.go
+++ b/admission/link_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A hot team sends 200 large requests a second through a VM whose link carries 60. The
-// bytes that wait at the link must stay bounded, so that the requests that are taken are
-// answered in time, and urgent ones are turned away last.
-func TestHotTeamAtASmallLink(t *testing.T) {
+// Guards against a growing queue at an overloaded link. One team sends 200 large requests a second
+// through a VM whose link carries 60. The queue must stay bounded, so that accepted requests are
+// answered in time, and urgent ones are refused last.
+func TestLinkDelayStaysBoundedUnderOverload(t *testing.T) {
 	const size = 20_000
 	now := time.Unix(0, 0)
 	l := Link{BytesPerSecond: 60 * size}
@@ -25,13 +25,13 @@
 		}
 		worst = max(worst, l.Delay(now))
 	}
-	require.Less(t, worst, mostDelay+50*time.Millisecond)
+	require.Less(t, worst, maxDelay+50*time.Millisecond)
 	require.Greater(t, taken[0], taken[1])
 	require.Greater(t, taken[1], taken[2])
 	require.InDelta(t, 10*60, taken[0]+taken[1]+taken[2], 40, "the link is used")
 }
 
-// Small requests pass a full link, and a VM without a known rate turns nothing away.
+// Small requests are accepted at a full link, and a VM without a known rate refuses nothing.
 func TestSmallRequestsAndUnknownRate(t *testing.T) {
 	require.True(t, Admit(time.Hour, 9, 600))
 	require.False(t, Admit(time.Hour, 0, 10_000))
--- a/admission/usage.go
+++ b/admission/usage.go
@@ -5,79 +5,78 @@
 	"time"
 )
 
-// Usage tells when a VM's link has carried too much for too long, in either direction.
-// What waits inbound cannot be counted here, only what arrives; but a link at its rate
-// has a queue. While it lasts the balancer should send new callers to other VMs: refusing
-// does not help, since a request's bytes have come in by then. It is safe for concurrent
-// use.
+// Usage detects that a VM's link has been overloaded in either direction for too long. The inbound
+// queue cannot be measured here, only the bytes that arrive, but a link at its full rate has a
+// queue. During an overload the balancer should send new callers to other VMs: refusing requests
+// does not help, since their bytes have been received by then. It is safe for concurrent use.
 type Usage struct {
-	// BytesPerSecond is the link's rate each way; 0 stands for one that never fills.
+	// BytesPerSecond is the link's rate in each direction; 0 is unlimited.
 	BytesPerSecond float64
 
-	mu      sync.Mutex
-	in, out int
-	began   time.Time // of this span
-	full    time.Time // since when the link has been full, zero if it is not
-	until   time.Time // to when new callers go elsewhere
+	mu              sync.Mutex
+	in, out         int
+	windowStart     time.Time
+	fullSince       time.Time // zero if the link is not full
+	overloadedUntil time.Time // new callers go elsewhere until then
 }
 
 const (
-	// usageSpan is the span over which usage is taken.
-	usageSpan = 500 * time.Millisecond
-	// usageFull is the share of the rate from which a link counts as full: queues
-	// grow long before all of it is used, as bytes come in bursts.
-	usageFull = 0.75
-	// fullFor is how long a link must be full before callers are sent elsewhere; a
-	// burst of a moment is over before the balancer has noticed.
-	fullFor = time.Second
-	// awayFor is how long new callers then go elsewhere. Those that left come back
+	// usageWindow is the duration over which usage is measured.
+	usageWindow = 500 * time.Millisecond
+	// fullThreshold is the share of the rate from which a link counts as full: queues grow long
+	// before the whole rate is used, since traffic is bursty.
+	fullThreshold = 0.75
+	// overloadDelay is how long a link must be full before it counts as overloaded; a short burst
+	// is over before the balancer reacts.
+	overloadDelay = time.Second
+	// overloadHold is how long new callers go elsewhere after that. The callers that left return
 	// together, so it is longer than usual bursts.
-	awayFor = 8 * time.Second
+	overloadHold = 8 * time.Second
 )
 
-// Received and Sent note bytes.
-func (u *Usage) Received(now time.Time, bytes int) { u.note(now, bytes, 0) }
+// Received records bytes that were received.
+func (u *Usage) Received(now time.Time, bytes int) { u.recordBytes(now, bytes, 0) }
 
-// Sent notes bytes that were sent.
-func (u *Usage) Sent(now time.Time, bytes int) { u.note(now, 0, bytes) }
+// Sent records bytes that were sent.
+func (u *Usage) Sent(now time.Time, bytes int) { u.recordBytes(now, 0, bytes) }
 
-func (u *Usage) note(now time.Time, in, out int) {
+func (u *Usage) recordBytes(now time.Time, in, out int) {
 	if u.BytesPerSecond <= 0 {
 		return
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.rollLocked(now)
+	u.endWindowLocked(now)
 	u.in += in
 	u.out += out
 }
 
-// rollLocked judges a span that is over.
-func (u *Usage) rollLocked(now time.Time) {
-	span := now.Sub(u.began)
-	if span < usageSpan {
+// endWindowLocked evaluates the window if it is over.
+func (u *Usage) endWindowLocked(now time.Time) {
+	elapsed := now.Sub(u.windowStart)
+	if elapsed < usageWindow {
 		return
 	}
-	used := float64(max(u.in, u.out)) / span.Seconds() / u.BytesPerSecond
-	u.in, u.out, u.began = 0, 0, now
+	used := float64(max(u.in, u.out)) / elapsed.Seconds() / u.BytesPerSecond
+	u.in, u.out, u.windowStart = 0, 0, now
 	switch {
-	case used < usageFull:
-		u.full = time.Time{}
-	case u.full.IsZero():
-		u.full = now.Add(-span)
+	case used < fullThreshold:
+		u.fullSince = time.Time{}
+	case u.fullSince.IsZero():
+		u.fullSince = now.Add(-elapsed)
 	}
-	if !u.full.IsZero() && now.Sub(u.full) >= fullFor {
-		u.until = now.Add(awayFor)
+	if !u.fullSince.IsZero() && now.Sub(u.fullSince) >= overloadDelay {
+		u.overloadedUntil = now.Add(overloadHold)
 	}
 }
 
-// Overloaded reports whether new callers should go elsewhere.
+// Overloaded reports whether new callers should be sent to other VMs.
 func (u *Usage) Overloaded(now time.Time) bool {
 	if u.BytesPerSecond <= 0 {
 		return false
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.rollLocked(now)
-	return now.Before(u.until)
+	u.endWindowLocked(now)
+	return now.Before(u.overloadedUntil)
 }
--- a/admission/usage_test.go
+++ b/admission/usage_test.go
@@ -7,10 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A hot team's callers fill a small VM's inbound link for seconds. New callers go
-// elsewhere from about a second on, and come back some seconds after it is over; a short
-// burst changes nothing.
-func TestFullLinkSendsCallersElsewhere(t *testing.T) {
+// A team's callers fill a small VM's inbound link for seconds. The link is reported as overloaded
+// after about a second and until some seconds after the load ends; a short burst has no effect.
+func TestFullInboundLinkReportsOverload(t *testing.T) {
 	now := time.Unix(0, 0)
 	u := Usage{BytesPerSecond: 1e6}
 	play := func(d time.Duration, rate float64) (overloaded bool) {
