--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog is the configuration that operators put in force: routes, services,
-// teams and limits, as one value that is swapped whole.
+// Package catalog holds the active configuration: routes, services, teams and limits, as one value
+// that is replaced as a whole.
 package catalog
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Kind says what may be repeated on a route.
+// Kind determines whether requests of a route may be repeated.
 type Kind int
 
 // The kinds of routes.
@@ -17,14 +17,14 @@
 	Unsafe Kind = iota
 	// Safe requests are idempotent.
 	Safe
-	// Streaming requests are answered by a series of events. They run at most
-	// once, unless the route is resumable.
+	// Streaming requests are answered by a series of events. They run at most once, unless the
+	// route is resumable.
 	Streaming
 )
 
 // Config is one version of the configuration.
 type Config struct {
-	// Version grows with each change, in uneven steps.
+	// Version increases with each change, not always by one.
 	Version  int64
 	Routes   []Route
 	Services map[string]Service
@@ -39,23 +39,23 @@
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Targets are the services with their weights; the weights' sum is positive.
+	// Targets are the services with their weights; the sum of the weights is positive.
 	Targets []Target
-	// Timeout is the longest time that a caller is kept waiting.
+	// Timeout is the maximum time that a caller waits.
 	Timeout time.Duration
-	// Goal is the time within which an answer (the first event of a stream) is on time.
+	// Goal is the latency objective of an answer, for streams of the first event.
 	Goal time.Duration
-	// GapGoal is the longest pause between two events that is still on time.
+	// GapGoal is the objective for the longest pause between two events.
 	GapGoal time.Duration
-	// MaxRuns is the most upstreams that one request may be run on.
+	// MaxRuns is the maximum number of upstreams on which one request may run.
 	MaxRuns int
-	// Rank is the priority; 0 goes first.
+	// Rank is the priority; 0 is the most urgent.
 	Rank int
 	// Public routes need no key.
 	Public bool
-	// Generative requests name a model, their tokens and the parts of their prompt.
+	// Generative requests carry a model, token counts and the parts of their prompt.
 	Generative bool
-	// Resumable streams may go on at another upstream after their last event.
+	// Resumable streams may continue at another upstream after their last event.
 	Resumable bool
 	// Regions are those in which requests may be served.
 	Regions Regions
@@ -70,51 +70,52 @@
 // Idempotent reports whether a request of the route may run more than once.
 func (r *Route) Idempotent() bool { return r.Kind == Safe || r.Kind == Streaming && r.Resumable }
 
-// Service is what stands behind routes.
+// Service is a group of upstreams to which routes send requests.
 type Service struct {
 	Name string
-	// MaxConnections is what one upstream accepts from all callers together.
+	// MaxConnections is the maximum number of connections to one upstream from all callers
+	// together.
 	MaxConnections int
 	// Engine is nil for plain services.
 	Engine *Engine
 	Cold   Cold
 }
 
-// Cold is what upstreams bear that have just started.
+// Cold describes the load that upstreams sustain just after their start.
 type Cold struct {
 	// For is how long an upstream is cold after its start.
 	For time.Duration
-	// PerSecond is the requests a second that a cold one bears; 0 is no bound.
+	// PerSecond is the number of requests per second that a cold upstream sustains; 0 is no bound.
 	PerSecond float64
 }
 
-// Engine is what the upstreams of a model service have in common.
+// Engine holds the common properties of the upstreams of a model service.
 type Engine struct {
-	// Slots is the most requests that run in one batch.
+	// Slots is the maximum number of requests that run in one batch.
 	Slots int
-	// CacheTokens is the memory for running requests and cached prompt parts.
+	// CacheTokens is the memory, in tokens, for running requests and cached prompt parts.
 	CacheTokens int64
-	// TokensPerEvent is the most tokens that one event of a stream holds.
+	// TokensPerEvent is the maximum number of tokens in one event of a stream.
 	TokensPerEvent int64
-	// BytesPerToken is what one token's cache entry takes on a link.
+	// BytesPerToken is the size of one token's cache entry in a transfer.
 	BytesPerToken int64
 	// LinkMbps is the rate of a transfer between two engines.
 	LinkMbps float64
 }
 
-// Team is a customer with keys and, perhaps, a prepaid budget.
+// Team is a customer with keys and an optional prepaid budget.
 type Team struct {
 	Name string
 	Keys []string
-	// Rank goes before that of a route; nil leaves the route's.
+	// Rank overrides that of a route; nil keeps the route's.
 	Rank *int
-	// Prepaid is the total of tokens that the team may use; 0 is no limit.
+	// Prepaid is the total number of tokens that the team may use; 0 is no limit.
 	Prepaid int64
 	// Regions are those in which its requests may be served.
 	Regions Regions
 }
 
-// Limits bound what callers may send.
+// Limits limits what callers may send.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -122,29 +123,29 @@
 	IdleTimeout   time.Duration
 }
 
-// Table is a Config with its look-ups made ready. It is never changed.
+// Table is an immutable Config with lookup indexes.
 type Table struct {
 	*Config
-	// hosts maps host and prefix to a route.
-	hosts map[string]map[string]*Route
-	keys  map[string]*Team
-	names map[string]*Team
+	// routes maps host and prefix to a route.
+	routes     map[string]map[string]*Route
+	teamsByKey map[string]*Team
+	teams      map[string]*Team
 }
 
-// NewTable prepares a configuration.
+// NewTable builds the lookup indexes of a configuration.
 func NewTable(c *Config) *Table {
-	t := &Table{Config: c, hosts: map[string]map[string]*Route{}, keys: map[string]*Team{}, names: map[string]*Team{}}
+	t := &Table{Config: c, routes: map[string]map[string]*Route{}, teamsByKey: map[string]*Team{}, teams: map[string]*Team{}}
 	for i := range c.Routes {
 		r := &c.Routes[i]
-		if t.hosts[r.Host] == nil {
-			t.hosts[r.Host] = map[string]*Route{}
+		if t.routes[r.Host] == nil {
+			t.routes[r.Host] = map[string]*Route{}
 		}
-		t.hosts[r.Host][r.Prefix] = r
+		t.routes[r.Host][r.Prefix] = r
 	}
 	for i := range c.Teams {
-		t.names[c.Teams[i].Name] = &c.Teams[i]
+		t.teams[c.Teams[i].Name] = &c.Teams[i]
 		for _, k := range c.Teams[i].Keys {
-			t.keys[k] = &c.Teams[i]
+			t.teamsByKey[k] = &c.Teams[i]
 		}
 	}
 	return t
@@ -152,7 +153,7 @@
 
 // Route returns the route of the host whose prefix is the longest that begins path.
 func (t *Table) Route(host, path string) *Route {
-	prefixes := t.hosts[host]
+	prefixes := t.routes[host]
 	for i := len(path); i > 0; i-- {
 		if path[i-1] != '/' {
 			continue
@@ -164,17 +165,17 @@
 	return nil
 }
 
-// Team returns the team that holds the key.
-func (t *Table) Team(key string) *Team { return t.keys[key] }
+// Team returns the team that holds the key, nil if there is none.
+func (t *Table) Team(key string) *Team { return t.teamsByKey[key] }
 
 // TeamNamed returns the team of that name, nil if there is none.
-func (t *Table) TeamNamed(name string) *Team { return t.names[name] }
+func (t *Table) TeamNamed(name string) *Team { return t.teams[name] }
 
 // KeysNeeded reports whether requests on routes that are not public need a key.
 func (t *Table) KeysNeeded() bool { return len(t.Teams) > 0 }
 
-// Target chooses the service of one request by the weights of the route. The same id
-// gets the same service.
+// Target chooses the service of one request by the weights of the route. Equal ids get the same
+// service.
 func (r *Route) Target(id string) string {
 	total := 0
 	for _, t := range r.Targets {
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -31,7 +31,8 @@
 	require.Empty(t, (&Route{}).Target("id"))
 }
 
-// An answer of a slow store, with an older version, comes after a newer one is in force.
+// Guards against activating an older version that a slow store returns after a newer one is
+// active.
 func TestVersionsOnlyRise(t *testing.T) {
 	var c Current
 	require.Nil(t, c.Load())
--- a/catalog/current.go
+++ b/catalog/current.go
@@ -2,16 +2,15 @@
 
 import "sync/atomic"
 
-// Current is the table in force in a process. Versions only rise within its life.
+// Current holds the active table of a process. Its version never decreases while the process runs.
 type Current struct{ table atomic.Pointer[Table] }
 
-// Load returns the table in force, or nil before the first one.
+// Load returns the active table, or nil before the first one.
 func (c *Current) Load() *Table { return c.table.Load() }
 
-// Raise puts a table in force if its version is higher than the one in force, and
-// reports whether it did. A read that is answered late, by a slow store or on another
-// connection, would otherwise put an older version in force again: callers would see
-// a route or key return that was taken away.
+// Raise activates a table if its version is higher than that of the active one, and reports
+// whether it did. Otherwise a late response, from a slow store or on another connection, could
+// reactivate an older version: callers would see a removed route or key return.
 func (c *Current) Raise(t *Table) bool {
 	for {
 		have := c.table.Load()
--- a/catalog/regions.go
+++ b/catalog/regions.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// Regions are those in which requests may be served; nil is any.
+// Regions lists the regions in which requests may be served; nil is any.
 type Regions []string
 
-// Both are the regions that are allowed by both: a request obeys its route and its team.
+// Both returns the regions allowed by both: a request must comply with its route and its team.
 func (r Regions) Both(other Regions) Regions {
 	if r == nil {
 		return other
@@ -22,8 +22,8 @@
 	return both
 }
 
-// Allow reports whether requests may be served in a region. One that is not known ("") is
-// allowed only where any is.
+// Allow reports whether requests may be served in a region. An unknown region ("") is allowed only
+// if any region is.
 func (r Regions) Allow(region string) bool {
 	return r == nil || region != "" && slices.Contains(r, region)
 }
