--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -78,13 +78,13 @@
 	MaxConnections int
 	// Engine is nil for plain services.
 	Engine *Engine
-	Cold   Cold
+	Cold   ColdStart
 }
 
-// Cold describes the load that upstreams sustain just after their start.
-type Cold struct {
-	// For is how long an upstream is cold after its start.
-	For time.Duration
+// ColdStart describes the load that upstreams sustain just after their start.
+type ColdStart struct {
+	// Duration is how long an upstream is cold after its start.
+	Duration time.Duration
 	// PerSecond is the number of requests per second that a cold upstream sustains; 0 is no bound.
 	PerSecond float64
 }
--- a/catalog/regions.go
+++ b/catalog/regions.go
@@ -5,8 +5,8 @@
 // Regions lists the regions in which requests may be served; nil is any.
 type Regions []string
 
-// Both returns the regions allowed by both: a request must comply with its route and its team.
-func (r Regions) Both(other Regions) Regions {
+// Intersect returns the regions allowed by both: a request must comply with its route and its team.
+func (r Regions) Intersect(other Regions) Regions {
 	if r == nil {
 		return other
 	}
--- a/coord/account/account.go
+++ b/coord/account/account.go
@@ -25,13 +25,13 @@
 	ErrExists = errs.New("budget exists for another team")
 	// ErrCreditDiffers is returned when a top-up ID was used with another amount.
 	ErrCreditDiffers = errs.New("top-up id was used with another amount")
-	// ErrBroken is returned for a page that violates the invariant. Such a page
+	// ErrInvariantViolated is returned for a page that violates the invariant. Such a page
 	// is never written and never spent from.
-	ErrBroken = errs.New("account invariant violated")
+	ErrInvariantViolated = errs.New("account invariant violated")
 	// ErrNoRow is returned when the holder has no row.
 	ErrNoRow = errs.New("holder has no row")
-	// ErrBackwards is returned for a report that would lower a total that only grows.
-	ErrBackwards = errs.New("report lowers a total")
+	// ErrTotalDecreased is returned for a report that would lower a total that only grows.
+	ErrTotalDecreased = errs.New("report lowers a total")
 	// ErrBadAmount is returned when an amount is not positive or too large.
 	ErrBadAmount = errs.New("amount must be positive and below 2^53")
 )
@@ -119,7 +119,7 @@
 	}
 	for _, n := range amounts {
 		if n < 0 || n > MaxTokens {
-			return Error.Wrap(ErrBroken)
+			return Error.Wrap(ErrInvariantViolated)
 		}
 	}
 	return nil
@@ -178,12 +178,12 @@
 		return Error.Wrap(ErrNoRow)
 	}
 	if r.Settled < row.Settled || r.Through < row.Through || r.Returned < row.Returned {
-		return Error.Wrap(ErrBackwards)
+		return Error.Wrap(ErrTotalDecreased)
 	}
 	row.Settled, row.Through, row.Returned = r.Settled, r.Through, r.Returned
 	row.Since, row.Demand = r.Since, r.Demand
 	if row.Balance() < 0 {
-		return Error.Wrap(ErrBroken)
+		return Error.Wrap(ErrInvariantViolated)
 	}
 	return nil
 }
@@ -264,6 +264,6 @@
 	return n
 }
 
-// Join creates an empty row for the holder, so that its demand counts before it
+// AddHolder creates an empty row for the holder, so that its demand counts before it
 // has tokens.
-func (a *Account) Join(holder string) { a.ensureRow(holder) }
+func (a *Account) AddHolder(holder string) { a.ensureRow(holder) }
--- a/coord/claim/claim.go
+++ b/coord/claim/claim.go
@@ -49,8 +49,8 @@
 	Answer json.RawMessage `json:"answer,omitempty"`
 }
 
-// Register stores claims under Prefix.
-type Register struct {
+// Registry stores claims under Prefix.
+type Registry struct {
 	Store  store.Store
 	Prefix string
 }
@@ -61,10 +61,10 @@
 	backoffMax = 200 * time.Millisecond
 )
 
-// Take claims the request. When acquired is true, only the caller may run it. Else
+// Acquire claims the request. When acquired is true, only the caller may run it. Else
 // the returned claim is the current claim of another attempt. After ErrUnavailable
 // nobody may run the request because of this call.
-func (r Register) Take(ctx context.Context, id string, want Claim) (got Claim, acquired bool, err error) {
+func (r Registry) Acquire(ctx context.Context, id string, want Claim) (got Claim, acquired bool, err error) {
 	want.State = Started
 	value, err := json.Marshal(want)
 	if err != nil {
@@ -81,7 +81,7 @@
 
 // acquireOnce reads the key first: if the response to an earlier write was lost, it
 // finds its own claim there.
-func (r Register) acquireOnce(ctx context.Context, id string, want Claim, value []byte) (Claim, bool, error) {
+func (r Registry) acquireOnce(ctx context.Context, id string, want Claim, value []byte) (Claim, bool, error) {
 	item, err := r.Store.Get(ctx, r.Prefix+id)
 	if err != nil {
 		return Claim{}, false, Error.Wrap(errors.Join(ErrUnavailable, err))
@@ -106,7 +106,7 @@
 
 // End sets the state and the response of a claim. It changes nothing if the stored
 // claim has another owner or nonce than own.
-func (r Register) End(ctx context.Context, id string, own Claim, state State, answer json.RawMessage) error {
+func (r Registry) End(ctx context.Context, id string, own Claim, state State, answer json.RawMessage) error {
 	_, err := store.Update(ctx, r.Store, r.Prefix+id, func(old store.Item) ([]byte, error) {
 		var have Claim
 		if err := json.Unmarshal(old.Value, &have); err != nil {
--- a/coord/grant/acquirer.go
+++ b/coord/grant/acquirer.go
@@ -21,7 +21,7 @@
 // ErrUnreachable, ErrNoBudget and ErrFenced; with each of them nothing is reserved.
 func (q *Acquirer) Acquire(ctx context.Context, budget string, n int64) (Reservation, error) {
 	r, err := q.Holder.Reserve(q.Now(), budget, n)
-	if err == nil || !errors.Is(err, ErrShort) {
+	if err == nil || !errors.Is(err, ErrInsufficientTokens) {
 		return r, err
 	}
 	defer q.Holder.addWaiting(budget, n)()
@@ -35,11 +35,11 @@
 	for fetches := 0; ; {
 		l, err := q.Holder.lend(q.Now(), budget, id, borrower, need, need, want)
 		switch {
-		case errors.Is(err, ErrUnexposed):
+		case errors.Is(err, ErrExposureLimit):
 			// Other lots may use up a raised limit first; this one then waits for the next
 			// raise until its request's deadline.
 			err = q.Exposer.Expose(ctx, budget, borrower, need)
-		case errors.Is(err, ErrShort) && fetches < maxFetches:
+		case errors.Is(err, ErrInsufficientTokens) && fetches < maxFetches:
 			fetches++
 			done := q.Holder.addWaiting(budget, need)
 			err = q.fetch(ctx, budget, need)
@@ -59,7 +59,7 @@
 	for try := 1; ; try++ {
 		obtainErr := g.Obtain(ctx, budget, shortfall)
 		r, err := q.Holder.Reserve(q.Now(), budget, n)
-		if err == nil || !errors.Is(err, ErrShort) {
+		if err == nil || !errors.Is(err, ErrInsufficientTokens) {
 			return r, err
 		}
 		if obtainErr != nil {
@@ -79,7 +79,7 @@
 // fetch calls the granters in order until the own row has need tokens available or one
 // succeeds.
 func (q *Acquirer) fetch(ctx context.Context, budget string, need int64) error {
-	lastErr := Error.Wrap(ErrShort)
+	lastErr := Error.Wrap(ErrInsufficientTokens)
 	for _, g := range q.Chain {
 		err := g.Obtain(ctx, budget, q.Holder.ownShortfall(budget, need))
 		if err == nil || q.Holder.ownShortfall(budget, need) <= 0 {
@@ -112,7 +112,7 @@
 			refusal = err
 			break
 		}
-		if errors.Is(err, ErrHeld) {
+		if errors.Is(err, ErrAllReserved) {
 			break
 		}
 	}
--- a/coord/grant/borrowed.go
+++ b/coord/grant/borrowed.go
@@ -38,7 +38,7 @@
 // lender from then on. The exclusion guards against a lender that is alive after all: what it
 // lends after this report is not used, so the report stays valid.
 func (h *Holder) BorrowedFrom(lender string) Borrowed {
-	h.ShutOut(lender)
+	h.ExcludeHolder(lender)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	out := Borrowed{Known: !h.lendersIncomplete, Used: map[string]int64{}}
--- a/coord/grant/exposure.go
+++ b/coord/grant/exposure.go
@@ -9,9 +9,9 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrUnexposed says that a row has the tokens, but must not lend them to this borrower before
+// ErrExposureLimit says that a row has the tokens, but must not lend them to this borrower before
 // the borrower's exposure limit is raised.
-var ErrUnexposed = errs.New("exposure limit reached")
+var ErrExposureLimit = errs.New("exposure limit reached")
 
 // ExposureLimits bound what each borrower has used and may still use of a holder's current rows,
 // in tokens by budget and borrower. They may include use of earlier rows, and do not fall when
--- a/coord/grant/granter.go
+++ b/coord/grant/granter.go
@@ -40,20 +40,20 @@
 	// before the holder plans on it; it reports whether it changed the page. It must
 	// be idempotent.
 	Prepare func(key string, p *account.Page) bool
-	// Moved, if set, is called for tokens that were taken or given back, once that is
+	// OnTransfer, if set, is called for tokens that were taken or given back, once that is
 	// durable, with the view that the decision is based on.
-	Moved func(d Decision, v View)
-	// UsedUp, if set, is called when a budget has too little left for any waiting request.
-	UsedUp func(v View)
-	// Ended, if set, is called with the duration and the error of each sync.
-	Ended func(took time.Duration, err error)
-	// KeepPages is how long a page that was read or written is cached; 0 disables the
+	OnTransfer func(d Decision, v View)
+	// OnExhausted, if set, is called when a budget has too little left for any waiting request.
+	OnExhausted func(v View)
+	// OnSyncEnd, if set, is called with the duration and the error of each sync.
+	OnSyncEnd func(took time.Duration, err error)
+	// PageCacheTTL is how long a page that was read or written is cached; 0 disables the
 	// cache. It suits pages that one process writes: a write based on a page that other
 	// processes changed meanwhile only fails and is retried after a read.
-	KeepPages time.Duration
-	// Fresh is how old a cached page may be to decide that tokens are insufficient. It
+	PageCacheTTL time.Duration
+	// MaxFreshAge is how old a cached page may be to decide that tokens are insufficient. It
 	// bounds the reads of a budget near its end; otherwise each request would cause one.
-	Fresh time.Duration
+	MaxFreshAge time.Duration
 	// Now returns the current time.
 	Now func() time.Time
 
@@ -107,7 +107,7 @@
 	case s.exhausted:
 		return false, Error.Wrap(ErrExhausted)
 	}
-	return !s.insufficient, Error.Wrap(ErrShort)
+	return !s.insufficient, Error.Wrap(ErrInsufficientTokens)
 }
 
 // Sync reports to the page, takes and gives back. A caller that arrives during a
@@ -127,8 +127,8 @@
 	return f.wait(ctx)
 }
 
-// Changed makes the next sync of a page read it, after another process wrote it.
-func (g *StoreGranter) Changed(key string) { g.dropPage(key) }
+// InvalidatePage makes the next sync of a page read it, after another process wrote it.
+func (g *StoreGranter) InvalidatePage(key string) { g.dropPage(key) }
 
 // Wait waits for the syncs in flight. Call it when no more are started.
 func (g *StoreGranter) Wait() { g.inFlight.Wait() }
@@ -139,14 +139,14 @@
 	syncCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), cmp.Or(g.SyncTimeout, g.Timeout))
 	defer cancel()
 	f.err = g.sync(syncCtx, key)
-	if g.Ended != nil {
-		g.Ended(g.Now().Sub(f.began), f.err)
+	if g.OnSyncEnd != nil {
+		g.OnSyncEnd(g.Now().Sub(f.began), f.err)
 	}
 	g.finishSync(key, f)
 }
 
-// Lagging reports whether a sync has been in flight for d or longer.
-func (g *StoreGranter) Lagging(d time.Duration) bool {
+// SyncOverdue reports whether a sync has been in flight for d or longer.
+func (g *StoreGranter) SyncOverdue(d time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, f := range g.syncCalls {
@@ -239,14 +239,14 @@
 	g.cachePage(key, item, known.Revision == item.Revision)
 	for _, c := range commits {
 		insufficient = insufficient || c.insufficient
-		if c.exhausted && fresh && g.UsedUp != nil {
-			g.UsedUp(c.view)
+		if c.exhausted && fresh && g.OnExhausted != nil {
+			g.OnExhausted(c.view)
 		}
 	}
-	if write && g.Moved != nil {
+	if write && g.OnTransfer != nil {
 		for _, c := range commits {
 			if c.decision.Take != 0 || c.decision.Give != 0 {
-				g.Moved(c.decision, c.view)
+				g.OnTransfer(c.decision, c.view)
 			}
 		}
 	}
@@ -263,15 +263,15 @@
 	defer g.mu.Unlock()
 	k := g.pageCache[key]
 	age := g.Now().Sub(k.readAt)
-	if age >= g.KeepPages {
+	if age >= g.PageCacheTTL {
 		return store.Item{}, false
 	}
-	return k.item, age < g.Fresh
+	return k.item, age < g.MaxFreshAge
 }
 
 // cachePage caches a page; one that was neither read nor written keeps its age.
 func (g *StoreGranter) cachePage(key string, item store.Item, untouched bool) {
-	if g.KeepPages == 0 || untouched {
+	if g.PageCacheTTL == 0 || untouched {
 		return
 	}
 	g.mu.Lock()
--- a/coord/grant/holder.go
+++ b/coord/grant/holder.go
@@ -84,31 +84,31 @@
 // ID returns the holder's id.
 func (h *Holder) ID() string { return h.id }
 
-// Expect sets the fleet's number of holders. Without it the first holder of a new
+// SetExpectedHolders sets the fleet's number of holders. Without it the first holder of a new
 // budget would take all of it, and every other one would have to borrow until the
 // next rebalance.
-func (h *Holder) Expect(holders int) {
+func (h *Holder) SetExpectedHolders(holders int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.expectedHolders = holders
 }
 
-// AverageDemand sets the time constant of the demand average. Call it before the first
+// SetDemandWindow sets the time constant of the demand average. Call it before the first
 // request. A short one follows bursty traffic of a team, a long one saves store calls.
-func (h *Holder) AverageDemand(window time.Duration) {
+func (h *Holder) SetDemandWindow(window time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.demandWindow = window
 }
 
-// Lean keeps rows minimal, for fleets that count a dead incarnation's balance as spent
+// UseMinimalRows keeps rows minimal, for fleets that count a dead incarnation's balance as spent
 // instead of recovering it by evidence. A row is created with the first grant. Reports
 // include every settled reservation, also those numbered after an open one; that
 // minimizes what a dead incarnation leaves unreported, but such a row does not tell
 // which reservations it covers. Demand is counted when tokens are reserved, since a
 // partition may begin before the first long streams end. The balance of dead holders'
 // rows counts as spent; dead reports whether a holder is known to be dead.
-func (h *Holder) Lean(dead func(holder string) bool) {
+func (h *Holder) UseMinimalRows(dead func(holder string) bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.minimalRows, h.isDead = true, dead
@@ -151,7 +151,7 @@
 	b.lastUse = now
 	b.largestRecent = max(n, b.largestRecent-b.largestRecent/largestRecentDecay)
 	if n <= 0 || b.spendable() < n {
-		return Reservation{}, Error.Wrap(ErrShort)
+		return Reservation{}, Error.Wrap(ErrInsufficientTokens)
 	}
 	if h.minimalRows {
 		b.recordUse(now, n)
@@ -264,15 +264,15 @@
 	})
 }
 
-// Others lists the other holders seen with rows on the synced pages.
-func (h *Holder) Others() []string {
+// OtherHolders lists the other holders seen with rows on the synced pages.
+func (h *Holder) OtherHolders() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Sorted(maps.Keys(h.otherHolders))
 }
 
-// Recovered removes a holder whose recovery is complete from Others.
-func (h *Holder) Recovered(holder string) {
+// ForgetRecovered removes a holder whose recovery is complete from Others.
+func (h *Holder) ForgetRecovered(holder string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.otherHolders, holder)
@@ -309,7 +309,7 @@
 	Settled   int64   `json:"settled"`
 	Reserved  int64   `json:"reserved"`
 	Available int64   `json:"available"`
-	AtHand    int64   `json:"at_hand"`
+	Spendable int64   `json:"at_hand"`
 	Lots      int     `json:"lots"`
 	Lent      int     `json:"lent"`
 	Through   int64   `json:"through"`
@@ -324,7 +324,7 @@
 	for _, b := range h.budgets {
 		out = append(out, BudgetState{
 			Budget: b.name, Granted: b.granted, Returned: b.returned, Settled: b.settled,
-			Reserved: b.reserved, Available: b.available(), AtHand: b.spendable(),
+			Reserved: b.reserved, Available: b.available(), Spendable: b.spendable(),
 			Lots: len(b.lots), Lent: len(b.lent), Through: b.through, Demand: b.currentDemand(now),
 		})
 	}
--- a/coord/grant/horizon.go
+++ b/coord/grant/horizon.go
@@ -17,31 +17,31 @@
 type HorizonPolicy struct {
 	// Horizon is the longest partition that held tokens should cover.
 	Horizon time.Duration
-	// Worsts is how many of the largest recent requests a holder additionally holds
+	// LargestRequests is how many of the largest recent requests a holder additionally holds
 	// tokens for: a single request may need more than many seconds of demand.
-	Worsts float64
+	LargestRequests float64
 	// Role returns this holder's role for a budget; nil stands for HomeOf.
 	Role func(budget string) Role
-	// Asking reports whether a request of this holder calls the store because no peer
+	// UsingStore reports whether a request of this holder calls the store because no peer
 	// is reachable; nil stands for always. Otherwise a borrower takes nothing from the
 	// store: its requests wait for what peers lend.
-	Asking func(budget string) bool
-	// StandIn is the horizon of a standby lender. It serves for some seconds only, and
+	UsingStore func(budget string) bool
+	// StandbyHorizon is the horizon of a standby lender. It serves for some seconds only, and
 	// its tokens are held in addition to the primary's.
-	StandIn time.Duration
+	StandbyHorizon time.Duration
 	// Share is the largest share of a full budget that is held unreserved (0..1), which
 	// is what one death can cost. The share of the rest shrinks as the budget is used
 	// up: a power loss late in a budget must leave enough for later requests. The bound
 	// also limits the effect of a few large requests in a holder's first second on the
 	// demand.
 	Share float64
-	// MostLost is the largest share of what is left of the budget that a holder has available
+	// MaxLoss is the largest share of what is left of the budget that a holder has available
 	// while the store is healthy (0..1); Wary reports that the store was recently slow or did
 	// not answer. Available tokens are lost when the incarnation dies. Early in a budget the
 	// bound still covers an outage without warning; the less is left, the more later requests
 	// depend on it, and the less is risked. 0 disables the bound.
-	MostLost float64
-	Wary     func() bool
+	MaxLoss       float64
+	StoreDegraded func() bool
 	// Refill is the time whose demand one take may add while Recovering reports a
 	// partition that ended recently; 0 takes all at once. After a partition the holder
 	// thus returns to its target over some seconds: a second partition is then less
@@ -59,27 +59,27 @@
 
 // The roles.
 const (
-	// HomeOf is the primary lender, which lends to all other holders.
-	HomeOf Role = iota
-	// StandInFor is the standby lender, for holders that do not reach the primary.
-	StandInFor
-	// BorrowerOf takes only what its requests wait for and gives the rest back at once.
-	BorrowerOf
+	// RolePrimary is the primary lender, which lends to all other holders.
+	RolePrimary Role = iota
+	// RoleStandby is the standby lender, for holders that do not reach the primary.
+	RoleStandby
+	// RoleBorrower takes only what its requests wait for and gives the rest back at once.
+	RoleBorrower
 )
 
 // Decide implements Policy.
 func (p HorizonPolicy) Decide(v View) Decision {
-	if p.role(v.Budget) == BorrowerOf {
+	if p.role(v.Budget) == RoleBorrower {
 		return p.decideBorrower(v)
 	}
 	need := v.Waiting - v.Available
 	target := p.target(v)
 	slack := int64(p.Slack * float64(target))
-	if v.Written {
+	if v.PageWritten {
 		slack = 0
 	}
 	switch {
-	case v.Waiting > 0 && v.Free+v.Available < v.Smallest:
+	case v.Waiting > 0 && v.Free+v.Available < v.SmallestWaiting:
 		// An amount that suffices for no waiting request would be missing for a
 		// smaller one elsewhere.
 		return Decision{}
@@ -94,10 +94,10 @@
 // decideBorrower takes what requests of the store wait for. Without such requests it removes
 // the row, since each row of a page costs reads and writes.
 func (p HorizonPolicy) decideBorrower(v View) Decision {
-	if p.Asking == nil || p.Asking(v.Budget) {
+	if p.UsingStore == nil || p.UsingStore(v.Budget) {
 		return takeExact(v)
 	}
-	return Decision{Give: v.Available, Fold: true}
+	return Decision{Give: v.Available, RemoveRow: true}
 }
 
 // refillAmount returns how much a holder may take towards its target at once.
@@ -111,21 +111,21 @@
 
 // target returns what a primary or standby lender should have available.
 func (p HorizonPolicy) target(v View) int64 {
-	if p.role(v.Budget) == StandInFor {
-		return int64(v.Demand * p.StandIn.Seconds())
+	if p.role(v.Budget) == RoleStandby {
+		return int64(v.Demand * p.StandbyHorizon.Seconds())
 	}
-	wanted := v.Demand*p.Horizon.Seconds() + p.Worsts*float64(v.Worst)
+	wanted := v.Demand*p.Horizon.Seconds() + p.LargestRequests*float64(v.LargestRecent)
 	rest := float64(v.Unspent)
 	bound := p.Share * rest * math.Sqrt(rest/float64(max(1, v.Credit)))
-	if p.MostLost > 0 && !p.Wary() {
-		bound = min(bound, max(p.MostLost*rest, float64(v.Worst)))
+	if p.MaxLoss > 0 && !p.StoreDegraded() {
+		bound = min(bound, max(p.MaxLoss*rest, float64(v.LargestRecent)))
 	}
 	return int64(min(wanted, bound))
 }
 
 func (p HorizonPolicy) role(budget string) Role {
 	if p.Role == nil {
-		return HomeOf
+		return RolePrimary
 	}
 	return p.Role(budget)
 }
@@ -135,7 +135,7 @@
 
 // LowWater implements Policy.
 func (p HorizonPolicy) LowWater(budget string, demand float64, worst int64) int64 {
-	if p.role(budget) != HomeOf {
+	if p.role(budget) != RolePrimary {
 		return 0
 	}
 	return int64(demand*p.Horizon.Seconds()*(1-p.Slack)) + worst
--- a/coord/grant/lots.go
+++ b/coord/grant/lots.go
@@ -18,14 +18,14 @@
 		return Lot{}, Error.Wrap(ErrFenced)
 	}
 	if h.stopping {
-		return Lot{}, Error.Wrap(ErrShort)
+		return Lot{}, Error.Wrap(ErrInsufficientTokens)
 	}
 	b := h.budgets[budget]
 	// Guards against a holder that asks itself, at the address of an earlier
 	// incarnation: a lot of its own row would be settled in full with the first
 	// request on it.
 	if _, dead := h.excluded[borrower]; dead || b == nil || borrower == h.id {
-		return Lot{}, Error.Wrap(ErrShort)
+		return Lot{}, Error.Wrap(ErrInsufficientTokens)
 	}
 	b.largestRecent = max(need, b.largestRecent-b.largestRecent/largestRecentDecay)
 	b.lastUse = now
@@ -36,9 +36,9 @@
 	n := min(lendable, max(need, min(want, lendable/2)))
 	switch {
 	case n < least && b.available() >= least:
-		return Lot{}, Error.Wrap(ErrUnexposed)
+		return Lot{}, Error.Wrap(ErrExposureLimit)
 	case n < least:
-		return Lot{}, Error.Wrap(ErrShort)
+		return Lot{}, Error.Wrap(ErrInsufficientTokens)
 	}
 	if h.minimalRows {
 		b.recordUse(now, n)
@@ -222,11 +222,11 @@
 	}
 }
 
-// ShutOut excludes a holder that was declared dead. Its lots are not used any more,
+// ExcludeHolder excludes a holder that was declared dead. Its lots are not used any more,
 // since agents now refuse them, and nothing more is lent to it: recovery settles what
 // is lent to it at this moment. Its lots are still returned to it, since it may be
 // alive: if they were dropped, it would take them back as unused and spend them again.
-func (h *Holder) ShutOut(lender string) {
+func (h *Holder) ExcludeHolder(lender string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.excluded[lender] = struct{}{}
--- a/coord/grant/peergranter.go
+++ b/coord/grant/peergranter.go
@@ -30,16 +30,16 @@
 // Obtain implements Granter.
 func (g *PeerGranter) Obtain(ctx context.Context, budget string, shortfall int64) error {
 	want := g.Holder.wantedLotSize(g.Now(), budget)
-	refusal := Error.Wrap(ErrShort)
+	refusal := Error.Wrap(ErrInsufficientTokens)
 	for _, peer := range g.Peers(budget) {
 		began := g.Now()
 		l, err := g.ask(ctx, peer, budget, shortfall, want)
 		NoteAsked(ctx, peer, g.Now().Sub(began), err)
-		if errors.Is(err, ErrExhausted) || errors.Is(err, ErrNoBudget) || errors.Is(err, ErrHeld) {
+		if errors.Is(err, ErrExhausted) || errors.Is(err, ErrNoBudget) || errors.Is(err, ErrAllReserved) {
 			return err // the peer has just checked the whole budget
 		}
 		if err != nil {
-			if !errors.Is(err, ErrShort) {
+			if !errors.Is(err, ErrInsufficientTokens) {
 				refusal = Error.Wrap(ErrUnreachable)
 			}
 			continue
--- a/coord/grant/plan.go
+++ b/coord/grant/plan.go
@@ -17,21 +17,21 @@
 	Rebalance time.Duration
 	// Report is the longest time for which settled tokens stay unreported.
 	Report time.Duration
-	// Fold is the time without use after which the row is removed.
-	Fold time.Duration
-	// Empty is the time for which requests of an exhausted budget are refused
+	// RemoveIdleAfter is the time without use after which the row is removed.
+	RemoveIdleAfter time.Duration
+	// ExhaustedBackoff is the time for which requests of an exhausted budget are refused
 	// without another sync.
-	Empty time.Duration
-	// LowPause is the shortest time between two syncs of the page of a budget
+	ExhaustedBackoff time.Duration
+	// LowBackoff is the shortest time between two syncs of the page of a budget
 	// that runs low. It doubles up to Rebalance while there is nothing to take,
 	// which bounds the store calls when the pool is empty.
-	LowPause time.Duration
+	LowBackoff time.Duration
 }
 
 // DefaultTiming returns the timing for a fleet of a few routers.
 func DefaultTiming() Timing {
-	return Timing{Rebalance: time.Minute, Report: 5 * time.Minute, Fold: 30 * time.Minute,
-		Empty: time.Second, LowPause: 2 * time.Second}
+	return Timing{Rebalance: time.Minute, Report: 5 * time.Minute, RemoveIdleAfter: 30 * time.Minute,
+		ExhaustedBackoff: time.Second, LowBackoff: 2 * time.Second}
 }
 
 // commit is the change that a planned page write makes to a local budget once it is durable.
@@ -150,13 +150,13 @@
 		return commit{budget: b, view: h.view(now, a, b), insufficient: waits, exhausted: waits && h.unspentLocked(a) < b.smallestWaiting()}, nil
 	}
 	if join {
-		a.Join(h.id)
+		a.AddHolder(h.id)
 		row = a.Rows[h.id]
 	}
 	// After a write whose answer was lost, the row has more than the local state.
 	b.granted = max(b.granted, row.Granted)
 	v := h.view(now, a, b)
-	v.Written = written
+	v.PageWritten = written
 	d := h.policy.Decide(v)
 	b.returned += d.Give
 	report := h.reportLocked(now, b)
@@ -172,10 +172,10 @@
 	c.insufficient = b.waiting() > b.available()+took
 	c.exhausted = took == 0 && len(b.waitingAmounts) > 0 && h.unspentLocked(a) < b.smallestWaiting()
 	if c.exhausted {
-		c.view.Unspent, c.view.Dead = h.unspentAndDeadLocked(a) // includes the report above
+		c.view.Unspent, c.view.HeldByDead = h.unspentAndDeadLocked(a) // includes the report above
 	}
-	unused := now.Sub(b.lastUse) > t.Fold && !b.lastUse.IsZero()
-	if b.idle() && (unused || h.stopping) || d.Fold && b.ownRowIdle() {
+	unused := now.Sub(b.lastUse) > t.RemoveIdleAfter && !b.lastUse.IsZero()
+	if b.idle() && (unused || h.stopping) || d.RemoveRow && b.ownRowIdle() {
 		c.rowRemoved = h.removeRowLocked(a, b)
 	}
 	c.needsWrite = join || took > 0 || returned || due || c.rowRemoved
@@ -229,12 +229,12 @@
 	v := View{
 		Now: now, Budget: b.name, Credit: a.Credit(), Free: a.Free(),
 		Granted: b.granted, Available: b.available(), Reserved: b.reserved,
-		Waiting: b.waiting(), Smallest: b.smallestWaiting(), Worst: b.largestRecent, Demand: b.currentDemand(now), Holders: max(len(a.Rows), h.expectedHolders),
+		Waiting: b.waiting(), SmallestWaiting: b.smallestWaiting(), LargestRecent: b.largestRecent, Demand: b.currentDemand(now), Holders: max(len(a.Rows), h.expectedHolders),
 	}
-	v.Unspent, v.Dead = h.unspentAndDeadLocked(a)
+	v.Unspent, v.HeldByDead = h.unspentAndDeadLocked(a)
 	for id, r := range a.Rows {
 		if id != h.id {
-			v.Others += r.Demand
+			v.OthersDemand += r.Demand
 		}
 	}
 	if !b.lastUse.IsZero() {
@@ -251,13 +251,13 @@
 	for _, c := range commits {
 		b := c.budget
 		b.lastSync, b.insufficient = now, c.insufficient
-		b.lowBackoff = min(max(t.LowPause, 2*b.lowBackoff), t.Rebalance)
+		b.lowBackoff = min(max(t.LowBackoff, 2*b.lowBackoff), t.Rebalance)
 		if c.tookTokens {
-			b.lowBackoff = t.LowPause
+			b.lowBackoff = t.LowBackoff
 		}
 		b.nextSync = now.Add(t.Rebalance - h.syncOffset(b.name, t.Rebalance/4))
 		if c.exhausted {
-			b.exhaustedUntil = now.Add(t.Empty)
+			b.exhaustedUntil = now.Add(t.ExhaustedBackoff)
 		}
 		if !wrote {
 			continue
--- a/coord/grant/policy.go
+++ b/coord/grant/policy.go
@@ -11,31 +11,31 @@
 	// Credit is the sum of top-ups; Free may be granted; Unspent is what is left
 	// in all grants and in the free pool.
 	Credit, Free, Unspent int64
-	// Dead is held by ended incarnations; it counts as spent and is not in Unspent.
-	Dead int64
+	// HeldByDead is held by ended incarnations; it counts as spent and is not in Unspent.
+	HeldByDead int64
 	// Granted, Available and Reserved are of the holder's own row.
 	Granted, Available, Reserved int64
 	// Waiting is the total that waiting requests need, Smallest the smallest need
 	// of one of them; Worst is the largest recent reservation.
-	Waiting, Smallest, Worst int64
+	Waiting, SmallestWaiting, LargestRecent int64
 	// Demand is the holder's recent use, Others the sum of all other rows'
 	// (tokens a second).
-	Demand, Others float64
+	Demand, OthersDemand float64
 	// Holders is the current or expected number of holders, whichever is larger.
 	Holders int
 	// IdleFor is the time since the last use here.
 	IdleFor time.Duration
-	// Written says that the page is written for another budget anyway, so that taking or
+	// PageWritten says that the page is written for another budget anyway, so that taking or
 	// giving back costs no extra store call.
-	Written bool
+	PageWritten bool
 }
 
 // Decision is the output of a policy: tokens to take from the free pool, or to
 // give back to it. At most one of them is positive.
 type Decision struct {
 	Take, Give int64
-	// Fold requests removal of the row once nothing of it is reserved.
-	Fold bool
+	// RemoveRow requests removal of the row once nothing of it is reserved.
+	RemoveRow bool
 }
 
 // Policy decides the sizes of grants. It affects sizes and order only; the
@@ -97,7 +97,7 @@
 // Decide implements Policy.
 func (p DemandPolicy) Decide(v View) Decision {
 	target := p.target(v)
-	if target < int64(p.EndFactor*float64(v.Worst)) {
+	if target < int64(p.EndFactor*float64(v.LargestRecent)) {
 		return takeExact(v)
 	}
 	held := v.Available + v.Reserved
@@ -118,10 +118,10 @@
 	n := max(1, v.Holders)
 	even := 1 / float64(n)
 	share := even
-	if all := v.Demand + v.Others; all > 0 {
+	if all := v.Demand + v.OthersDemand; all > 0 {
 		share = p.Floor*even + (1-p.Floor)*v.Demand/all
 	}
-	if v.IdleFor > p.IdleAfter && v.Others > 0 {
+	if v.IdleFor > p.IdleAfter && v.OthersDemand > 0 {
 		share = p.Floor * even
 	}
 	return int64(share * float64(v.Unspent))
@@ -136,7 +136,7 @@
 	switch {
 	case need <= 0:
 		return Decision{Give: -need}
-	case v.Free+v.Available < v.Smallest:
+	case v.Free+v.Available < v.SmallestWaiting:
 		return Decision{}
 	}
 	return Decision{Take: min(v.Free, need)}
--- a/coord/grant/reservation.go
+++ b/coord/grant/reservation.go
@@ -17,14 +17,14 @@
 var Error = errs.Class("grant")
 
 var (
-	// ErrShort says that the holder has too few tokens.
-	ErrShort = errs.New("holder has too few tokens")
+	// ErrInsufficientTokens says that the holder has too few tokens.
+	ErrInsufficientTokens = errs.New("holder has too few tokens")
 	// ErrExhausted says that the whole budget has too few tokens left, over all
 	// holders and the free pool.
 	ErrExhausted = errs.New("budget exhausted")
-	// ErrHeld says that all that is left of the budget is reserved for requests in
+	// ErrAllReserved says that all that is left of the budget is reserved for requests in
 	// progress. Some of it may come back unused; no other holder has any.
-	ErrHeld = errs.New("all remaining tokens are reserved")
+	ErrAllReserved = errs.New("all remaining tokens are reserved")
 	// ErrUnreachable says that the budget may have tokens left, but none can be
 	// reached now.
 	ErrUnreachable = errs.New("no tokens reachable")
--- a/coord/incarnation/incarnation.go
+++ b/coord/incarnation/incarnation.go
@@ -90,9 +90,9 @@
 	rec.Clean, rec.Gone = false, false
 }
 
-// EndClean records that an incarnation ended by a planned stop and left nothing
+// MarkClean records that an incarnation ended by a planned stop and left nothing
 // unreported.
-func (r Registry) EndClean(ctx context.Context, name string) error {
+func (r Registry) MarkClean(ctx context.Context, name string) error {
 	vm, count, err := Parse(name)
 	if err != nil {
 		return err
--- a/coord/lapse/lapse.go
+++ b/coord/lapse/lapse.go
@@ -13,9 +13,9 @@
 // to them would fail when they end.
 const lapsedShare = 0.75
 
-// Judge decides for the entries under one prefix. The zero value has recorded no loss. It is
+// Detector decides for the entries under one prefix. The zero value has recorded no loss. It is
 // not safe for concurrent use.
-type Judge struct {
+type Detector struct {
 	// graceEnd is the end of the grace period after the last loss.
 	graceEnd time.Time
 	// surviving counts the entries whose leases outlasted that loss, missing those known before it
@@ -23,44 +23,44 @@
 	surviving, missing int
 }
 
-// StoreIsBack starts a grace period with the first read after a loss of the store. During it,
+// StartGrace starts a grace period with the first read after a loss of the store. During it,
 // entries may be missing because of the loss, and live owners create theirs again. If the grace
 // period of an earlier loss is not over, the entries missing because of that loss still count.
-func (j *Judge) StoreIsBack(now time.Time, grace time.Duration) {
-	if !j.Possible(now) {
+func (j *Detector) StartGrace(now time.Time, grace time.Duration) {
+	if !j.InGrace(now) {
 		j.missing = 0
 	}
 	j.graceEnd = now.Add(grace)
 }
 
-// Read records what a read shows of the entries known before: how many of them still exist as
+// RecordRead records what a read shows of the entries known before: how many of them still exist as
 // they were created, so that their leases have not run out, and how many were created again.
-func (j *Judge) Read(surviving, recreated int) {
+func (j *Detector) RecordRead(surviving, recreated int) {
 	j.surviving = surviving
 	j.missing += recreated
 }
 
-// Miss records an entry that has disappeared; hadSurvived is whether it had outlasted the loss so
+// RecordMissing records an entry that has disappeared; hadSurvived is whether it had outlasted the loss so
 // far.
-func (j *Judge) Miss(hadSurvived bool) {
+func (j *Detector) RecordMissing(hadSurvived bool) {
 	j.missing++
 	if hadSurvived {
 		j.surviving--
 	}
 }
 
-// Possible reports whether an entry that disappears now may have lapsed at all.
-func (j *Judge) Possible(now time.Time) bool { return now.Before(j.graceEnd) }
+// InGrace reports whether an entry that disappears now may have lapsed at all.
+func (j *Detector) InGrace(now time.Time) bool { return now.Before(j.graceEnd) }
 
-// Until returns the end of the grace period in which that is possible.
-func (j *Judge) Until() time.Time { return j.graceEnd }
+// GraceEnd returns the end of the grace period in which that is possible.
+func (j *Detector) GraceEnd() time.Time { return j.graceEnd }
 
 // Lapsed reports whether the missing entries count as lapsed, so that their owners are considered
 // alive. The result may change with each entry that disappears, since a store may remove entries
 // whose leases ran out some time after its return. Entries that were created again still count.
-func (j *Judge) Lapsed(now time.Time) bool {
-	return j.Possible(now) && float64(j.missing) >= lapsedShare*float64(j.surviving+j.missing)
+func (j *Detector) Lapsed(now time.Time) bool {
+	return j.InGrace(now) && float64(j.missing) >= lapsedShare*float64(j.surviving+j.missing)
 }
 
 // Counts returns how many entries are missing because of the loss, and how many outlasted it.
-func (j *Judge) Counts() (missing, surviving int) { return j.missing, j.surviving }
+func (j *Detector) Counts() (missing, surviving int) { return j.missing, j.surviving }
--- a/coord/lapse/lapse_test.go
+++ b/coord/lapse/lapse_test.go
@@ -15,11 +15,11 @@
 func TestLapsedShare(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for kept, lapsed := range map[int]bool{12: false, 2: false, 1: true, 0: true} {
-		j := &Judge{}
-		j.StoreIsBack(now, grace)
-		j.Read(kept, 0)
+		j := &Detector{}
+		j.StartGrace(now, grace)
+		j.RecordRead(kept, 0)
 		for range 4 {
-			j.Miss(false)
+			j.RecordMissing(false)
 		}
 		require.Equal(t, lapsed, j.Lapsed(now), "%d kept", kept)
 		require.False(t, j.Lapsed(now.Add(grace)))
@@ -29,10 +29,10 @@
 // Guards against removed entries that count as lapsed although the store was never lost.
 func TestNothingLapsesWithoutALoss(t *testing.T) {
 	now := time.Unix(1000, 0)
-	j := &Judge{}
-	j.Read(0, 0)
-	j.Miss(false)
-	require.False(t, j.Possible(now))
+	j := &Detector{}
+	j.RecordRead(0, 0)
+	j.RecordMissing(false)
+	require.False(t, j.InGrace(now))
 	require.False(t, j.Lapsed(now))
 }
 
@@ -40,15 +40,15 @@
 // grace period is over must no longer count.
 func TestSeparateLosses(t *testing.T) {
 	now := time.Unix(1000, 0)
-	j := &Judge{}
-	j.StoreIsBack(now, grace)
+	j := &Detector{}
+	j.StartGrace(now, grace)
 	for range 9 {
-		j.Miss(false)
+		j.RecordMissing(false)
 	}
 	now = now.Add(time.Minute)
-	j.StoreIsBack(now, grace)
-	j.Read(3, 0)
-	j.Miss(false)
+	j.StartGrace(now, grace)
+	j.RecordRead(3, 0)
+	j.RecordMissing(false)
 	require.False(t, j.Lapsed(now))
 	missing, kept := j.Counts()
 	require.Equal(t, 1, missing)
--- a/coord/ledger/charge.go
+++ b/coord/ledger/charge.go
@@ -18,9 +18,9 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("ledger")
 
-// ErrFull means that the limit of unacknowledged charges is reached. The caller must
+// ErrBacklogFull means that the limit of unacknowledged charges is reached. The caller must
 // refuse new work rather than lose its charge.
-var ErrFull = errs.New("too many charges wait for the ledger")
+var ErrBacklogFull = errs.New("too many charges wait for the ledger")
 
 // Charge is the bill of one request.
 type Charge struct {
--- a/coord/ledger/group.go
+++ b/coord/ledger/group.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Group batches the charges that reach a shard's owner within one interval into one
+// Batcher batches the charges that reach a shard's owner within one interval into one
 // append, so that the store receives about one write per second and shard whatever
 // the request rate.
-type Group struct {
+type Batcher struct {
 	shard    *Shard
 	interval time.Duration
 	requests chan appendRequest
@@ -22,14 +22,14 @@
 // appendQueueSize bounds the appends queued for a flush and those in one flush.
 const appendQueueSize = 1024
 
-// NewGroup returns a Group for the shard. Append blocks unless Run is running.
-func NewGroup(s *Shard, interval time.Duration) *Group {
-	return &Group{shard: s, interval: interval, requests: make(chan appendRequest, appendQueueSize)}
+// NewBatcher returns a Group for the shard. Append blocks unless Run is running.
+func NewBatcher(s *Shard, interval time.Duration) *Batcher {
+	return &Batcher{shard: s, interval: interval, requests: make(chan appendRequest, appendQueueSize)}
 }
 
 // Append waits until the charges are durable and returns the shard's last segment.
 // After an error the outcome is unknown.
-func (g *Group) Append(ctx context.Context, charges []Charge) (int64, error) {
+func (g *Batcher) Append(ctx context.Context, charges []Charge) (int64, error) {
 	r := appendRequest{charges: charges, done: make(chan error, 1)}
 	select {
 	case g.requests <- r:
@@ -47,10 +47,10 @@
 // Waiting returns the number of appends queued for a flush and the queue's capacity.
 // Appends beyond the capacity are not dropped: their callers block until their
 // contexts end.
-func (g *Group) Waiting() (n, capacity int) { return len(g.requests), cap(g.requests) }
+func (g *Batcher) Waiting() (n, capacity int) { return len(g.requests), cap(g.requests) }
 
 // Run flushes queued appends once per interval until ctx is done.
-func (g *Group) Run(ctx context.Context) {
+func (g *Batcher) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -62,7 +62,7 @@
 }
 
 // collect returns first and the requests that arrive within the interval after it.
-func (g *Group) collect(ctx context.Context, first appendRequest) []appendRequest {
+func (g *Batcher) collect(ctx context.Context, first appendRequest) []appendRequest {
 	batch := []appendRequest{first}
 	t := time.NewTimer(g.interval)
 	defer t.Stop()
@@ -79,7 +79,7 @@
 	return batch
 }
 
-func (g *Group) flush(ctx context.Context, batch []appendRequest) {
+func (g *Batcher) flush(ctx context.Context, batch []appendRequest) {
 	var all []Charge
 	for _, r := range batch {
 		all = append(all, r.charges...)
--- a/coord/member/lease.go
+++ b/coord/member/lease.go
@@ -27,8 +27,8 @@
 	cleanupInterval = time.Second
 )
 
-// Keep registers this process and renews its lease until the context ends.
-func (g *Group) Keep(ctx context.Context) {
+// KeepAlive registers this process and renews its lease until the context ends.
+func (g *Group) KeepAlive(ctx context.Context) {
 	g.init()
 	cleanup := time.NewTicker(cleanupInterval)
 	defer cleanup.Stop()
@@ -63,16 +63,16 @@
 	return retry.Next()
 }
 
-// Find reads the list at startup until it holds another member, or for a third of a second. Before
+// FindPeers reads the list at startup until it holds another member, or for a third of a second. Before
 // that a process has no relay to follow, and if each process of a starting fleet followed the store
 // meanwhile, their calls would overload it.
-func (g *Group) Find(ctx context.Context) {
+func (g *Group) FindPeers(ctx context.Context) {
 	for try := range findTries {
 		if try > 0 && backoff.Sleep(ctx, findPause) != nil {
 			return
 		}
 		reading, cancel := context.WithTimeout(ctx, findTimeout)
-		items, err := g.Store.Peek(reading, g.Prefix)
+		items, err := g.Store.StaleSnapshot(reading, g.Prefix)
 		cancel()
 		if err == nil {
 			g.Reset(items)
@@ -98,9 +98,9 @@
 	}
 }
 
-// StepAside takes this process off the list, or puts it back, and keeps it in that state. A
+// SetWithdrawn takes this process off the list, or puts it back, and keeps it in that state. A
 // process that is about to lose its VM leaves the list while it can still hand over its state.
-func (g *Group) StepAside(withdrawn bool) {
+func (g *Group) SetWithdrawn(withdrawn bool) {
 	g.mu.Lock()
 	changed := g.withdrawn != withdrawn
 	g.withdrawn = withdrawn
@@ -112,7 +112,7 @@
 
 // renew renews the lease, or registers again if it has ended.
 func (g *Group) renew(ctx context.Context) error {
-	if g.Aside() {
+	if g.Withdrawn() {
 		return g.withdraw(ctx)
 	}
 	if id := g.currentLease(); id != 0 {
@@ -164,8 +164,8 @@
 	return g.lease
 }
 
-// Aside reports whether this process has withdrawn from the list; see StepAside.
-func (g *Group) Aside() bool {
+// Withdrawn reports whether this process has withdrawn from the list; see StepAside.
+func (g *Group) Withdrawn() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.withdrawn
--- a/coord/recovery/recovery.go
+++ b/coord/recovery/recovery.go
@@ -69,11 +69,11 @@
 
 // Recoverer recovers the tokens of dead holders.
 type Recoverer struct {
-	Store  store.Store
-	Layout account.Layout
-	Lives  incarnation.Registry
-	Fences Fences
-	Fleet  Fleet
+	Store        store.Store
+	Layout       account.Layout
+	Incarnations incarnation.Registry
+	Fences       Fences
+	Fleet        Fleet
 }
 
 // Result summarizes one recovery. Amounts are tokens.
@@ -101,7 +101,7 @@
 	}
 	result := Result{Holder: holder}
 	for page := range r.Layout.Pages {
-		if err := r.recoverPage(ctx, r.Layout.KeyOf(page), evidence, &result); err != nil {
+		if err := r.recoverPage(ctx, r.Layout.PageKey(page), evidence, &result); err != nil {
 			return result, err
 		}
 	}
@@ -128,7 +128,7 @@
 func (r *Recoverer) collect(ctx context.Context, holder string) (*evidenceSet, error) {
 	c := &evidenceSet{holder: holder, uses: map[Use]int64{}, lots: map[string][]grant.LotReturn{}, answered: map[string]bool{}}
 	var err error
-	if c.incarnations, err = r.Lives.All(ctx); err != nil {
+	if c.incarnations, err = r.Incarnations.All(ctx); err != nil {
 		return nil, err
 	}
 	var mu sync.Mutex
--- a/coord/relay/follower.go
+++ b/coord/relay/follower.go
@@ -82,9 +82,9 @@
 	Source string `json:"source"`
 	// Revisions are the revisions up to which the readers have all changes, by prefix.
 	Revisions map[string]store.Revision `json:"revisions"`
-	// Heard is when a source last answered, and Age how old (ns) its data was then.
-	Heard time.Time     `json:"heard"`
-	Age   time.Duration `json:"age_ns"`
+	// LastReply is when a source last answered, and Age how old (ns) its data was then.
+	LastReply time.Time     `json:"heard"`
+	Age       time.Duration `json:"age_ns"`
 }
 
 // State returns the follower's current state.
@@ -102,7 +102,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.state = FollowerState{Source: f.current, Revisions: revisions, Heard: f.Now(), Age: age}
+	f.state = FollowerState{Source: f.current, Revisions: revisions, LastReply: f.Now(), Age: age}
 }
 
 // progress is the position of one reader.
@@ -221,7 +221,7 @@
 	cd := f.coolDown(source, 0)
 	cd.until = f.Now().Add(backoff.Jitter(min(cooldownMax, cooldownMin<<min(cd.failures, 8))))
 	cd.failures, cd.storeLost = cd.failures+1, false
-	if errors.Is(err, ErrNonsense) || errors.Is(err, ErrLeftOut) || errors.Is(err, ErrOtherStore) {
+	if errors.Is(err, ErrInvalidReply) || errors.Is(err, ErrMissingUpdate) || errors.Is(err, ErrOtherStore) {
 		f.Report.SourceRefused(source, err)
 	}
 }
@@ -270,7 +270,7 @@
 func (f *Follower) applyReply(r Reply) error {
 	for prefix := range f.progress {
 		if !slices.ContainsFunc(r.Updates, func(u Update) bool { return u.Prefix == prefix }) {
-			return Error.Wrap(ErrLeftOut)
+			return Error.Wrap(ErrMissingUpdate)
 		}
 	}
 	for _, u := range r.Updates {
@@ -302,13 +302,13 @@
 	case u.Whole && u.At < c.at:
 		return Error.Wrap(ErrBehind)
 	case u.At == 0 && len(u.Changes) > 0:
-		return Error.Wrap(ErrNonsense)
+		return Error.Wrap(ErrInvalidReply)
 	}
 	last := c.at
 	for _, ch := range u.Changes {
 		inOrder := u.Whole || ch.Revision >= last && ch.Revision > c.at
 		if !strings.HasPrefix(ch.Key, u.Prefix) || ch.Revision <= 0 || !inOrder || u.Whole && ch.Removed {
-			return Error.Wrap(ErrNonsense)
+			return Error.Wrap(ErrInvalidReply)
 		}
 		last = ch.Revision
 	}
--- a/coord/relay/relay.go
+++ b/coord/relay/relay.go
@@ -28,20 +28,20 @@
 	ErrUnknownPrefix = errs.New("the relay does not follow this prefix")
 	// ErrOtherStore is returned if the relay follows another store than the requested one.
 	ErrOtherStore = errs.New("the relay follows another store")
-	// ErrFull is returned if the relay has reached its maximum of followers.
-	ErrFull = errs.New("too many followers")
+	// ErrTooManyFollowers is returned if the relay has reached its maximum of followers.
+	ErrTooManyFollowers = errs.New("too many followers")
 	// ErrStopping is returned by a relay that is shutting down.
 	ErrStopping = errs.New("the relay is stopping")
 	// ErrBehind is returned for a reply with an older copy than the follower has.
 	ErrBehind = errs.New("the relay's copy is older than the follower's")
 	// ErrStale is returned if the relay has had no answer from the store for too long.
 	ErrStale = errs.New("the relay has had no answer from the store for too long")
-	// ErrNonsense is returned for a reply that violates the protocol of this package.
-	ErrNonsense = errs.New("invalid reply from the relay")
+	// ErrInvalidReply is returned for a reply that violates the protocol of this package.
+	ErrInvalidReply = errs.New("invalid reply from the relay")
 	// ErrStoreLost is returned while the store cannot be followed.
 	ErrStoreLost = errs.New("the store is not followed now")
-	// ErrLeftOut is returned for a reply without an update for a requested prefix.
-	ErrLeftOut = errs.New("the reply lacks a requested prefix")
+	// ErrMissingUpdate is returned for a reply without an update for a requested prefix.
+	ErrMissingUpdate = errs.New("the reply lacks a requested prefix")
 )
 
 // Position is the state of a follower's copy of the keys under a prefix.
--- a/coord/relay/world_test.go
+++ b/coord/relay/world_test.go
@@ -204,7 +204,7 @@
 func (w *testCluster) newHub() *Hub {
 	conn := &connection{Store: w.store}
 	w.storeConns = append(w.storeConns, conn)
-	h := &Hub{Store: "s", Prefixes: []Prefix{{Name: keys, Store: conn, StaleAfter: 1600 * time.Millisecond}}, MostFollowers: 10, Now: time.Now}
+	h := &Hub{Store: "s", Prefixes: []Prefix{{Name: keys, Store: conn, StaleAfter: 1600 * time.Millisecond}}, MaxFollowers: 10, Now: time.Now}
 	w.wg.Go(func() { h.Run(w.ctx) })
 	return h
 }
--- a/coord/retrybudget/retrybudget.go
+++ b/coord/retrybudget/retrybudget.go
@@ -31,8 +31,8 @@
 
 // Share determines the part of Extra that a process may use.
 type Share struct {
-	// Among is the number of processes that share Extra, 0 if unknown.
-	Among int
+	// Processes is the number of processes that share Extra, 0 if unknown.
+	Processes int
 	// Since is the time at which this process became one of them.
 	Since time.Time
 }
@@ -40,10 +40,10 @@
 // Decision is the result of a request for a retry and the figures that it is based on.
 type Decision struct {
 	Allowed bool
-	// Paid is the number of retries that deposits of the process's own requests covered.
-	Paid float64
-	// Used is the number of retries already taken from Part, the process's part of Extra.
-	Used, Part int
+	// Balance is the number of retries that deposits of the process's own requests covered.
+	Balance float64
+	// ExtraUsed is the number of retries already taken from Part, the process's part of Extra.
+	ExtraUsed, ExtraShare int
 }
 
 // deposit is the number of retries that the requests of one interval of a window cover.
@@ -61,11 +61,11 @@
 	extraUsed []time.Time
 }
 
-// Request records one request of a caller. It deposits half of Ratio, and the deposit expires in
+// RecordRequest records one request of a caller. It deposits half of Ratio, and the deposit expires in
 // less than a window: the retries that arrive in a window are covered by deposits of that
 // window and of the one before it, half from each, and never exceed Ratio of the larger. The sum
 // over all processes is limited in the same way, however callers move between them.
-func (b *Budget) Request(now time.Time, r Rule) {
+func (b *Budget) RecordRequest(now time.Time, r Rule) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.expireLocked(now, r)
@@ -75,19 +75,19 @@
 	b.deposits[len(b.deposits)-1].retries += r.Ratio / 2
 }
 
-// Repeat decides whether one more retry is allowed, and counts it if so. It is covered by
+// TryRetry decides whether one more retry is allowed, and counts it if so. It is covered by
 // deposits of this process's own requests or by its part of Extra, so no message to other
 // processes is needed.
-func (b *Budget) Repeat(now time.Time, r Rule, share Share) Decision {
+func (b *Budget) TryRetry(now time.Time, r Rule, share Share) Decision {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.expireLocked(now, r)
-	d := Decision{Paid: b.balanceLocked(), Used: b.extraUsedSinceLocked(now.Add(-r.Window - maxTransit)), Part: r.extraShare(now, share)}
+	d := Decision{Balance: b.balanceLocked(), ExtraUsed: b.extraUsedSinceLocked(now.Add(-r.Window - maxTransit)), ExtraShare: r.extraShare(now, share)}
 	switch {
-	case d.Paid >= 1-epsilon:
+	case d.Balance >= 1-epsilon:
 		b.withdrawLocked()
 		d.Allowed = true
-	case d.Used < d.Part:
+	case d.ExtraUsed < d.ExtraShare:
 		b.useExtraLocked(now, r)
 		d.Allowed = true
 	}
@@ -96,12 +96,12 @@
 
 // extraShare returns how many retries of Extra a process may use in a window.
 func (r Rule) extraShare(now time.Time, share Share) int {
-	if share.Among <= 0 || now.Sub(share.Since) < r.Window+maxTransit {
+	if share.Processes <= 0 || now.Sub(share.Since) < r.Window+maxTransit {
 		// What an earlier incarnation of this process used in the window is unknown, as is
 		// whether the other processes already count this one in their division.
 		return 0
 	}
-	return int(r.Extra / float64(share.Among))
+	return int(r.Extra / float64(share.Processes))
 }
 
 // expireLocked drops expired deposits.
--- a/coord/settlement/exposure.go
+++ b/coord/settlement/exposure.go
@@ -25,13 +25,13 @@
 // limits are unknown.
 type Exposure struct {
 	Holder   *grant.Holder
-	Register *Register
-	// Tell sends limits to a witness and returns nil once the witness has accepted them.
-	Tell func(ctx context.Context, witness string, notice Notice) error
+	Register *BorrowerRegistry
+	// Notify sends limits to a witness and returns nil once the witness has accepted them.
+	Notify func(ctx context.Context, witness string, notice Notice) error
 	// Timeout bounds one message. Messages to the other witnesses continue after the first reply.
 	Timeout time.Duration
-	// Ahead is how far in advance limits are raised: they cover the expected lending of this time.
-	Ahead time.Duration
+	// Lookahead is how far in advance limits are raised: they cover the expected lending of this time.
+	Lookahead time.Duration
 	// Now is the clock.
 	Now func() time.Time
 
@@ -73,9 +73,9 @@
 	return nil
 }
 
-// Keep raises the limits that are nearly exhausted.
-func (e *Exposure) Keep(ctx context.Context) error {
-	wanted := e.Holder.ExposureWanted(e.Now(), e.Ahead)
+// RaiseLimits raises the limits that are nearly exhausted.
+func (e *Exposure) RaiseLimits(ctx context.Context) error {
+	wanted := e.Holder.ExposureWanted(e.Now(), e.Lookahead)
 	if len(wanted) == 0 {
 		return nil
 	}
@@ -89,7 +89,7 @@
 	e.addPending(key, n)
 	defer e.addPending(key, -n)
 	done := e.raises.DoChan(budget+" "+borrower, func() (any, error) {
-		limits := e.Holder.ExposureFor(e.Now(), budget, borrower, e.pendingTokens(key), e.Ahead)
+		limits := e.Holder.ExposureFor(e.Now(), budget, borrower, e.pendingTokens(key), e.Lookahead)
 		return nil, e.raise(ctx, limits)
 	})
 	select {
@@ -160,10 +160,10 @@
 	defer cancel()
 	notice := Notice{Lender: e.Holder.ID(), Term: term, Limits: limits}
 	if !e.isNotified(witness, term) {
-		notice.Whole, notice.Limits = true, e.Holder.ExposureLimits()
+		notice.Full, notice.Limits = true, e.Holder.ExposureLimits()
 		notice.Limits.Merge(limits)
 	}
-	err := e.Tell(ctx, witness, notice)
+	err := e.Notify(ctx, witness, notice)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.term == term {
--- a/coord/settlement/register.go
+++ b/coord/settlement/register.go
@@ -28,10 +28,10 @@
 var (
 	// ErrSealed is returned when a lender's list is sealed because the lender was presumed dead.
 	ErrSealed = errs.New("the list of borrowers is sealed")
-	// ErrUnsettled is returned when a lender's rows can never be settled.
-	ErrUnsettled = errs.New("borrower usage is permanently unknown")
-	// ErrNotYet is returned when a later attempt may settle a lender's rows.
-	ErrNotYet = errs.New("borrower usage is not known yet")
+	// ErrUsageUnknown is returned when a lender's rows can never be settled.
+	ErrUsageUnknown = errs.New("borrower usage is permanently unknown")
+	// ErrUsagePending is returned when a later attempt may settle a lender's rows.
+	ErrUsagePending = errs.New("borrower usage is not known yet")
 )
 
 // borrowerList is the durable list of all processes that one lender ever lent to.
@@ -52,8 +52,8 @@
 	return l, Error.Wrap(json.Unmarshal(value, &l))
 }
 
-// Register is a lender's own list. It is safe for concurrent use.
-type Register struct {
+// BorrowerRegistry is a lender's own list. It is safe for concurrent use.
+type BorrowerRegistry struct {
 	Store store.Store
 	// Key is the store key of the list: the settler's prefix and the lender's incarnation.
 	Key string
@@ -66,7 +66,7 @@
 
 // Admit adds borrowers to the list and returns nil once the store durably has all the names. Its
 // errors are ErrSealed and those of the store.
-func (r *Register) Admit(ctx context.Context, borrowers ...string) error {
+func (r *BorrowerRegistry) Admit(ctx context.Context, borrowers ...string) error {
 	if r.Has(borrowers...) {
 		return nil
 	}
@@ -84,7 +84,7 @@
 }
 
 // appoint records the witnesses in the list under a new term, which it returns. Its errors are those of Admit.
-func (r *Register) appoint(ctx context.Context, witnesses []string) (term int64, err error) {
+func (r *BorrowerRegistry) appoint(ctx context.Context, witnesses []string) (term int64, err error) {
 	r.writeMu.Lock()
 	defer r.writeMu.Unlock()
 	updated, err := r.writeLocked(ctx, func(l *borrowerList) {
@@ -95,7 +95,7 @@
 }
 
 // writeLocked changes the list in the store. When a response is lost, the change is applied twice.
-func (r *Register) writeLocked(ctx context.Context, change func(*borrowerList)) (borrowerList, error) {
+func (r *BorrowerRegistry) writeLocked(ctx context.Context, change func(*borrowerList)) (borrowerList, error) {
 	var updated borrowerList
 	item, err := store.UpdateFrom(ctx, r.Store, r.Key, r.last, func(old store.Item) ([]byte, error) {
 		var err error
@@ -115,15 +115,15 @@
 	return updated, nil
 }
 
-// Used reports whether the list has any borrowers.
-func (r *Register) Used() bool {
+// HasBorrowers reports whether the list has any borrowers.
+func (r *BorrowerRegistry) HasBorrowers() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.stored) > 0
 }
 
 // Remove deletes the list of a lender that has given everything back.
-func (r *Register) Remove(ctx context.Context) error {
+func (r *BorrowerRegistry) Remove(ctx context.Context) error {
 	item, err := r.Store.Get(ctx, r.Key)
 	if err != nil || item.Revision == 0 {
 		return err
@@ -132,13 +132,13 @@
 }
 
 // Has reports whether all the names are confirmed to be in the store.
-func (r *Register) Has(names ...string) bool {
+func (r *BorrowerRegistry) Has(names ...string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !slices.ContainsFunc(names, func(name string) bool { return !r.stored[name] })
 }
 
-func (r *Register) setStored(names []string) {
+func (r *BorrowerRegistry) setStored(names []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stored = map[string]bool{}
--- a/coord/settlement/settlement_test.go
+++ b/coord/settlement/settlement_test.go
@@ -25,7 +25,7 @@
 	store     *memstore.Store
 	lender    *grant.Holder
 	pages     *grant.StoreGranter
-	register  *settlement.Register
+	register  *settlement.BorrowerRegistry
 	borrowers map[string]*grant.Holder
 	ended     map[string]bool
 	settler   *settlement.Settler
@@ -34,8 +34,8 @@
 func newFixture(t *testing.T) *fixture {
 	f := &fixture{t: t, store: memstore.New(), borrowers: map[string]*grant.Holder{}, ended: map[string]bool{}}
 	layout := account.Layout{Prefix: "p/", Pages: 1}
-	f.lender = grant.NewHolder("lender/1", layout, grant.HorizonPolicy{Horizon: time.Second, Worsts: 1, Share: 1})
-	f.lender.Lean(func(string) bool { return false })
+	f.lender = grant.NewHolder("lender/1", layout, grant.HorizonPolicy{Horizon: time.Second, LargestRequests: 1, Share: 1})
+	f.lender.UseMinimalRows(func(string) bool { return false })
 	f.pages = &grant.StoreGranter{Holder: f.lender, Store: f.store, Layout: layout, Timeout: time.Second, Now: time.Now,
 		Prepare: func(_ string, p *account.Page) bool {
 			if p.Accounts[budget] != nil {
@@ -44,9 +44,9 @@
 			p.Accounts[budget] = &account.Account{Team: budget}
 			return p.Accounts[budget].SetPrepaid(1, 100)
 		}}
-	f.register = &settlement.Register{Store: f.store, Key: prefix + "lender/1"}
-	f.settler = &settlement.Settler{Store: f.store, Prefix: prefix, Words: &settlement.Words{}, Over: func(b string) bool { return f.ended[b] },
-		Ask: func(_ context.Context, borrower, lender string) (grant.Borrowed, error) {
+	f.register = &settlement.BorrowerRegistry{Store: f.store, Key: prefix + "lender/1"}
+	f.settler = &settlement.Settler{Store: f.store, Prefix: prefix, Answers: &settlement.AnswerCache{}, Ended: func(b string) bool { return f.ended[b] },
+		AskBorrower: func(_ context.Context, borrower, lender string) (grant.Borrowed, error) {
 			if f.borrowers[borrower] == nil {
 				return grant.Borrowed{}, errors.New("no answer")
 			}
@@ -102,7 +102,7 @@
 	_, err := f.borrowers["router/1"].Reserve(time.Now(), budget, 40)
 	require.NoError(t, err)
 	_, err = f.settler.Settle(t.Context(), "lender/1", page, true)
-	require.ErrorIs(t, err, settlement.ErrNotYet)
+	require.ErrorIs(t, err, settlement.ErrUsagePending)
 	done, err := f.settler.Settle(t.Context(), "lender/1", page, false)
 	require.NoError(t, err)
 	require.EqualValues(t, 40, done.Used[budget])
@@ -122,7 +122,7 @@
 	require.NoError(t, err, "its state is still stale")
 	f.borrowers["router/1"].Borrow(time.Now(), budget, l)
 	_, err = f.borrowers["router/1"].Reserve(time.Now(), budget, 10)
-	require.ErrorIs(t, err, grant.ErrShort)
+	require.ErrorIs(t, err, grant.ErrInsufficientTokens)
 	require.ErrorIs(t, f.pages.Sync(t.Context(), page), grant.ErrFenced)
 }
 
@@ -140,7 +140,7 @@
 	first := f.borrowers["router/1"]
 	delete(f.borrowers, "router/1")
 	_, err = f.settler.Settle(t.Context(), "lender/1", page, true)
-	require.ErrorIs(t, err, settlement.ErrNotYet)
+	require.ErrorIs(t, err, settlement.ErrUsagePending)
 	f.borrowers["router/2"].Settle(time.Now(), r, 5)
 	delete(f.borrowers, "router/2")
 	f.ended["router/2"] = true
@@ -158,8 +158,8 @@
 	_, err := f.borrowers["router/1"].Reserve(time.Now(), budget, 40)
 	require.NoError(t, err)
 	_, err = f.settler.Settle(t.Context(), "lender/1", page, true)
-	require.ErrorIs(t, err, settlement.ErrNotYet)
-	f.settler.Ask = func(context.Context, string, string) (grant.Borrowed, error) { return grant.Borrowed{}, nil }
+	require.ErrorIs(t, err, settlement.ErrUsagePending)
+	f.settler.AskBorrower = func(context.Context, string, string) (grant.Borrowed, error) { return grant.Borrowed{}, nil }
 	f.ended["router/1"] = true
 	done, err := f.settler.Settle(t.Context(), "lender/1", page, true)
 	require.NoError(t, err)
@@ -174,11 +174,11 @@
 	require.NoError(t, f.borrow("router/2", 40))
 	delete(f.borrowers, "router/2")
 	_, err := f.settler.Settle(t.Context(), "lender/1", page, false)
-	require.ErrorIs(t, err, settlement.ErrNotYet)
+	require.ErrorIs(t, err, settlement.ErrUsagePending)
 	f.ended["router/2"] = true
 	_, err = f.settler.Settle(t.Context(), "lender/1", page, false)
-	require.ErrorIs(t, err, settlement.ErrUnsettled)
+	require.ErrorIs(t, err, settlement.ErrUsageUnknown)
 	require.NoError(t, f.register.Remove(t.Context()))
 	_, err = f.settler.Settle(t.Context(), "lender/1", page, false)
-	require.ErrorIs(t, err, settlement.ErrUnsettled)
+	require.ErrorIs(t, err, settlement.ErrUsageUnknown)
 }
--- a/coord/settlement/settler.go
+++ b/coord/settlement/settler.go
@@ -15,16 +15,16 @@
 	Store store.Store
 	// Prefix is the key prefix of the lists; a lender's incarnation follows it.
 	Prefix string
-	// Ask requests a borrower's final usage report on a lender. An error means that the borrower
+	// AskBorrower requests a borrower's final usage report on a lender. An error means that the borrower
 	// did not answer.
-	Ask func(ctx context.Context, borrower, lender string) (grant.Borrowed, error)
+	AskBorrower func(ctx context.Context, borrower, lender string) (grant.Borrowed, error)
 	// AskWitness requests a lender's exposure limits in a term from a witness. An error means that
 	// the witness did not answer. If it is nil, a lender with a missing report cannot be settled.
-	AskWitness func(ctx context.Context, witness, lender string, term int64) (Testimony, error)
-	// Over reports whether the incarnation of a borrower or witness has certainly ended.
-	Over func(incarnation string) bool
-	// Words caches the answers of borrowers and witnesses between attempts.
-	Words *Words
+	AskWitness func(ctx context.Context, witness, lender string, term int64) (WitnessAnswer, error)
+	// Ended reports whether the incarnation of a borrower or witness has certainly ended.
+	Ended func(incarnation string) bool
+	// Answers caches the answers of borrowers and witnesses between attempts.
+	Answers *AnswerCache
 }
 
 // maxConcurrentQueries bounds the borrowers that are queried concurrently.
@@ -71,15 +71,15 @@
 	used = map[string]int64{}
 	var running bool
 	for _, borrower := range borrowers {
-		report, received := s.Words.reportOf(lender, borrower)
-		ended := s.Over(borrower)
+		report, received := s.Answers.reportOf(lender, borrower)
+		ended := s.Ended(borrower)
 		switch {
 		case ended && (!received || !report.Known):
 			missing = append(missing, borrower)
 			continue
 		case !received, !report.Known:
 			// A borrower without a report may go on spending until it ends.
-			return nil, nil, Error.Wrap(ErrNotYet)
+			return nil, nil, Error.Wrap(ErrUsagePending)
 		case report.Open && waitForRunning && !ended:
 			running = true
 		}
@@ -88,7 +88,7 @@
 		}
 	}
 	if running {
-		return nil, nil, Error.Wrap(ErrNotYet)
+		return nil, nil, Error.Wrap(ErrUsagePending)
 	}
 	return used, missing, nil
 }
@@ -105,7 +105,7 @@
 // exposureLimits merges a dead lender's exposure limits from all its witnesses.
 func (s *Settler) exposureLimits(ctx context.Context, lender string, sealed borrowerList) (grant.ExposureLimits, error) {
 	if s.AskWitness == nil || len(sealed.Witnesses) == 0 {
-		return nil, Error.Wrap(ErrUnsettled)
+		return nil, Error.Wrap(ErrUsageUnknown)
 	}
 	limits := grant.ExposureLimits{}
 	for _, witness := range sealed.Witnesses {
@@ -121,17 +121,17 @@
 // witnessLimits returns the answer of one witness. A cached answer is final: nothing is lent under
 // limits that the lender sends later.
 func (s *Settler) witnessLimits(ctx context.Context, witness, lender string, term int64) (grant.ExposureLimits, error) {
-	if limits, ok := s.Words.limitsOf(lender, witness); ok {
+	if limits, ok := s.Answers.limitsOf(lender, witness); ok {
 		return limits, nil
 	}
 	answer, err := s.AskWitness(ctx, witness, lender, term)
 	switch {
-	case err != nil && s.Over(witness), err == nil && !answer.Known:
-		return nil, Error.Wrap(ErrUnsettled)
+	case err != nil && s.Ended(witness), err == nil && !answer.Known:
+		return nil, Error.Wrap(ErrUsageUnknown)
 	case err != nil:
-		return nil, Error.Wrap(ErrNotYet)
+		return nil, Error.Wrap(ErrUsagePending)
 	}
-	s.Words.setLimits(lender, witness, answer.Limits)
+	s.Answers.setLimits(lender, witness, answer.Limits)
 	return answer.Limits, nil
 }
 
@@ -142,14 +142,14 @@
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, maxConcurrentQueries)
 	for _, borrower := range borrowers {
-		if report, received := s.Words.reportOf(lender, borrower); received && !report.Open {
+		if report, received := s.Answers.reportOf(lender, borrower); received && !report.Open {
 			continue
 		}
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			if report, err := s.Ask(ctx, borrower, lender); err == nil {
-				s.Words.setReport(lender, borrower, report)
+			if report, err := s.AskBorrower(ctx, borrower, lender); err == nil {
+				s.Answers.setReport(lender, borrower, report)
 			}
 		})
 	}
@@ -162,7 +162,7 @@
 	var sealed borrowerList
 	_, err := store.Update(ctx, s.Store, s.Prefix+lender, func(old store.Item) ([]byte, error) {
 		if old.Revision == 0 {
-			return nil, Error.Wrap(ErrUnsettled)
+			return nil, Error.Wrap(ErrUsageUnknown)
 		}
 		var err error
 		if sealed, err = decodeBorrowerList(old.Value); err != nil {
@@ -219,6 +219,6 @@
 			}
 		}
 	}
-	register := Register{Store: s.Store, Key: s.Prefix + lender}
+	register := BorrowerRegistry{Store: s.Store, Key: s.Prefix + lender}
 	return register.Remove(ctx)
 }
--- a/coord/settlement/witness.go
+++ b/coord/settlement/witness.go
@@ -26,13 +26,13 @@
 	Lender string `json:"lender"`
 	// Term numbers the lender's appointments of witnesses, from 1.
 	Term int64 `json:"term"`
-	// Whole is set when Limits holds all the lender's limits, not only the changed ones.
-	Whole  bool                 `json:"whole,omitempty"`
+	// Full is set when Limits holds all the lender's limits, not only the changed ones.
+	Full   bool                 `json:"whole,omitempty"`
 	Limits grant.ExposureLimits `json:"limits"`
 }
 
-// Testimony is a witness's answer about a lender.
-type Testimony struct {
+// WitnessAnswer is a witness's answer about a lender.
+type WitnessAnswer struct {
 	// Known is set when the witness has all the lender's limits in the requested term.
 	Known  bool                 `json:"known"`
 	Limits grant.ExposureLimits `json:"limits,omitempty"`
@@ -52,15 +52,15 @@
 	lastNotice time.Time
 }
 
-// Note merges the notice's limits into those it has, so that a notice may arrive late or twice. Its
+// Apply merges the notice's limits into those it has, so that a notice may arrive late or twice. Its
 // errors are ErrNotAppointed and ErrWitnessFull.
-func (w *Witness) Note(now time.Time, notice Notice) error {
+func (w *Witness) Apply(now time.Time, notice Notice) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	entry := w.byLender[notice.Lender]
 	switch {
 	case entry != nil && notice.Term < entry.term,
-		!notice.Whole && (entry == nil || entry.term != notice.Term):
+		!notice.Full && (entry == nil || entry.term != notice.Term):
 		return Error.Wrap(ErrNotAppointed)
 	case entry == nil:
 		if len(w.byLender) >= maxWitnessedLenders {
@@ -77,15 +77,15 @@
 	return nil
 }
 
-// Testify returns the limits of a lender in a term.
-func (w *Witness) Testify(lender string, term int64) Testimony {
+// Limits returns the limits of a lender in a term.
+func (w *Witness) Limits(lender string, term int64) WitnessAnswer {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	entry := w.byLender[lender]
 	if entry == nil || entry.term != term {
-		return Testimony{}
+		return WitnessAnswer{}
 	}
-	return Testimony{Known: true, Limits: entry.limits.Clone()}
+	return WitnessAnswer{Known: true, Limits: entry.limits.Clone()}
 }
 
 // Forget drops the lenders whose last notice came before the given time and for which gone is true.
--- a/coord/settlement/witness_test.go
+++ b/coord/settlement/witness_test.go
@@ -33,17 +33,17 @@
 	f := &witnessFixture{fixture: newFixture(t), unreachable: map[string]bool{},
 		witnesses: map[string]*settlement.Witness{"lender/2": {}, "lender/3": {}}}
 	f.exposure = &settlement.Exposure{Holder: f.lender, Register: f.register, Timeout: time.Second, Now: time.Now,
-		Tell: func(_ context.Context, witness string, n settlement.Notice) error {
+		Notify: func(_ context.Context, witness string, n settlement.Notice) error {
 			if f.unreachable[witness] {
 				return errNoAnswer
 			}
-			return f.witnesses[witness].Note(time.Now(), n)
+			return f.witnesses[witness].Apply(time.Now(), n)
 		}}
-	f.settler.AskWitness = func(_ context.Context, witness, lender string, term int64) (settlement.Testimony, error) {
+	f.settler.AskWitness = func(_ context.Context, witness, lender string, term int64) (settlement.WitnessAnswer, error) {
 		if f.unreachable[witness] {
-			return settlement.Testimony{}, errNoAnswer
+			return settlement.WitnessAnswer{}, errNoAnswer
 		}
-		return f.witnesses[witness].Testify(lender, term), nil
+		return f.witnesses[witness].Limits(lender, term), nil
 	}
 	return f
 }
@@ -133,7 +133,7 @@
 			require.NoError(t, f.use("router/1", 30, 30))
 			f.kill("router/1")
 			_, err := f.settle()
-			require.ErrorIs(t, err, settlement.ErrNotYet, "the witness that is cut off may have higher limits")
+			require.ErrorIs(t, err, settlement.ErrUsagePending, "the witness that is cut off may have higher limits")
 			f.unreachable[witness] = false
 			used, err := f.settle()
 			require.NoError(t, err)
@@ -154,7 +154,7 @@
 		require.NoError(t, f.exposure.Appoint(t.Context(), "lender/2"))
 		f.kill("router/1")
 		_, err := f.settle()
-		require.ErrorIs(t, err, settlement.ErrUnsettled)
+		require.ErrorIs(t, err, settlement.ErrUsageUnknown)
 	})
 }
 
@@ -184,10 +184,10 @@
 		router := f.borrowers["router/1"]
 		delete(f.borrowers, "router/1")
 		_, err := f.settle()
-		require.ErrorIs(t, err, settlement.ErrNotYet, "no answer")
-		f.settler.Ask = func(context.Context, string, string) (grant.Borrowed, error) { return grant.Borrowed{}, nil }
+		require.ErrorIs(t, err, settlement.ErrUsagePending, "no answer")
+		f.settler.AskBorrower = func(context.Context, string, string) (grant.Borrowed, error) { return grant.Borrowed{}, nil }
 		_, err = f.settle()
-		require.ErrorIs(t, err, settlement.ErrNotYet, "another incarnation answers")
+		require.ErrorIs(t, err, settlement.ErrUsagePending, "another incarnation answers")
 		f.borrowers["router/1"] = router
 		f.ended["router/1"] = true
 		used, err := f.settle()
@@ -219,10 +219,10 @@
 		f.kill("router/1")
 		f.ended["lender/3"] = true
 		_, err := f.settle()
-		require.ErrorIs(t, err, settlement.ErrUnsettled, "it has ended")
+		require.ErrorIs(t, err, settlement.ErrUsageUnknown, "it has ended")
 		f.unreachable["lender/3"] = false
 		_, err = f.settle()
-		require.ErrorIs(t, err, settlement.ErrUnsettled, "it was never notified")
+		require.ErrorIs(t, err, settlement.ErrUsageUnknown, "it was never notified")
 	})
 }
 
@@ -230,25 +230,25 @@
 func TestLateNotices(t *testing.T) {
 	var w settlement.Witness
 	notice := func(term int64, whole bool, limit int64) settlement.Notice {
-		return settlement.Notice{Lender: "lender/1", Term: term, Whole: whole,
+		return settlement.Notice{Lender: "lender/1", Term: term, Full: whole,
 			Limits: grant.ExposureLimits{budget: {"router/1": limit}}}
 	}
 	now := time.Now()
-	require.ErrorIs(t, w.Note(now, notice(2, false, 5)), settlement.ErrNotAppointed, "changes before the full set of limits")
-	require.NoError(t, w.Note(now, notice(2, true, 20)))
-	require.NoError(t, w.Note(now, notice(2, false, 30)))
-	require.NoError(t, w.Note(now, notice(2, false, 25)))
-	require.NoError(t, w.Note(now, notice(2, true, 20)))
-	require.ErrorIs(t, w.Note(now, notice(1, true, 50)), settlement.ErrNotAppointed)
-	require.ErrorIs(t, w.Note(now, notice(3, false, 50)), settlement.ErrNotAppointed)
-	require.Equal(t, settlement.Testimony{Known: true, Limits: notice(2, true, 30).Limits}, w.Testify("lender/1", 2))
-	require.Equal(t, settlement.Testimony{}, w.Testify("lender/1", 3))
+	require.ErrorIs(t, w.Apply(now, notice(2, false, 5)), settlement.ErrNotAppointed, "changes before the full set of limits")
+	require.NoError(t, w.Apply(now, notice(2, true, 20)))
+	require.NoError(t, w.Apply(now, notice(2, false, 30)))
+	require.NoError(t, w.Apply(now, notice(2, false, 25)))
+	require.NoError(t, w.Apply(now, notice(2, true, 20)))
+	require.ErrorIs(t, w.Apply(now, notice(1, true, 50)), settlement.ErrNotAppointed)
+	require.ErrorIs(t, w.Apply(now, notice(3, false, 50)), settlement.ErrNotAppointed)
+	require.Equal(t, settlement.WitnessAnswer{Known: true, Limits: notice(2, true, 30).Limits}, w.Limits("lender/1", 2))
+	require.Equal(t, settlement.WitnessAnswer{}, w.Limits("lender/1", 3))
 	w.Forget(now, func(string) bool { return true })
-	require.True(t, w.Testify("lender/1", 2).Known, "its last notice is recent")
+	require.True(t, w.Limits("lender/1", 2).Known, "its last notice is recent")
 	w.Forget(now.Add(time.Second), func(string) bool { return false })
-	require.True(t, w.Testify("lender/1", 2).Known, "its list still exists")
+	require.True(t, w.Limits("lender/1", 2).Known, "its list still exists")
 	w.Forget(now.Add(time.Second), func(string) bool { return true })
-	require.False(t, w.Testify("lender/1", 2).Known)
+	require.False(t, w.Limits("lender/1", 2).Known)
 }
 
 // Guards against a witness that dropped a lender and then rejects all its changes permanently.
@@ -273,8 +273,8 @@
 		f := newWitnessFixture(t)
 		require.NoError(t, f.exposure.Appoint(t.Context(), "lender/2"))
 		require.NoError(t, f.use("router/1", 1, 1))
-		tell, raises := f.exposure.Tell, 0
-		f.exposure.Tell = func(ctx context.Context, witness string, n settlement.Notice) error {
+		tell, raises := f.exposure.Notify, 0
+		f.exposure.Notify = func(ctx context.Context, witness string, n settlement.Notice) error {
 			raises++
 			time.Sleep(time.Millisecond)
 			return tell(ctx, witness, n)
--- a/coord/store/memstore/memstore.go
+++ b/coord/store/memstore/memstore.go
@@ -18,9 +18,9 @@
 type Faults struct {
 	// Down makes every call fail without effect, with store.ErrUnknown.
 	Down bool `json:"down"`
-	// LoseWrites is the number of next writes that take effect and then
+	// LoseResponses is the number of next writes that take effect and then
 	// return store.ErrUnknown, as if the response were lost.
-	LoseWrites int `json:"lose_writes"`
+	LoseResponses int `json:"lose_writes"`
 	// Delay is the latency added to each call.
 	Delay time.Duration `json:"delay_ns"`
 }
@@ -125,10 +125,10 @@
 
 // loseResponseLocked reports whether the response of the current write is lost.
 func (s *Store) loseResponseLocked() bool {
-	if s.faults.LoseWrites == 0 {
+	if s.faults.LoseResponses == 0 {
 		return false
 	}
-	s.faults.LoseWrites--
+	s.faults.LoseResponses--
 	return true
 }
 
@@ -173,8 +173,8 @@
 	return items, rev, err
 }
 
-// Peek implements store.Store.
-func (s *Store) Peek(ctx context.Context, prefix string) ([]store.Item, error) {
+// StaleSnapshot implements store.Store.
+func (s *Store) StaleSnapshot(ctx context.Context, prefix string) ([]store.Item, error) {
 	return s.List(ctx, prefix, "", math.MaxInt)
 }
 
--- a/coord/store/store.go
+++ b/coord/store/store.go
@@ -81,10 +81,10 @@
 	// event up to it. Large sets are read in pages, so an item may be newer than
 	// the revision; the watch then sends it again.
 	Snapshot(ctx context.Context, prefix string) ([]Item, Revision, error)
-	// Peek reads all keys with the prefix like Snapshot, but its result may be
+	// StaleSnapshot reads all keys with the prefix like Snapshot, but its result may be
 	// seconds old. It costs the store little; callers must not rely on it where
 	// a missed write matters.
-	Peek(ctx context.Context, prefix string) ([]Item, error)
+	StaleSnapshot(ctx context.Context, prefix string) ([]Item, error)
 	// CompareAndSwap writes value if the key is still at revision expect, and
 	// returns the new revision. If lease is not 0, the key is removed when the
 	// lease ends.
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -15,7 +15,7 @@
 
 // Upstream is one incarnation of an upstream process, as described by its entry.
 type Upstream struct {
-	Life
+	Incarnation
 	Service    string
 	Address    string
 	Datacentre string
@@ -79,7 +79,7 @@
 	// outage reports whether the store failed since the last Reset.
 	outage bool
 	// lapses decides whether entries that are missing after an outage have expired.
-	lapses lapse.Judge
+	lapses lapse.Detector
 	read   bool
 }
 
@@ -96,7 +96,7 @@
 	rejected bool
 	// supersededBy is the incarnation that registered at the same address later; zero if there is
 	// none.
-	supersededBy Life
+	supersededBy Incarnation
 }
 
 var _ mirror.Reader = (*Directory)(nil)
@@ -107,7 +107,7 @@
 	defer d.mu.Unlock()
 	now := d.Now()
 	if d.outage {
-		d.lapses.StoreIsBack(now, missingGrace)
+		d.lapses.StartGrace(now, missingGrace)
 	}
 	d.outage, d.read = false, true
 	old := d.entries
@@ -177,13 +177,13 @@
 	}
 	switch {
 	case have == nil:
-	case have.Life == u.Life:
+	case have.Incarnation == u.Incarnation:
 		e.rejected, e.supersededBy = have.rejected, have.supersededBy
 	default:
 		d.Report.UpstreamGone(have.Upstream, "restarted under its id")
 	}
 	d.entries[it.Key] = e
-	if have == nil || have.Life != u.Life || have.differsFrom(u) {
+	if have == nil || have.Incarnation != u.Incarnation || have.differsFrom(u) {
 		d.Report.UpstreamChanged(u)
 	}
 }
@@ -194,7 +194,7 @@
 	switch {
 	case u.Cold <= 0:
 		return time.Time{}
-	case have != nil && have.Life == u.Life && have.revision == it.Revision && it.Revision != 0:
+	case have != nil && have.Incarnation == u.Incarnation && have.revision == it.Revision && it.Revision != 0:
 		return have.ColdUntil
 	}
 	return d.Now().Add(u.Cold)
@@ -227,16 +227,16 @@
 
 // Reject records that another process answered at the upstream's address: this incarnation has
 // ended, even if its entry remains.
-func (d *Directory) Reject(life Life) {
+func (d *Directory) Reject(life Incarnation) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, e := range d.entries {
-		if e.Life == life && !e.rejected {
+		if e.Incarnation == life && !e.rejected {
 			e.rejected = true
 			d.Report.UpstreamGone(e.Upstream, "another process answers at its address")
 		}
 		if e.supersededBy == life {
-			e.supersededBy = Life{}
+			e.supersededBy = Incarnation{}
 		}
 	}
 	d.rebuildIndexLocked(d.Now())
--- a/directory/emptied.go
+++ b/directory/emptied.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// SetEmptied sets the data centres that get no new requests, by the operators' latest drain
+// SetDrained sets the data centres that get no new requests, by the operators' latest drain
 // orders: their upstreams are removed from the lists at once. Upstreams of a data centre whose
 // drain is canceled are listed again, with the time of the cancellation.
-func (d *Directory) SetEmptied(datacentres []string) {
+func (d *Directory) SetDrained(datacentres []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Now()
@@ -28,16 +28,16 @@
 	d.rebuildIndexLocked(now)
 }
 
-// Emptied returns the drained data centres in sorted order.
-func (d *Directory) Emptied() []string {
+// Drained returns the drained data centres in sorted order.
+func (d *Directory) Drained() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Sorted(maps.Keys(d.drained))
 }
 
-// CountIn returns the number of known upstreams in a data centre, whether or not they get
+// CountInDatacentre returns the number of known upstreams in a data centre, whether or not they get
 // requests.
-func (d *Directory) CountIn(datacentre string) int {
+func (d *Directory) CountInDatacentre(datacentre string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	n := 0
@@ -49,8 +49,8 @@
 	return n
 }
 
-// Takes reports whether an upstream accepts new requests now. It is checked again before the send,
+// Accepts reports whether an upstream accepts new requests now. It is checked again before the send,
 // since asking the upstream's lender after the choice may take a while.
-func (d *Directory) Takes(u Upstream) bool {
-	return slices.ContainsFunc(d.Of(u.Service), func(other Upstream) bool { return other.Life == u.Life })
+func (d *Directory) Accepts(u Upstream) bool {
+	return slices.ContainsFunc(d.ForService(u.Service), func(other Upstream) bool { return other.Incarnation == u.Incarnation })
 }
--- a/directory/emptied_test.go
+++ b/directory/emptied_test.go
@@ -29,32 +29,32 @@
 		listed  []string
 	}{
 		"no order":        {func(*Directory, *time.Time) {}, []string{"a", "b", "c"}},
-		"one data centre": {func(d *Directory, _ *time.Time) { d.SetEmptied([]string{"bergen"}) }, []string{"c"}},
-		"twice":           {func(d *Directory, _ *time.Time) { d.SetEmptied([]string{"bergen"}); d.SetEmptied([]string{"bergen"}) }, []string{"c"}},
+		"one data centre": {func(d *Directory, _ *time.Time) { d.SetDrained([]string{"bergen"}) }, []string{"c"}},
+		"twice":           {func(d *Directory, _ *time.Time) { d.SetDrained([]string{"bergen"}); d.SetDrained([]string{"bergen"}) }, []string{"c"}},
 		"overlapping": {func(d *Directory, _ *time.Time) {
-			d.SetEmptied([]string{"bergen"})
-			d.SetEmptied([]string{"bergen", "oslo"})
-			d.SetEmptied([]string{"oslo"})
+			d.SetDrained([]string{"bergen"})
+			d.SetDrained([]string{"bergen", "oslo"})
+			d.SetDrained([]string{"oslo"})
 		}, []string{"a", "b"}},
-		"all":                 {func(d *Directory, _ *time.Time) { d.SetEmptied([]string{"bergen", "oslo"}) }, nil},
-		"drain canceled":      {func(d *Directory, _ *time.Time) { d.SetEmptied([]string{"bergen"}); d.SetEmptied(nil) }, []string{"a", "b", "c"}},
-		"unknown data centre": {func(d *Directory, _ *time.Time) { d.SetEmptied([]string{"atlantis"}) }, []string{"a", "b", "c"}},
+		"all":                 {func(d *Directory, _ *time.Time) { d.SetDrained([]string{"bergen", "oslo"}) }, nil},
+		"drain canceled":      {func(d *Directory, _ *time.Time) { d.SetDrained([]string{"bergen"}); d.SetDrained(nil) }, []string{"a", "b", "c"}},
+		"unknown data centre": {func(d *Directory, _ *time.Time) { d.SetDrained([]string{"atlantis"}) }, []string{"a", "b", "c"}},
 		"new incarnation": {func(d *Directory, _ *time.Time) {
-			d.SetEmptied([]string{"bergen"})
+			d.SetDrained([]string{"bergen"})
 			d.Changed(store.Event{Item: entryOf("a", "ready@2")})
 		}, []string{"c"}},
 		"store unavailable": {func(d *Directory, now *time.Time) {
-			d.SetEmptied([]string{"bergen"})
+			d.SetDrained([]string{"bergen"})
 			d.Lost(store.ErrUnknown)
 			*now = now.Add(time.Minute)
 		}, []string{"c"}},
 		"entries expired": {func(d *Directory, _ *time.Time) {
-			d.SetEmptied([]string{"bergen"})
+			d.SetDrained([]string{"bergen"})
 			d.Lost(store.ErrUnknown)
 			d.Reset(nil)
 		}, []string{"c"}},
 		"drained before a read": {func(d *Directory, _ *time.Time) {
-			d.SetEmptied([]string{"bergen"})
+			d.SetDrained([]string{"bergen"})
 			d.Reset([]store.Item{entryOf("b", "ready"), entryOf("c", "ready")})
 		}, []string{"c"}},
 	} {
@@ -72,13 +72,13 @@
 func TestUpstreamOfADrainedDatacentreTakesNothing(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := directoryWithDatacentres(&now)
-	chosen := d.Of("s")
-	d.SetEmptied([]string{"bergen"})
+	chosen := d.ForService("s")
+	d.SetDrained([]string{"bergen"})
 	for _, u := range chosen {
-		require.Equal(t, u.Datacentre == "oslo", d.Takes(u))
+		require.Equal(t, u.Datacentre == "oslo", d.Accepts(u))
 	}
-	require.Equal(t, 2, d.CountIn("bergen"))
-	require.Equal(t, []string{"bergen"}, d.Emptied())
+	require.Equal(t, 2, d.CountInDatacentre("bergen"))
+	require.Equal(t, []string{"bergen"}, d.Drained())
 }
 
 // Guards against making an upstream cold again because its entry is read again after a loss of the
@@ -88,19 +88,19 @@
 	d := directoryAt(&now)
 	cold := 3 * time.Second
 	d.Decode = func(it store.Item) (Upstream, error) {
-		return Upstream{Life: Life{ID: "a"}, Service: "s", Cold: cold}, nil
+		return Upstream{Incarnation: Incarnation{ID: "a"}, Service: "s", Cold: cold}, nil
 	}
 	firstRead := now
 	d.Reset([]store.Item{entryOf("a", "")})
-	require.Equal(t, firstRead.Add(cold), d.Of("s")[0].ColdUntil)
+	require.Equal(t, firstRead.Add(cold), d.ForService("s")[0].ColdUntil)
 	now = now.Add(time.Second)
 	d.Lost(store.ErrUnknown)
 	d.Reset([]store.Item{entryOf("a", "")})
-	require.Equal(t, firstRead.Add(3*time.Second), d.Of("s")[0].ColdUntil)
+	require.Equal(t, firstRead.Add(3*time.Second), d.ForService("s")[0].ColdUntil)
 	cold = time.Second
 	d.Changed(store.Event{Item: store.Item{Key: "u/a", Revision: 2}})
-	require.Equal(t, now.Add(time.Second), d.Of("s")[0].ColdUntil)
+	require.Equal(t, now.Add(time.Second), d.ForService("s")[0].ColdUntil)
 	cold = 0
 	d.Changed(store.Event{Item: store.Item{Key: "u/a", Revision: 3}})
-	require.Zero(t, d.Of("s")[0].ColdUntil)
+	require.Zero(t, d.ForService("s")[0].ColdUntil)
 }
--- a/directory/index.go
+++ b/directory/index.go
@@ -17,7 +17,7 @@
 		case missing && !lapsed:
 			continue
 		}
-		if e.Leaving || e.rejected || e.supersededBy != (Life{}) || d.drained[e.Datacentre] || startTimesExpected && e.Born == 0 {
+		if e.Leaving || e.rejected || e.supersededBy != (Incarnation{}) || d.drained[e.Datacentre] || startTimesExpected && e.StartUnixMS == 0 {
 			continue
 		}
 		e.Returned = d.undrainedAt[e.Datacentre]
@@ -32,7 +32,7 @@
 func (d *Directory) startTimesExpectedLocked() bool {
 	withStart := 0
 	for _, e := range d.entries {
-		if e.Born != 0 {
+		if e.StartUnixMS != 0 {
 			withStart++
 		}
 	}
@@ -52,17 +52,17 @@
 	}
 	for _, e := range d.entries {
 		by := newest[e.Address]
-		if by == nil || by.created <= e.created || e.supersededBy != (Life{}) || e.rejected {
+		if by == nil || by.created <= e.created || e.supersededBy != (Incarnation{}) || e.rejected {
 			continue
 		}
-		e.supersededBy = by.Life
+		e.supersededBy = by.Incarnation
 		d.Report.UpstreamGone(e.Upstream, "superseded by a later entry for its address")
 	}
 }
 
-// Of returns the upstreams of a service that accept new requests. The caller must not modify the
+// ForService returns the upstreams of a service that accept new requests. The caller must not modify the
 // list.
-func (d *Directory) Of(service string) []Upstream {
+func (d *Directory) ForService(service string) []Upstream {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.services[service]
--- a/directory/life.go
+++ b/directory/life.go
@@ -2,23 +2,23 @@
 
 import "fmt"
 
-// Life identifies one incarnation of an upstream, from a start of its process to its end. An
+// Incarnation identifies one incarnation of an upstream, from a start of its process to its end. An
 // upstream may restart under the same id and has lost all its state then, so everything recorded
 // about an upstream belongs to one incarnation.
 //
 // Lives are compared for equality only. Their order follows from the revisions of the store, never
 // from start times, since clocks step.
-type Life struct {
+type Incarnation struct {
 	// ID is the id under which the upstream is registered.
 	ID string `json:"id"`
-	// Born is the start time in Unix milliseconds by the upstream's own clock; 0 if unknown.
-	Born int64 `json:"born,omitempty"`
+	// StartUnixMS is the start time in Unix milliseconds by the upstream's own clock; 0 if unknown.
+	StartUnixMS int64 `json:"born,omitempty"`
 }
 
 // String returns the form used in logs.
-func (l Life) String() string {
-	if l.Born == 0 {
+func (l Incarnation) String() string {
+	if l.StartUnixMS == 0 {
 		return l.ID
 	}
-	return fmt.Sprintf("%s@%d", l.ID, l.Born)
+	return fmt.Sprintf("%s@%d", l.ID, l.StartUnixMS)
 }
--- a/directory/missing.go
+++ b/directory/missing.go
@@ -17,7 +17,7 @@
 			recreated++
 		}
 	}
-	d.lapses.Read(survived, recreated)
+	d.lapses.RecordRead(survived, recreated)
 }
 
 // handleMissingLocked drops an entry, or keeps it for a while if its lease may have expired only
@@ -26,10 +26,10 @@
 	switch {
 	case now.Before(e.missingUntil):
 		d.entries[key] = e
-	case e.missingUntil.IsZero() && d.lapses.Possible(now) && !e.Leaving:
-		e.missingUntil = d.lapses.Until()
+	case e.missingUntil.IsZero() && d.lapses.InGrace(now) && !e.Leaving:
+		e.missingUntil = d.lapses.GraceEnd()
 		d.entries[key] = e
-		d.lapses.Miss(e.survived)
+		d.lapses.RecordMissing(e.survived)
 		e.survived = false
 		missing, kept := d.lapses.Counts()
 		d.Report.UpstreamMissing(e.Upstream, d.lapses.Lapsed(now), missing, kept)
--- a/link/messages.go
+++ b/link/messages.go
@@ -94,8 +94,8 @@
 // LimitNamed is what an answer of an engine's life said.
 type LimitNamed struct {
 	// Born is the start of that life; see directory.Life.
-	Born int64          `json:"born,omitempty"`
-	Word ratelimit.Word `json:"word"`
+	Born int64                `json:"born,omitempty"`
+	Word ratelimit.NamedLimit `json:"word"`
 }
 
 // MethodFollow asks a relay for the store's changes: relay.Request, relay.Reply.
@@ -103,8 +103,8 @@
 
 // Withdrawal takes back an announcement.
 type Withdrawal struct {
-	Announcement prefill.Announcement `json:"announcement"`
-	Told         prefill.Told         `json:"told"`
+	Announcement prefill.Announcement  `json:"announcement"`
+	Told         prefill.AnnounceReply `json:"told"`
 }
 
 // Methods of routers and agents.
--- a/placement/pause.go
+++ b/placement/pause.go
@@ -41,10 +41,10 @@
 	longPromptShare = 0.2
 )
 
-// Exposed reports whether prefills delay streams at an engine for too long. was is the previous
+// StallProne reports whether prefills delay streams at an engine for too long. was is the previous
 // result, gapShare the gap of the service's streams at an engine of usual speed as a share of
 // their routes' goals, and slowness the ratio of this engine's event interval to the usual one.
-func Exposed(was bool, gapShare, slowness float64) bool {
+func StallProne(was bool, gapShare, slowness float64) bool {
 	if was {
 		return gapShare*slowness >= stallProneExit
 	}
@@ -71,7 +71,7 @@
 	}
 	var forLong []int
 	for _, i := range usable {
-		if !ups[i].Exposed {
+		if !ups[i].StallProne {
 			forLong = append(forLong, i)
 		}
 	}
@@ -86,7 +86,7 @@
 
 // cost returns the cost of the separation for the prompt at an engine with that many streams.
 func (s separation) cost(r *serving.Request, u Upstream, streams float64) time.Duration {
-	exposed := s.active && u.Exposed
+	exposed := s.active && u.StallProne
 	switch {
 	case s.long && exposed:
 		return time.Duration(streams * float64(delayedStreamCost))
@@ -105,5 +105,5 @@
 		return 0
 	}
 	events := float64(r.MaxOutput) / float64(r.Service.Engine.TokensPerEvent)
-	return time.Duration(durationWeight * events * float64(u.EventTime))
+	return time.Duration(durationWeight * events * float64(u.EventInterval))
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -18,31 +18,31 @@
 
 // Upstream is one candidate and its state as known to the router.
 type Upstream struct {
-	Life       directory.Life
+	Life       directory.Incarnation
 	Datacentre string
 	// Slots is the number of requests that it runs at once.
 	Slots int
 	// Running is the number of this router's requests there that have not ended.
 	Running int
-	// Unread is the pending prefill: the prompt tokens of this router's requests there
+	// PendingPrefill is the pending prefill: the prompt tokens of this router's requests there
 	// whose first event has not arrived, without those probably cached.
-	Unread int64
-	// Told is its lender's reply to the announcement of the request's prompt; nil if there
+	PendingPrefill int64
+	// Reply is its lender's reply to the announcement of the request's prompt; nil if there
 	// is none. It overrides Unread and Cached, which are this router's own estimates.
-	Told *prefill.Told
+	Reply *prefill.AnnounceReply
 	// Cached is how many leading tokens of the request's prompt it probably has
 	// cached, estimated from what this router sent there.
 	Cached int64
 	// Avoid is set if it failed recently.
 	Avoid bool
-	// Closed is set if the request must not be sent there now.
-	Closed bool
+	// Excluded is set if the request must not be sent there now.
+	Excluded bool
 	// FailureShare is the share of its recent answers that failed, 0 to 1.
 	FailureShare float64
-	// Exposed is set if prefills delay its streams for too long.
-	Exposed bool
-	// EventTime is the recent time between two events of its streams; 0 if unknown.
-	EventTime time.Duration
+	// StallProne is set if prefills delay its streams for too long.
+	StallProne bool
+	// EventInterval is the recent time between two events of its streams; 0 if unknown.
+	EventInterval time.Duration
 }
 
 // Rates are the parameters that are the same for all upstreams of a choice.
@@ -54,8 +54,8 @@
 	FetchPerMs float64
 	// Routers is the number of routers that send to the same upstreams.
 	Routers int
-	// Here is the router's data centre.
-	Here string
+	// Datacentre is the router's data centre.
+	Datacentre string
 }
 
 // Weights of the cost estimate.
@@ -69,9 +69,9 @@
 	remoteCost = 3 * time.Millisecond
 	// failureCost is scaled by the share of failures.
 	failureCost = 2 * time.Second
-	// FetchLeast is the minimum number of tokens for a transfer; below it the
+	// MinFetchTokens is the minimum number of tokens for a transfer; below it the
 	// set-up of the transfer takes longer than prefilling them.
-	FetchLeast = 1000
+	MinFetchTokens = 1000
 	// duplicateWeight is the cost, in tokens, of prefilling a shared token at an engine that
 	// is not preferred: the preferred one will prefill it again for the next request. With 0,
 	// twice as many shared tokens are prefilled again under low load; 0.4 and 1 differ little.
@@ -90,21 +90,21 @@
 	FetchFrom int
 	// Fetched is the number of leading tokens that are transferred from there.
 	Fetched int64
-	// Unread is the number of tokens that the chosen upstream must prefill.
-	Unread int64
+	// PrefillTokens is the number of tokens that the chosen upstream must prefill.
+	PrefillTokens int64
 	// Cost is the estimated time to the first event.
 	Cost time.Duration
-	// Before is the backlog of the chosen upstream in tokens, as reported by its lender; -1 if
+	// Backlog is the backlog of the chosen upstream in tokens, as reported by its lender; -1 if
 	// not reported.
-	Before int64
-	// Home is the index of the preferred upstream for the prompt's shared parts, -1 if it
+	Backlog int64
+	// Preferred is the index of the preferred upstream for the prompt's shared parts, -1 if it
 	// has none.
-	Home int
+	Preferred int
 }
 
-// Key returns the ID of the part by which requests are grouped: the last one that other
+// AffinityKey returns the ID of the part by which requests are grouped: the last one that other
 // requests may share. The very last part belongs to the request alone.
-func Key(parts []prefill.Part) string {
+func AffinityKey(parts []prefill.Part) string {
 	switch len(parts) {
 	case 0:
 		return ""
@@ -138,7 +138,7 @@
 	var good, avoided []int
 	for i, u := range ups {
 		switch {
-		case u.Closed:
+		case u.Excluded:
 		case u.Avoid:
 			avoided = append(avoided, i)
 		default:
@@ -154,7 +154,7 @@
 // chooseForPlain chooses the upstream for a request without a prompt.
 func chooseForPlain(ups []Upstream, usable []int, rates Rates, tie func(int) int) Choice {
 	avg := averageOf(ups, usable)
-	best := Choice{Index: -1, FetchFrom: -1, Before: -1, Home: -1}
+	best := Choice{Index: -1, FetchFrom: -1, Backlog: -1, Preferred: -1}
 	start := tie(len(usable))
 	for k := range usable {
 		i := usable[(start+k)%len(usable)]
@@ -176,7 +176,7 @@
 	var l averageLoad
 	for _, i := range usable {
 		l.running += float64(ups[i].Running)
-		l.unread += float64(ups[i].Unread)
+		l.unread += float64(ups[i].PendingPrefill)
 	}
 	n := float64(len(usable))
 	return averageLoad{running: l.running / n, unread: l.unread / n}
@@ -197,7 +197,7 @@
 	taken := avg.streams(u, rates) / float64(max(1, u.Slots))
 	c := time.Duration(float64(occupancyCost) * taken * taken)
 	c += time.Duration(float64(failureCost) * u.FailureShare)
-	if u.Datacentre != rates.Here {
+	if u.Datacentre != rates.Datacentre {
 		c += remoteCost
 	}
 	return c
@@ -205,18 +205,18 @@
 
 // backlog estimates the tokens that an engine prefills before a new prompt.
 func (u Upstream) backlog(avg averageLoad, rates Rates) float64 {
-	if u.Told != nil {
-		return float64(u.Told.Backlog)
+	if u.Reply != nil {
+		return float64(u.Reply.Backlog)
 	}
-	return float64(u.Unread) + avg.unread*rates.otherRouters()
+	return float64(u.PendingPrefill) + avg.unread*rates.otherRouters()
 }
 
 // reportedBacklog returns the backlog for Choice.Before.
 func (u Upstream) reportedBacklog() int64 {
-	if u.Told == nil {
+	if u.Reply == nil {
 		return -1
 	}
-	return u.Told.Backlog
+	return u.Reply.Backlog
 }
 
 func chooseForPrompt(r *serving.Request, ups []Upstream, usable []int, rates Rates, tie func(int) int) Choice {
@@ -234,7 +234,7 @@
 		from := -1
 		waitTokens := float64(unread)
 		var fetched int64
-		if more := sourceTokens - cached; i != source && more >= FetchLeast {
+		if more := sourceTokens - cached; i != source && more >= MinFetchTokens {
 			from, fetched = source, sourceTokens
 			waitTokens += float64(more) * (rates.PrefillPerMs/rates.FetchPerMs - 1)
 			unread -= more
@@ -246,7 +246,7 @@
 		c := baseCost(u, avg, rates) + time.Duration(waitTokens/rates.PrefillPerMs*float64(time.Millisecond))
 		c += sep.cost(r, u, avg.streams(u, rates))
 		if best.Index < 0 || c < best.Cost {
-			best = Choice{Index: i, FetchFrom: from, Fetched: fetched, Unread: unread, Cost: c, Before: u.reportedBacklog(), Home: preferred}
+			best = Choice{Index: i, FetchFrom: from, Fetched: fetched, PrefillTokens: unread, Cost: c, Backlog: u.reportedBacklog(), Preferred: preferred}
 		}
 	}
 	return best
@@ -272,8 +272,8 @@
 	}
 	u := ups[i]
 	switch {
-	case u.Told != nil:
-		return u.Told.Cached
+	case u.Reply != nil:
+		return u.Reply.Cached
 	case preferred:
 		return max(u.Cached, int64(assumedCacheShare*float64(sharedTokens(r.Parts))))
 	}
@@ -284,7 +284,7 @@
 // none. All routers with the same usable upstreams find the same one; if a router avoids an
 // upstream, only the prompts that prefer it move.
 func preferredEngine(r *serving.Request, ups []Upstream, usable []int) int {
-	key := Key(r.Parts)
+	key := AffinityKey(r.Parts)
 	if key == "" {
 		return -1
 	}
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -13,12 +13,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-var rates = Rates{PrefillPerMs: 50, FetchPerMs: 95, Routers: 4, Here: "bergen"}
+var rates = Rates{PrefillPerMs: 50, FetchPerMs: 95, Routers: 4, Datacentre: "bergen"}
 
 func engines(n int) []Upstream {
 	out := make([]Upstream, n)
 	for i := range out {
-		out[i] = Upstream{Life: directory.Life{ID: fmt.Sprint("e", i)}, Datacentre: "bergen", Slots: 64}
+		out[i] = Upstream{Life: directory.Incarnation{ID: fmt.Sprint("e", i)}, Datacentre: "bergen", Slots: 64}
 	}
 	return out
 }
@@ -54,7 +54,7 @@
 	ups := engines(12)
 	c, _ := Choose(prompt("hot"), ups, rates, firstTie)
 	preferred := c.Index
-	ups[preferred].Unread = 60_000 // more than a second
+	ups[preferred].PendingPrefill = 60_000 // more than a second
 	c, _ = Choose(prompt("hot"), ups, rates, firstTie)
 	require.NotEqual(t, preferred, c.Index)
 	require.Equal(t, preferred, c.FetchFrom)
@@ -67,11 +67,11 @@
 	ups := engines(12)
 	c, _ := Choose(prompt("s"), ups, rates, firstTie)
 	preferred := c.Index
-	ups[preferred].Told = &prefill.Told{Backlog: 60_000, Cached: 13_300}
+	ups[preferred].Reply = &prefill.AnnounceReply{Backlog: 60_000, Cached: 13_300}
 	c, _ = Choose(prompt("s"), ups, rates, firstTie)
 	require.NotEqual(t, preferred, c.Index)
 	require.Equal(t, preferred, c.FetchFrom)
-	ups[preferred].Unread, ups[preferred].Told = 60_000, &prefill.Told{Backlog: 100, Cached: 13_300}
+	ups[preferred].PendingPrefill, ups[preferred].Reply = 60_000, &prefill.AnnounceReply{Backlog: 100, Cached: 13_300}
 	c, _ = Choose(prompt("s"), ups, rates, firstTie)
 	require.Equal(t, preferred, c.Index)
 }
@@ -82,7 +82,7 @@
 	ups := engines(12)
 	c, _ := Choose(prompt("new"), ups, rates, firstTie)
 	preferred := c.Index
-	ups[preferred].Told = &prefill.Told{Backlog: 4_000}
+	ups[preferred].Reply = &prefill.AnnounceReply{Backlog: 4_000}
 	c, _ = Choose(prompt("new"), ups, rates, firstTie)
 	require.Equal(t, preferred, c.Index)
 }
@@ -93,13 +93,13 @@
 	ups := engines(12)
 	c, _ := Choose(prompt("s"), ups, rates, firstTie)
 	preferred, other := c.Index, (c.Index+1)%len(ups)
-	ups[preferred].Told = &prefill.Told{}
-	ups[other].Cached, ups[other].Unread = 13_300, 60_000
+	ups[preferred].Reply = &prefill.AnnounceReply{}
+	ups[other].Cached, ups[other].PendingPrefill = 13_300, 60_000
 	c, _ = Choose(prompt("s"), ups, rates, firstTie)
 	require.Equal(t, preferred, c.Index)
 	require.Equal(t, other, c.FetchFrom)
 	require.EqualValues(t, 13_300, c.Fetched)
-	require.EqualValues(t, 3_700, c.Unread)
+	require.EqualValues(t, 3_700, c.PrefillTokens)
 }
 
 func TestFailingUpstreams(t *testing.T) {
--- a/poison/document.go
+++ b/poison/document.go
@@ -36,7 +36,7 @@
 	var d document
 	for _, e := range all[:min(len(all), maxStoredPrompts)] {
 		p := storedPrompt{Prompt: e.Prompt, Answered: e.Answered}
-		for _, c := range e.Ends {
+		for _, c := range e.Crashes {
 			p.Crashes = append(p.Crashes, storedCrash{Upstream: c.Upstream, Service: c.Service, UnixMS: now.Add(-c.Age).UnixMilli()})
 		}
 		d.Prompts = append(d.Prompts, p)
@@ -62,10 +62,10 @@
 				return nil, fmt.Errorf("prompts[%d].ends[%d].upstream is missing", n, k)
 			}
 			if age := max(0, now.Sub(time.UnixMilli(c.UnixMS))); age < evidenceTTL {
-				e.Ends = append(e.Ends, End{Upstream: c.Upstream, Service: c.Service, Age: age})
+				e.Crashes = append(e.Crashes, Crash{Upstream: c.Upstream, Service: c.Service, Age: age})
 			}
 		}
-		if len(e.Ends) > 0 {
+		if len(e.Crashes) > 0 {
 			all = append(all, e)
 		}
 	}
--- a/poison/evidence.go
+++ b/poison/evidence.go
@@ -28,39 +28,39 @@
 
 // Evidence lists the upstreams that crashed while running a prompt, with the age of each crash.
 type Evidence struct {
-	Prompt Prompt `json:"prompt"`
-	Ends   []End  `json:"ends"`
+	Prompt  Prompt  `json:"prompt"`
+	Crashes []Crash `json:"ends"`
 	// Answered lists the services that answered the prompt although upstreams of others crashed.
 	Answered []string `json:"answered,omitempty"`
 }
 
-// End is the crash of one incarnation of an upstream.
-type End struct {
+// Crash is the crash of one incarnation of an upstream.
+type Crash struct {
 	Upstream string        `json:"upstream"`
 	Service  string        `json:"service"`
 	Age      time.Duration `json:"age_ns"`
 }
 
-// For returns the evidence that applies to requests to a service. Crashes count for all services,
+// ForService returns the evidence that applies to requests to a service. Crashes count for all services,
 // since operators move and split routes, except for a service that has answered the prompt itself:
 // only its own crashes count there.
-func (e Evidence) For(service string) Evidence {
+func (e Evidence) ForService(service string) Evidence {
 	if !slices.Contains(e.Answered, service) {
 		return e
 	}
-	e.Ends = slices.DeleteFunc(slices.Clone(e.Ends), func(c End) bool { return c.Service != service })
+	e.Crashes = slices.DeleteFunc(slices.Clone(e.Crashes), func(c Crash) bool { return c.Service != service })
 	return e
 }
 
 // Standing returns the standing that the evidence implies.
-func (e Evidence) Standing() Standing { return standing(len(e.Ends), e.newestAge()) }
+func (e Evidence) Standing() Standing { return standing(len(e.Crashes), e.newestAge()) }
 
 // newestAge returns the age of the latest crash, 0 if there is none.
 func (e Evidence) newestAge() time.Duration {
-	if len(e.Ends) == 0 {
+	if len(e.Crashes) == 0 {
 		return 0
 	}
-	return slices.MinFunc(e.Ends, func(a, b End) int { return cmp.Compare(a.Age, b.Age) }).Age
+	return slices.MinFunc(e.Crashes, func(a, b Crash) int { return cmp.Compare(a.Age, b.Age) }).Age
 }
 
 // standing returns the standing for a number of crashes and the time since the last one.
--- a/poison/register.go
+++ b/poison/register.go
@@ -93,28 +93,28 @@
 // expired reports whether the last crash is old enough that the prompt counts as clear.
 func (r *record) expired(now time.Time) bool { return !now.Before(r.lastCrash().Add(evidenceTTL)) }
 
-// Register holds one process's evidence on prompts that crash upstreams. An answer from a service
+// Registry holds one process's evidence on prompts that crash upstreams. An answer from a service
 // clears the prompt there: a prompt that crashes upstreams is never answered, while a harmless one
 // that many callers send coincides with a crash now and then. The zero value is empty. It is safe
 // for concurrent use.
-type Register struct {
+type Registry struct {
 	mu      sync.Mutex
 	records map[Prompt]*record
 }
 
 // Empty reports whether no prompt is recorded, so that requests need not be identified.
-func (r *Register) Empty() bool {
+func (r *Registry) Empty() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.records) == 0
 }
 
 // Add merges evidence. It returns all evidence on the prompt and whether any of it was new.
-func (r *Register) Add(now time.Time, e Evidence) (all Evidence, news bool) {
+func (r *Registry) Add(now time.Time, e Evidence) (all Evidence, news bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known := r.recordLocked(now, e.Prompt)
-	for _, e := range e.Ends {
+	for _, e := range e.Crashes {
 		news = known.add(e.Upstream, crash{service: e.Service, at: now.Add(-e.Age)}) || news
 	}
 	for _, service := range e.Answered {
@@ -125,7 +125,7 @@
 }
 
 // recordLocked returns the record of a prompt and creates it if there is none.
-func (r *Register) recordLocked(now time.Time, p Prompt) *record {
+func (r *Registry) recordLocked(now time.Time, p Prompt) *record {
 	r.dropExpiredLocked(now, p)
 	if known := r.records[p]; known != nil {
 		return known
@@ -142,7 +142,7 @@
 }
 
 // dropExpiredLocked removes a prompt whose evidence has expired.
-func (r *Register) dropExpiredLocked(now time.Time, p Prompt) {
+func (r *Registry) dropExpiredLocked(now time.Time, p Prompt) {
 	if known := r.records[p]; known != nil && known.expired(now) {
 		delete(r.records, p)
 	}
@@ -150,7 +150,7 @@
 
 // evictLocked removes the prompt with the fewest crashes, and among these the one whose last crash
 // is the oldest. A flood of requests interrupted by other causes must not evict a proven prompt.
-func (r *Register) evictLocked() {
+func (r *Registry) evictLocked() {
 	var out Prompt
 	var least *record
 	for p, known := range r.records {
@@ -172,13 +172,13 @@
 	e := Evidence{Prompt: p, Answered: slices.Sorted(maps.Keys(r.answered))}
 	for _, upstream := range slices.Sorted(maps.Keys(r.crashes)) {
 		c := r.crashes[upstream]
-		e.Ends = append(e.Ends, End{Upstream: upstream, Service: c.service, Age: now.Sub(c.at)})
+		e.Crashes = append(e.Crashes, Crash{Upstream: upstream, Service: c.service, Age: now.Sub(c.at)})
 	}
 	return e
 }
 
 // Known returns the evidence on a prompt.
-func (r *Register) Known(now time.Time, p Prompt) Evidence {
+func (r *Registry) Known(now time.Time, p Prompt) Evidence {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.dropExpiredLocked(now, p)
@@ -188,9 +188,9 @@
 	return Evidence{Prompt: p}
 }
 
-// Try reports whether the request with this id may send a prompt to a service now, and records the
+// Allow reports whether the request with this id may send a prompt to a service now, and records the
 // trial if the prompt is on trial. Only the process that decides for the prompt calls it.
-func (r *Register) Try(now time.Time, p Prompt, service, request string) bool {
+func (r *Registry) Allow(now time.Time, p Prompt, service, request string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.dropExpiredLocked(now, p)
@@ -198,7 +198,7 @@
 	if known == nil {
 		return true
 	}
-	switch standing := known.evidence(now, p).For(service).Standing(); {
+	switch standing := known.evidence(now, p).ForService(service).Standing(); {
 	case standing < OnTrial:
 		return true
 	case standing == Proven:
@@ -212,17 +212,17 @@
 	return true
 }
 
-// Answered records that a service answered a prompt, and returns the evidence that applied to the
+// RecordAnswer records that a service answered a prompt, and returns the evidence that applied to the
 // service before. Crashes of that service no longer count; those of other services still count for
 // these.
-func (r *Register) Answered(now time.Time, p Prompt, service string) Evidence {
+func (r *Registry) RecordAnswer(now time.Time, p Prompt, service string) Evidence {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known := r.records[p]
 	if known == nil {
 		return Evidence{Prompt: p}
 	}
-	was := known.evidence(now, p).For(service)
+	was := known.evidence(now, p).ForService(service)
 	maps.DeleteFunc(known.crashes, func(_ string, c crash) bool { return c.service == service })
 	known.answered[service] = true
 	if len(known.crashes) == 0 {
@@ -231,19 +231,19 @@
 	return was
 }
 
-// Lapsed is a prompt whose standing improved because evidence expired.
-type Lapsed struct {
+// StandingChange is a prompt whose standing improved because evidence expired.
+type StandingChange struct {
 	Prompt   Prompt
 	Was, Now Standing
 }
 
-// Lapse removes expired evidence and returns the prompts that were on trial or proven and whose
+// Expire removes expired evidence and returns the prompts that were on trial or proven and whose
 // standing improved.
-func (r *Register) Lapse(now time.Time) (lapsed []Lapsed) {
+func (r *Registry) Expire(now time.Time) (lapsed []StandingChange) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for p, known := range r.records {
-		l := Lapsed{Prompt: p, Was: known.lastStanding, Now: known.standing(now)}
+		l := StandingChange{Prompt: p, Was: known.lastStanding, Now: known.standing(now)}
 		known.lastStanding = l.Now
 		if known.expired(now) {
 			l.Now = Clear
@@ -256,23 +256,23 @@
 	return lapsed
 }
 
-// All returns the prompts that are on trial or proven.
-func (r *Register) All(now time.Time) []Evidence { return r.atLeast(now, OnTrial) }
+// Restricted returns the prompts that are on trial or proven.
+func (r *Registry) Restricted(now time.Time) []Evidence { return r.atLeast(now, OnTrial) }
 
 // maxListedPrompts limits the prompts that one process sends another at once.
 const maxListedPrompts = 512
 
 // List returns the prompts with any crash, ordered by the number of crashes, then the newest crash
 // first; at most maxListedPrompts.
-func (r *Register) List(now time.Time) []Evidence {
+func (r *Registry) List(now time.Time) []Evidence {
 	all := r.atLeast(now, Suspect)
 	slices.SortFunc(all, func(a, b Evidence) int {
-		return cmp.Or(cmp.Compare(len(b.Ends), len(a.Ends)), cmp.Compare(a.newestAge(), b.newestAge()), cmp.Compare(a.Prompt, b.Prompt))
+		return cmp.Or(cmp.Compare(len(b.Crashes), len(a.Crashes)), cmp.Compare(a.newestAge(), b.newestAge()), cmp.Compare(a.Prompt, b.Prompt))
 	})
 	return all[:min(len(all), maxListedPrompts)]
 }
 
-func (r *Register) atLeast(now time.Time, least Standing) (all []Evidence) {
+func (r *Registry) atLeast(now time.Time, least Standing) (all []Evidence) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for p, known := range r.records {
--- a/poison/register_test.go
+++ b/poison/register_test.go
@@ -17,7 +17,7 @@
 
 // crashEvidence returns evidence of one crash.
 func crashEvidence(p Prompt, upstream string) Evidence {
-	return Evidence{Prompt: p, Ends: []End{{Upstream: upstream, Service: "model"}}}
+	return Evidence{Prompt: p, Crashes: []Crash{{Upstream: upstream, Service: "model"}}}
 }
 
 func TestIdentify(t *testing.T) {
@@ -50,60 +50,60 @@
 // After one crash, requests are still allowed; after two, one request per trialInterval; after
 // three, none until the refusal period has passed.
 func TestStandings(t *testing.T) {
-	var r Register
+	var r Registry
 	require.True(t, r.Empty())
-	require.True(t, r.Try(start, "p", "model", "1"))
+	require.True(t, r.Allow(start, "p", "model", "1"))
 	r.Add(start, crashEvidence("p", "i-1"))
 	_, news := r.Add(start, crashEvidence("p", "i-1"))
 	require.False(t, news, "the same upstream, reported by another process")
 	require.Equal(t, Suspect, r.Known(start, "p").Standing())
-	require.True(t, r.Try(start, "p", "model", "1"))
-	require.True(t, r.Try(start, "p", "model", "2"))
+	require.True(t, r.Allow(start, "p", "model", "1"))
+	require.True(t, r.Allow(start, "p", "model", "2"))
 
 	r.Add(start, crashEvidence("p", "i-2"))
 	require.Equal(t, OnTrial, r.Known(start, "p").Standing())
-	require.True(t, r.Try(start, "p", "model", "3"))
-	require.False(t, r.Try(start, "p", "model", "4"), "another request is trying it")
-	require.True(t, r.Try(start, "p", "model", "3"), "the upstream chosen first could not be reached")
-	require.True(t, r.Try(start.Add(trialInterval), "p", "model", "4"), "the first trial had no result")
+	require.True(t, r.Allow(start, "p", "model", "3"))
+	require.False(t, r.Allow(start, "p", "model", "4"), "another request is trying it")
+	require.True(t, r.Allow(start, "p", "model", "3"), "the upstream chosen first could not be reached")
+	require.True(t, r.Allow(start.Add(trialInterval), "p", "model", "4"), "the first trial had no result")
 
 	r.Add(start.Add(time.Second), crashEvidence("p", "i-3"))
 	require.Equal(t, Proven, r.Known(start, "p").Standing())
-	require.False(t, r.Try(start.Add(time.Minute), "p", "model", "5"))
-	require.Len(t, r.All(start.Add(time.Minute)), 1)
+	require.False(t, r.Allow(start.Add(time.Minute), "p", "model", "5"))
+	require.Len(t, r.Restricted(start.Add(time.Minute)), 1)
 	after := start.Add(time.Second + refusalPeriod)
-	require.Equal(t, []Lapsed{{Prompt: "p", Was: Proven, Now: OnTrial}}, r.Lapse(after))
-	require.True(t, r.Try(after, "p", "model", "6"))
-	require.False(t, r.Try(after, "p", "model", "7"), "one at a time, as before")
+	require.Equal(t, []StandingChange{{Prompt: "p", Was: Proven, Now: OnTrial}}, r.Expire(after))
+	require.True(t, r.Allow(after, "p", "model", "6"))
+	require.False(t, r.Allow(after, "p", "model", "7"), "one at a time, as before")
 	r.Add(after.Add(time.Second), crashEvidence("p", "i-4"))
 	require.Equal(t, Proven, r.Known(after.Add(time.Second), "p").Standing())
 	again := after.Add(time.Second + 2*refusalPeriod)
-	require.Empty(t, r.Lapse(again.Add(-1)), "twice as long as the first time")
-	require.Equal(t, []Lapsed{{Prompt: "p", Was: Proven, Now: OnTrial}}, r.Lapse(again))
-	require.Empty(t, r.Lapse(again.Add(time.Hour)))
+	require.Empty(t, r.Expire(again.Add(-1)), "twice as long as the first time")
+	require.Equal(t, []StandingChange{{Prompt: "p", Was: Proven, Now: OnTrial}}, r.Expire(again))
+	require.Empty(t, r.Expire(again.Add(time.Hour)))
 	much := after.Add(time.Second + evidenceTTL)
-	require.Equal(t, []Lapsed{{Prompt: "p", Was: OnTrial, Now: Clear}}, r.Lapse(much))
+	require.Equal(t, []StandingChange{{Prompt: "p", Was: OnTrial, Now: Clear}}, r.Expire(much))
 	require.True(t, r.Empty())
 }
 
 // Guards against refusing a harmless prompt: one that many callers send coincides with a crash now
 // and then. An answer to it shows that it is not the cause.
 func TestAnsweredPromptIsCleared(t *testing.T) {
-	var r Register
+	var r Registry
 	for n := range 10 {
 		r.Add(start, crashEvidence("p", fmt.Sprint("i-", n)))
 		if n%2 == 1 {
-			require.Equal(t, OnTrial, r.Answered(start, "p", "model").Standing())
+			require.Equal(t, OnTrial, r.RecordAnswer(start, "p", "model").Standing())
 		}
 		require.Less(t, r.Known(start, "p").Standing(), Proven)
 	}
-	require.Equal(t, Clear, r.Answered(start, "unknown", "model").Standing())
+	require.Equal(t, Clear, r.RecordAnswer(start, "unknown", "model").Standing())
 }
 
 // Guards against evicting a proven prompt when a rack of upstreams fails and interrupts more
 // requests than are recorded.
 func TestInterruptedRequestsDoNotEvictProvenPrompts(t *testing.T) {
-	var r Register
+	var r Registry
 	for n := range provenThreshold {
 		r.Add(start, crashEvidence("p", fmt.Sprint("i-", n)))
 	}
@@ -115,15 +115,15 @@
 	for n := range 20 {
 		r.Add(start, crashEvidence("p", fmt.Sprint("more-", n)))
 	}
-	require.Len(t, r.Known(start, "p").Ends, maxCrashesPerPrompt)
+	require.Len(t, r.Known(start, "p").Crashes, maxCrashesPerPrompt)
 	require.Equal(t, Proven, r.Known(start.Add(evidenceTTL-1), "p").Standing())
 }
 
 // A crash expires after a day without another one, and not earlier.
 func TestSuspicionLapses(t *testing.T) {
-	var r Register
+	var r Registry
 	r.Add(start, crashEvidence("p", "i-1"))
-	require.Empty(t, r.Lapse(start.Add(evidenceTTL-1)))
+	require.Empty(t, r.Expire(start.Add(evidenceTTL-1)))
 	require.Equal(t, Suspect, r.Known(start.Add(evidenceTTL-1), "p").Standing())
 	r.Add(start.Add(evidenceTTL), crashEvidence("p", "i-2"))
 	require.Equal(t, Suspect, r.Known(start.Add(evidenceTTL), "p").Standing())
@@ -132,7 +132,7 @@
 // fleet simulates upstreams that run prompts. Some prompts crash them; others crash by chance.
 type fleet struct {
 	t        *rapid.T
-	register Register
+	register Registry
 	now      time.Time
 	requests int
 	// running holds the prompts at each upstream.
@@ -156,7 +156,7 @@
 
 func (w *fleet) send(p Prompt, upstream string) {
 	w.requests++
-	if !w.register.Try(w.now, p, "model", fmt.Sprint(w.requests)) {
+	if !w.register.Allow(w.now, p, "model", fmt.Sprint(w.requests)) {
 		if w.crashesSinceAnswer[p] < trialThreshold {
 			w.refused++
 		}
@@ -175,7 +175,7 @@
 	p := w.running[upstream][0]
 	w.running[upstream] = w.running[upstream][1:]
 	if !crashesUpstreams(p) {
-		w.register.Answered(w.now, p, "model")
+		w.register.RecordAnswer(w.now, p, "model")
 		w.crashesSinceAnswer[p] = 0
 	}
 }
--- a/pool/choose.go
+++ b/pool/choose.go
@@ -30,7 +30,7 @@
 			return serving.Target{}, false
 		}
 		// Its data centre may have been emptied while lenders were asked.
-		if u := c.ups[choice.Index]; !p.Directory.Takes(u) {
+		if u := c.ups[choice.Index]; !p.Directory.Accepts(u) {
 			continue
 		}
 		if target, ok := p.beginAttempt(c, choice); ok {
@@ -63,7 +63,7 @@
 	granted bool
 	// held counts the upstreams excluded by limits, denied those among them whose lender denied
 	// the prompt.
-	held   Held
+	held   LimitedChoice
 	denied int
 }
 
@@ -76,17 +76,17 @@
 // eligible returns the upstreams of the request's service in its allowed regions, without those
 // already tried.
 func (p *Pool) eligible(r *serving.Request, attempts []serving.Attempt) []directory.Upstream {
-	ups := p.Directory.Of(r.Service.Name)
+	ups := p.Directory.ForService(r.Service.Name)
 	if len(attempts) == 0 && r.Regions == nil {
 		return ups
 	}
-	tried := map[directory.Life]bool{}
+	tried := map[directory.Incarnation]bool{}
 	for _, a := range attempts {
 		tried[a.Upstream] = true
 	}
 	var out []directory.Upstream
 	for _, u := range ups {
-		if !tried[u.Life] && r.Regions.Allow(p.Region(u.Datacentre)) {
+		if !tried[u.Incarnation] && r.Regions.Allow(p.Region(u.Datacentre)) {
 			out = append(out, u)
 		}
 	}
@@ -96,7 +96,7 @@
 // selectUpstream chooses by local state and, for prompts, by the replies of the upstreams' lenders.
 func (c *candidates) selectUpstream() (placement.Choice, bool) {
 	choice, ok := c.best()
-	if !ok || c.pool.Ask == nil || c.r.Prompt <= 0 {
+	if !ok || c.pool.Announce == nil || c.r.Prompt <= 0 {
 		return choice, ok
 	}
 	return c.announceAndChoose(choice)
@@ -115,7 +115,7 @@
 		u, view := c.ups[choice.Index], &c.views[choice.Index]
 		reply, answered := c.pool.announce(c.r, u, choice)
 		if c.rejected(u, reply, answered) {
-			view.Closed = true
+			view.Excluded = true
 			next, ok := c.best()
 			if !ok {
 				break
@@ -127,7 +127,7 @@
 		if !answered || redirects == maxRedirects {
 			return choice, true
 		}
-		view.Told = &reply
+		view.Reply = &reply
 		c.addRemoteCache(reply)
 		next, _ := c.best() // not empty: the engine just asked is still a candidate
 		if next.Index == choice.Index {
@@ -142,14 +142,14 @@
 
 // rejected reports whether an upstream must not get the prompt: its lender denied it, or did not
 // answer and the request needs its admission or exceeds this router's share of the limit.
-func (c *candidates) rejected(u directory.Upstream, reply prefill.Told, answered bool) bool {
+func (c *candidates) rejected(u directory.Upstream, reply prefill.AnnounceReply, answered bool) bool {
 	if !answered {
 		return c.pool.requiresAdmission(c.r, u) || c.pool.exceedsUnreachedLimit(c.r, u)
 	}
-	c.pool.adoptLimit(u.Life, reply.Limit)
-	if reply.Denied && reply.Next > 0 {
-		c.pool.recordDenial(u.Life, c.r.Rank, reply.Next)
-		c.held.add(reply.Next)
+	c.pool.adoptLimit(u.Incarnation, reply.Limit)
+	if reply.Denied && reply.RetryAfter > 0 {
+		c.pool.recordDenial(u.Incarnation, c.r.Rank, reply.RetryAfter)
+		c.held.add(reply.RetryAfter)
 		c.countLimitDenial()
 	}
 	return reply.Denied
@@ -164,30 +164,30 @@
 	limited := make([]bool, len(c.ups))
 	others := false
 	for i, u := range c.ups {
-		limited[i] = c.pool.currentLimit(u.Life).PerSecond > 0
-		others = others || !limited[i] && !c.views[i].Closed && !c.views[i].Avoid
+		limited[i] = c.pool.currentLimit(u.Incarnation).PerSecond > 0
+		others = others || !limited[i] && !c.views[i].Excluded && !c.views[i].Avoid
 	}
 	for i := range c.views {
-		c.views[i].Closed = c.views[i].Closed || others && limited[i]
+		c.views[i].Excluded = c.views[i].Excluded || others && limited[i]
 	}
 }
 
 // reportHeld reports a choice in which limits excluded upstreams.
-func (c *candidates) reportHeld(chosen *directory.Life) {
-	if c.held.Held > 0 {
+func (c *candidates) reportHeld(chosen *directory.Incarnation) {
+	if c.held.Limited > 0 {
 		c.held.Chosen = chosen
-		c.pool.Limits.Held(c.r, c.held)
+		c.pool.Limits.Limited(c.r, c.held)
 	}
 }
 
 // addRemoteCache records which other engine has more of the prompt cached.
-func (c *candidates) addRemoteCache(reply prefill.Told) {
-	if reply.ElsewhereTokens == 0 {
+func (c *candidates) addRemoteCache(reply prefill.AnnounceReply) {
+	if reply.RemoteTokens == 0 {
 		return
 	}
 	for i := range c.views {
-		if v := &c.views[i]; v.Life == reply.Elsewhere {
-			v.Cached = max(v.Cached, reply.ElsewhereTokens)
+		if v := &c.views[i]; v.Life == reply.RemoteEngine {
+			v.Cached = max(v.Cached, reply.RemoteTokens)
 		}
 	}
 }
@@ -196,34 +196,34 @@
 // shared parts, unless the preferred one probably has them cached or its lender already has that record.
 func (c *candidates) notifyPreferred(choice placement.Choice) {
 	p, shared := c.pool, placement.Shared(c.r.Parts)
-	if p.ReadElsewhere == nil || choice.Home < 0 || choice.Home == choice.Index {
+	if p.ReportRemotePrefill == nil || choice.Preferred < 0 || choice.Preferred == choice.Index {
 		return
 	}
-	preferred := c.views[choice.Home]
+	preferred := c.views[choice.Preferred]
 	known := preferred.Cached
-	if preferred.Told != nil {
-		known = max(preferred.Told.Cached, preferred.Told.ElsewhereTokens)
+	if preferred.Reply != nil {
+		known = max(preferred.Reply.Cached, preferred.Reply.RemoteTokens)
 	}
-	if prefill.TokensOf(shared)-known < placement.FetchLeast {
+	if prefill.TokensOf(shared)-known < placement.MinFetchTokens {
 		return
 	}
-	p.ReadElsewhere(c.ups[choice.Home].Address, prefill.Elsewhere{Parts: shared, By: c.ups[choice.Index].Life})
+	p.ReportRemotePrefill(c.ups[choice.Preferred].Address, prefill.RemotePrefill{Parts: shared, Engine: c.ups[choice.Index].Incarnation})
 }
 
 // announce announces a prompt to an engine's lender. A reply about another incarnation of the
 // engine is ignored: the directory entry or the lender is out of date, and the cache of an ended
 // incarnation would attract prompts.
-func (p *Pool) announce(r *serving.Request, u directory.Upstream, c placement.Choice) (prefill.Told, bool) {
-	reply, ok := p.Ask(u.Address, p.announcement(r, u, c))
-	return reply, ok && reply.Born == u.Born
+func (p *Pool) announce(r *serving.Request, u directory.Upstream, c placement.Choice) (prefill.AnnounceReply, bool) {
+	reply, ok := p.Announce(u.Address, p.announcement(r, u, c))
+	return reply, ok && reply.StartUnixMS == u.StartUnixMS
 }
 
 func (p *Pool) announcement(r *serving.Request, u directory.Upstream, c placement.Choice) prefill.Announcement {
 	a := prefill.Announcement{Prompt: r.Prompt, Parts: r.Parts, Fetched: c.Fetched,
-		Most: p.Cold.Most(r.Service.Cold.PerSecond), Cold: p.cold(p.Now(), r, u),
-		Rank: r.Rank, Limit: p.currentLimit(u.Life)}
+		MaxPerSecond: p.Cold.MaxRequests(r.Service.Cold.PerSecond), Cold: p.cold(p.Now(), r, u),
+		Rank: r.Rank, Limit: p.currentLimit(u.Incarnation)}
 	if rate, known := p.prefillRateOf(r.Service.Name).tokensPerMs(p.PrefillPerMs); known {
-		a.PerMs = rate
+		a.PrefillPerMs = rate
 	}
 	return a
 }
--- a/pool/cold.go
+++ b/pool/cold.go
@@ -17,14 +17,14 @@
 	if r.Service.Cold.PerSecond <= 0 {
 		return false
 	}
-	coldUntil := u.Returned.Add(coldReportDelay + r.Service.Cold.For)
+	coldUntil := u.Returned.Add(coldReportDelay + r.Service.Cold.Duration)
 	return now.Before(u.ColdUntil) || !u.Returned.IsZero() && now.Before(coldUntil)
 }
 
 // usesAdmission reports whether the upstream has a lender that counts the requests sent there.
 // Requests without a prompt are not announced to it.
 func (p *Pool) usesAdmission(r *serving.Request, u directory.Upstream) bool {
-	return p.Ask != nil && r.Prompt > 0 && p.Beside != nil && p.Beside(u.Address)
+	return p.Announce != nil && r.Prompt > 0 && p.HasLender != nil && p.HasLender(u.Address)
 }
 
 // requiresAdmission reports whether a request needs the lender's admission: the upstream is cold, and
@@ -39,6 +39,6 @@
 	if !p.cold(now, r, u) || p.usesAdmission(r, u) {
 		return false
 	}
-	most := p.Cold.Most(r.Service.Cold.PerSecond)
-	return !s.unadmitted.Room(now, p.Share(u.Life.String(), most))
+	most := p.Cold.MaxRequests(r.Service.Cold.PerSecond)
+	return !s.unadmitted.HasCapacity(now, p.ColdShare(u.Incarnation.String(), most))
 }
--- a/pool/limit.go
+++ b/pool/limit.go
@@ -15,17 +15,17 @@
 type Limits interface {
 	// Share returns this router's share of an upstream's limit, for upstreams without a lender.
 	Share(upstream string, perSecond float64) float64
-	// Tell reports to the lender of the upstream at an address the limit that the incarnation started
+	// Report reports to the lender of the upstream at an address the limit that the incarnation started
 	// at born stated. known is called with the lender's state, if it answers.
-	Tell(address string, born int64, w ratelimit.Word, known func(ratelimit.Known))
+	Report(address string, born int64, w ratelimit.NamedLimit, known func(ratelimit.State))
 	// Changed is called when a known limit has changed, in requests per second; 0 is none. from is the
 	// source of the new value.
-	Changed(incarnation directory.Life, was, now float64, from LimitSource)
-	// Unreadable is called for each limit that cannot be parsed; again is set if the previous one
+	Changed(incarnation directory.Incarnation, was, now float64, from LimitSource)
+	// Unparsable is called for each limit that cannot be parsed; again is set if the previous one
 	// failed in the same way. The limit stated before stays in force.
-	Unreadable(incarnation directory.Life, err error, again bool)
-	// Held is called for each choice in which limits excluded upstreams.
-	Held(r *serving.Request, h Held)
+	Unparsable(incarnation directory.Incarnation, err error, again bool)
+	// Limited is called for each choice in which limits excluded upstreams.
+	Limited(r *serving.Request, h LimitedChoice)
 }
 
 // LimitSource is the source of a limit.
@@ -34,24 +34,24 @@
 // The sources: an answer of the upstream, or its lender.
 const (
 	FromAnswer LimitSource = "answer"
-	FromBeside LimitSource = "beside"
+	FromLender LimitSource = "beside"
 )
 
-// Held describes a choice in which limits excluded upstreams.
-type Held struct {
-	// Held is the number of upstreams whose limits were used up, out of all eligible ones.
-	Held, Of int
+// LimitedChoice describes a choice in which limits excluded upstreams.
+type LimitedChoice struct {
+	// Limited is the number of upstreams whose limits were used up, out of all eligible ones.
+	Limited, Eligible int
 	// Chosen is the upstream that gets the request; nil if there is none.
-	Chosen *directory.Life
-	// Next is the time until one of them may have capacity; 0 if unknown.
-	Next time.Duration
+	Chosen *directory.Incarnation
+	// RetryAfter is the time until one of them may have capacity; 0 if unknown.
+	RetryAfter time.Duration
 }
 
 // add counts one more excluded upstream, which may have capacity after next; 0 is unknown.
-func (h *Held) add(next time.Duration) {
-	h.Held++
-	if next > 0 && (h.Next == 0 || next < h.Next) {
-		h.Next = next
+func (h *LimitedChoice) add(next time.Duration) {
+	h.Limited++
+	if next > 0 && (h.RetryAfter == 0 || next < h.RetryAfter) {
+		h.RetryAfter = next
 	}
 }
 
@@ -65,26 +65,26 @@
 // observeLimit records the limit that an upstream's answer states.
 func (p *Pool) observeLimit(r *attempt, perSecond float64, err error) {
 	if err != nil {
-		p.Limits.Unreadable(r.upstream, err, p.sameLimitError(r.upstream, err.Error()))
+		p.Limits.Unparsable(r.upstream, err, p.sameLimitError(r.upstream, err.Error()))
 		return
 	}
-	report := ratelimit.Word{PerSecond: perSecond, Under: r.limitMark}
+	report := ratelimit.NamedLimit{PerSecond: perSecond, KnownMark: r.limitMark}
 	p.mu.Lock()
 	s := p.stateLocked(r.upstream)
 	s.limitError = ""
-	was := s.limiter.Known().PerSecond
-	changed := s.limiter.HearOwn(p.Now(), report)
+	was := s.limiter.State().PerSecond
+	changed := s.limiter.ObserveLocal(p.Now(), report)
 	p.mu.Unlock()
 	if !changed {
 		return
 	}
 	p.Limits.Changed(r.upstream, was, perSecond, FromAnswer)
-	p.Limits.Tell(r.address, r.upstream.Born, report, func(k ratelimit.Known) { p.adoptLimit(r.upstream, k) })
+	p.Limits.Report(r.address, r.upstream.StartUnixMS, report, func(k ratelimit.State) { p.adoptLimit(r.upstream, k) })
 }
 
 // sameLimitError records why a limit cannot be parsed, and reports whether the previous one failed
 // for the same reason.
-func (p *Pool) sameLimitError(incarnation directory.Life, text string) bool {
+func (p *Pool) sameLimitError(incarnation directory.Incarnation, text string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.stateLocked(incarnation)
@@ -94,25 +94,25 @@
 }
 
 // adoptLimit takes over the limit that an upstream's lender reports.
-func (p *Pool) adoptLimit(incarnation directory.Life, k ratelimit.Known) {
+func (p *Pool) adoptLimit(incarnation directory.Incarnation, k ratelimit.State) {
 	if k.Mark.Source == 0 {
 		return // the lender reports no limits
 	}
 	p.mu.Lock()
 	s := p.stateLocked(incarnation)
-	was := s.limiter.Known().PerSecond
+	was := s.limiter.State().PerSecond
 	changed := s.limiter.Adopt(p.Now(), k)
 	p.mu.Unlock()
 	if changed {
-		p.Limits.Changed(incarnation, was, k.PerSecond, FromBeside)
+		p.Limits.Changed(incarnation, was, k.PerSecond, FromLender)
 	}
 }
 
 // currentLimit returns the known limit of an upstream.
-func (p *Pool) currentLimit(incarnation directory.Life) ratelimit.Known {
+func (p *Pool) currentLimit(incarnation directory.Incarnation) ratelimit.State {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.stateLocked(incarnation).limiter.Known()
+	return p.stateLocked(incarnation).limiter.State()
 }
 
 // denial is the latest denial by an upstream's lender because of the limit. Until it expires, the
@@ -131,7 +131,7 @@
 }
 
 // recordDenial records a denial that holds for next.
-func (p *Pool) recordDenial(incarnation directory.Life, rank int, next time.Duration) {
+func (p *Pool) recordDenial(incarnation directory.Incarnation, rank int, next time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stateLocked(incarnation).denial = denial{rank: rank, until: p.Now().Add(next)}
@@ -139,9 +139,9 @@
 
 // limitShareLocked returns the share of an upstream's limit that this router may use without admission.
 func (p *Pool) limitShareLocked(r *serving.Request, u directory.Upstream, s *state) float64 {
-	share := p.Limits.Share(u.Life.String(), s.limiter.Known().PerSecond)
+	share := p.Limits.Share(u.Incarnation.String(), s.limiter.State().PerSecond)
 	if p.usesAdmission(r, u) {
-		share *= ratelimit.UnreachedShare
+		share *= ratelimit.UnreachableShare
 	}
 	return share
 }
@@ -156,10 +156,10 @@
 		return next > 0, next
 	}
 	share := p.limitShareLocked(r, u, s)
-	if s.limiter.Room(now, share, r.Rank) {
+	if s.limiter.HasCapacity(now, share, r.Rank) {
 		return false, 0
 	}
-	return true, s.limiter.Next(now, share, r.Rank)
+	return true, s.limiter.RetryAfter(now, share, r.Rank)
 }
 
 // exceedsUnreachedLimit reports whether a request exceeds this router's share of the limit of an
@@ -167,8 +167,8 @@
 func (p *Pool) exceedsUnreachedLimit(r *serving.Request, u directory.Upstream) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := p.stateLocked(u.Life)
-	return s.limiter.Limited() && !s.limiter.Room(p.Now(), p.limitShareLocked(r, u, s), r.Rank)
+	s := p.stateLocked(u.Incarnation)
+	return s.limiter.Limited() && !s.limiter.HasCapacity(p.Now(), p.limitShareLocked(r, u, s), r.Rank)
 }
 
 // takeLimitLocked counts a request that goes to an upstream without admission, and reports whether the
@@ -181,12 +181,12 @@
 // limits exclude, or nil if no limit excludes it.
 func (p *Pool) Limited(r *serving.Request, attempts []serving.Attempt) *contract.Refusal {
 	_, held := p.views(r, p.eligible(r, attempts))
-	if held.Held == 0 {
+	if held.Limited == 0 {
 		return nil
 	}
-	refusal := contract.Refuse(contract.UpstreamLimit, "the upstreams of %s take no more requests now: %d of %d say so", r.Service.Name, held.Held, held.Of)
-	if held.Next > 0 {
-		refusal = refusal.After(max(minRetryAfter, held.Next+backoff.Jitter(held.Next)/2))
+	refusal := contract.Refuse(contract.UpstreamLimit, "the upstreams of %s take no more requests now: %d of %d say so", r.Service.Name, held.Limited, held.Eligible)
+	if held.RetryAfter > 0 {
+		refusal = refusal.After(max(minRetryAfter, held.RetryAfter+backoff.Jitter(held.RetryAfter)/2))
 	}
 	return refusal
 }
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -49,36 +49,36 @@
 	PrefillPerMs float64
 	// Routers returns the number of routers.
 	Routers func() int
-	// Here is the router's data centre.
-	Here string
-	// Ask announces a prompt to an engine's lender; it returns false without an answer.
+	// Datacentre is the router's data centre.
+	Datacentre string
+	// Announce announces a prompt to an engine's lender; it returns false without an answer.
 	// Withdraw revokes an announcement. Both may be nil.
-	Ask      func(address string, a prefill.Announcement) (prefill.Told, bool)
-	Withdraw func(address string, a prefill.Announcement, reply prefill.Told)
-	// ReadElsewhere informs the lender of a prompt's preferred engine that another engine prefills
+	Announce func(address string, a prefill.Announcement) (prefill.AnnounceReply, bool)
+	Withdraw func(address string, a prefill.Announcement, reply prefill.AnnounceReply)
+	// ReportRemotePrefill informs the lender of a prompt's preferred engine that another engine prefills
 	// parts of the prompt. It may be nil.
-	ReadElsewhere func(address string, e prefill.Elsewhere)
-	// Exposed, if set, is called when an engine starts or stops to be reserved for short prompts,
+	ReportRemotePrefill func(address string, e prefill.RemotePrefill)
+	// OnStallProne, if set, is called when an engine starts or stops to be reserved for short prompts,
 	// with the reasons: gapShare is how long prefills delay streams of its service, as a share of
 	// their gap goal, and slowness the ratio of its event interval to the usual one. It must not block.
-	Exposed func(incarnation directory.Life, stallProne bool, gapShare, slowness float64)
+	OnStallProne func(incarnation directory.Incarnation, stallProne bool, gapShare, slowness float64)
 	// Limits divides and reports the limits that upstreams state.
 	Limits Limits
 	// Region returns the region of a data centre, "" if unknown.
 	Region func(datacentre string) string
 	// Cold bounds the request rate to cold upstreams.
-	Cold warmup.Bound
-	// Beside reports whether the upstream at an address has a known lender, which admits the
+	Cold warmup.Tolerance
+	// HasLender reports whether the upstream at an address has a known lender, which admits the
 	// prompts sent there. It may be nil.
-	Beside func(address string) bool
-	// Share returns how many of the most requests per second that a cold upstream without a
+	HasLender func(address string) bool
+	// ColdShare returns how many of the most requests per second that a cold upstream without a
 	// lender can take are this router's.
-	Share func(upstream string, most int) int
+	ColdShare func(upstream string, most int) int
 	// Now returns the current time.
 	Now func() time.Time
 
 	mu     sync.Mutex
-	states map[directory.Life]*state
+	states map[directory.Incarnation]*state
 
 	// gaps and prefillRates are keyed by service.
 	gaps         sync.Map // string to *serviceGaps
@@ -118,17 +118,17 @@
 const attemptTimeShare = 0.5
 
 // views returns the upstreams as inputs of a placement, and a summary of those excluded by limits.
-func (p *Pool) views(r *serving.Request, ups []directory.Upstream) ([]placement.Upstream, Held) {
+func (p *Pool) views(r *serving.Request, ups []directory.Upstream) ([]placement.Upstream, LimitedChoice) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.Now()
 	views, states := make([]placement.Upstream, len(ups)), make([]*state, len(ups))
-	held := Held{Of: len(ups)}
+	held := LimitedChoice{Eligible: len(ups)}
 	for i, u := range ups {
-		states[i] = p.stateLocked(u.Life)
+		states[i] = p.stateLocked(u.Incarnation)
 		views[i] = p.viewLocked(now, r, u, states[i])
 		if limited, next := p.limitedLocked(now, r, u, states[i]); limited {
-			views[i].Closed = true
+			views[i].Excluded = true
 			held.add(next)
 		}
 	}
@@ -148,20 +148,20 @@
 	for i, s := range states {
 		s.slowness = slowness(baseIntervals[i], usualBase)
 		p.updateStallProneLocked(views[i].Life, s, gapShare)
-		views[i].Exposed = s.stallProne
-		views[i].EventTime = cmp.Or(intervals[i], usualInterval)
+		views[i].StallProne = s.stallProne
+		views[i].EventInterval = cmp.Or(intervals[i], usualInterval)
 	}
 }
 
 // updateStallProneLocked decides whether prefills delay an engine's streams for too long.
-func (p *Pool) updateStallProneLocked(incarnation directory.Life, s *state, gapShare float64) {
-	stallProne := s.reports >= minReports && placement.Exposed(s.stallProne, gapShare, s.slowness)
+func (p *Pool) updateStallProneLocked(incarnation directory.Incarnation, s *state, gapShare float64) {
+	stallProne := s.reports >= minReports && placement.StallProne(s.stallProne, gapShare, s.slowness)
 	if stallProne == s.stallProne {
 		return
 	}
 	s.stallProne = stallProne
-	if p.Exposed != nil {
-		p.Exposed(incarnation, stallProne, gapShare, s.slowness)
+	if p.OnStallProne != nil {
+		p.OnStallProne(incarnation, stallProne, gapShare, s.slowness)
 	}
 }
 
@@ -188,7 +188,7 @@
 		PrefillPerMs: perMs,
 		FetchPerMs:   perMs,
 		Routers:      p.Routers(),
-		Here:         p.Here,
+		Datacentre:   p.Datacentre,
 	}
 	if e := r.Service.Engine; e != nil && e.BytesPerToken > 0 && e.LinkMbps > 0 {
 		bytesPerMs := e.LinkMbps * 1e6 / 8 / 1e3
@@ -199,21 +199,21 @@
 
 func (p *Pool) viewLocked(now time.Time, r *serving.Request, u directory.Upstream, s *state) placement.Upstream {
 	return placement.Upstream{
-		Life:         u.Life,
-		Datacentre:   u.Datacentre,
-		Slots:        u.Slots,
-		Running:      s.running,
-		Unread:       s.pendingPrefill,
-		Cached:       s.cache.Match(r.Parts),
-		Avoid:        now.Before(s.avoidUntil),
-		FailureShare: s.failureShare(now),
-		Closed:       p.coldShareUsedLocked(now, r, u, s),
+		Life:           u.Incarnation,
+		Datacentre:     u.Datacentre,
+		Slots:          u.Slots,
+		Running:        s.running,
+		PendingPrefill: s.pendingPrefill,
+		Cached:         s.cache.Match(r.Parts),
+		Avoid:          now.Before(s.avoidUntil),
+		FailureShare:   s.failureShare(now),
+		Excluded:       p.coldShareUsedLocked(now, r, u, s),
 	}
 }
 
-func (p *Pool) stateLocked(incarnation directory.Life) *state {
+func (p *Pool) stateLocked(incarnation directory.Incarnation) *state {
 	if p.states == nil {
-		p.states = map[directory.Life]*state{}
+		p.states = map[directory.Incarnation]*state{}
 	}
 	s := p.states[incarnation]
 	if s == nil {
@@ -227,7 +227,7 @@
 // admitted the request. It reports false if the upstream's limit is used up by now.
 func (p *Pool) beginAttemptLocked(now time.Time, r *serving.Request, ups []directory.Upstream, c placement.Choice, granted bool) (serving.Target, bool) {
 	u := ups[c.Index]
-	s := p.stateLocked(u.Life)
+	s := p.stateLocked(u.Incarnation)
 	if !granted && !p.takeLimitLocked(now, r, u, s) {
 		return serving.Target{}, false
 	}
@@ -235,47 +235,47 @@
 		s.unadmitted.Count(now)
 	}
 	s.running++
-	s.pendingPrefill += c.Unread
+	s.pendingPrefill += c.PrefillTokens
 	if e := r.Service.Engine; e != nil {
 		s.cache.Add(r.Parts, int64(cacheShare*float64(e.CacheTokens)))
 	}
-	t := serving.Target{Life: u.Life, Address: u.Address, Until: r.Until}
+	t := serving.Target{Life: u.Incarnation, Address: u.Address, Deadline: r.Deadline}
 	if c.FetchFrom >= 0 {
 		t.FetchFrom = ups[c.FetchFrom].Address
 	}
 	if r.Route.Idempotent() && r.Route.MaxRuns > 1 && r.Prompt <= 0 {
-		t.Until = now.Add(time.Duration(attemptTimeShare * float64(r.Until.Sub(now))))
+		t.Deadline = now.Add(time.Duration(attemptTimeShare * float64(r.Deadline.Sub(now))))
 	}
-	att := &attempt{pool: p, upstream: u.Life, address: u.Address, limitMark: s.limiter.Known().Mark, choice: c, goal: r.Route.GapGoal, slowness: max(1, s.slowness), gaps: p.gapsOf(r.Service.Name),
+	att := &attempt{pool: p, upstream: u.Incarnation, address: u.Address, limitMark: s.limiter.State().Mark, choice: c, goal: r.Route.GapGoal, slowness: max(1, s.slowness), gaps: p.gapsOf(r.Service.Name),
 		prefillRate: p.prefillRateOf(r.Service.Name), sent: now}
 	t.Event, t.Limit, t.Done = att.event, att.limit, att.done
 	return t, true
 }
 
 // prefillDone records that a request's prompt is prefilled: its first event arrived, or it ended.
-func (p *Pool) prefillDone(incarnation directory.Life, tokens int64) {
+func (p *Pool) prefillDone(incarnation directory.Incarnation, tokens int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stateLocked(incarnation).pendingPrefill -= tokens
 }
 
 // load returns the load of this router's requests at an upstream.
-func (p *Pool) load(incarnation directory.Life) serving.Load {
+func (p *Pool) load(incarnation directory.Incarnation) serving.Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.stateLocked(incarnation)
-	return serving.Load{Running: s.running, Unread: s.pendingPrefill}
+	return serving.Load{Running: s.running, PendingPrefill: s.pendingPrefill}
 }
 
 // observeIntervals records a report of the event intervals of an engine's stream.
-func (p *Pool) observeIntervals(incarnation directory.Life, iv eventIntervals) {
+func (p *Pool) observeIntervals(incarnation directory.Incarnation, iv eventIntervals) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stateLocked(incarnation).observeIntervals(iv)
 }
 
 // attemptDone records the result of an attempt.
-func (p *Pool) attemptDone(incarnation directory.Life, a serving.Attempt) {
+func (p *Pool) attemptDone(incarnation directory.Incarnation, a serving.Attempt) {
 	if a.Result == serving.Misdirected {
 		p.Directory.Reject(incarnation)
 	}
@@ -285,7 +285,7 @@
 	s.running--
 	now := p.Now()
 	switch a.Result {
-	case serving.Whole, serving.Declined:
+	case serving.Complete, serving.Declined:
 		s.fails = 0
 		s.observeResult(now, 0)
 	case serving.Failed, serving.Broken:
@@ -319,12 +319,12 @@
 	return math.Exp2(-float64(age) / float64(failureHalfLife))
 }
 
-// Forget drops the state of incarnations that are no longer listed and have
+// Prune drops the state of incarnations that are no longer listed and have
 // nothing running. It must be called periodically.
-func (p *Pool) Forget() {
-	listed := map[directory.Life]bool{}
+func (p *Pool) Prune() {
+	listed := map[directory.Incarnation]bool{}
 	for _, u := range p.Directory.All() {
-		listed[u.Life] = true
+		listed[u.Incarnation] = true
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -344,7 +344,7 @@
 	Fails        int     `json:"fails_in_a_row"`
 	FailureShare float64 `json:"failure_share"`
 	Slowness     float64 `json:"slowness"`
-	Exposed      bool    `json:"left_to_short_prompts"`
+	StallProne   bool    `json:"left_to_short_prompts"`
 	// Limit is the requests per second that it accepts from all routers together, 0 if it states none.
 	Limit float64 `json:"limit_per_second,omitempty"`
 }
@@ -358,7 +358,7 @@
 	for incarnation, s := range p.states {
 		out = append(out, State{Upstream: incarnation.String(), Running: s.running, Unread: s.pendingPrefill,
 			Cached: s.cache.Tokens(), Fails: s.fails, FailureShare: s.failureShare(now),
-			Slowness: s.slowness, Exposed: s.stallProne, Limit: s.limiter.Known().PerSecond})
+			Slowness: s.slowness, StallProne: s.stallProne, Limit: s.limiter.State().PerSecond})
 	}
 	return out
 }
--- a/pool/run.go
+++ b/pool/run.go
@@ -12,7 +12,7 @@
 // attempt tracks one attempt from the choice of its upstream to its end. It is not safe for concurrent use.
 type attempt struct {
 	pool     *Pool
-	upstream directory.Life
+	upstream directory.Incarnation
 	address  string
 	// limitMark identifies the state of the upstream's limit when the request was sent.
 	limitMark ratelimit.Mark
@@ -27,7 +27,7 @@
 
 	lastEvent  time.Time
 	prefilled  bool
-	longestGap serving.Pause
+	longestGap serving.Gap
 	intervals  eventIntervals
 }
 
@@ -36,8 +36,8 @@
 
 // event implements serving.Target's Event.
 func (r *attempt) event(now time.Time) {
-	if r.lastEvent.IsZero() && r.choice.Before == 0 && r.choice.FetchFrom < 0 && r.choice.Unread > 0 {
-		r.prefillRate.observe(r.choice.Unread, now.Sub(r.sent))
+	if r.lastEvent.IsZero() && r.choice.Backlog == 0 && r.choice.FetchFrom < 0 && r.choice.PrefillTokens > 0 {
+		r.prefillRate.observe(r.choice.PrefillTokens, now.Sub(r.sent))
 	}
 	r.prefillDone()
 	if !r.lastEvent.IsZero() {
@@ -53,14 +53,14 @@
 func (r *attempt) prefillDone() {
 	if !r.prefilled {
 		r.prefilled = true
-		r.pool.prefillDone(r.upstream, r.choice.Unread)
+		r.pool.prefillDone(r.upstream, r.choice.PrefillTokens)
 	}
 }
 
 // observeGap records the gap between two events.
 func (r *attempt) observeGap(now time.Time, gap time.Duration) {
-	if gap > r.longestGap.For {
-		r.longestGap = serving.Pause{For: gap, Beside: r.pool.load(r.upstream)}
+	if gap > r.longestGap.Duration {
+		r.longestGap = serving.Gap{Duration: gap, ConcurrentLoad: r.pool.load(r.upstream)}
 	}
 	if r.goal > 0 {
 		r.gaps.observe(now, float64(gap)/float64(r.goal)/r.slowness)
@@ -71,6 +71,6 @@
 func (r *attempt) done(a serving.Attempt) serving.Attempt {
 	r.prefillDone()
 	r.pool.attemptDone(r.upstream, a)
-	a.Cost, a.Unread, a.Pause = r.choice.Cost, r.choice.Unread, r.longestGap
+	a.Cost, a.PendingPrefill, a.Pause = r.choice.Cost, r.choice.PrefillTokens, r.longestGap
 	return a
 }
--- a/pool/speed_test.go
+++ b/pool/speed_test.go
@@ -18,7 +18,7 @@
 		target.Event(*now)
 		*now = now.Add(interval(n))
 	}
-	return target.Done(serving.Attempt{Result: serving.Whole})
+	return target.Done(serving.Attempt{Result: serving.Complete})
 }
 
 func steady(d time.Duration) func(int) time.Duration {
@@ -40,12 +40,12 @@
 	}
 	stream(t, p, &now, "a", 13, withDelays(20*time.Millisecond))
 	stream(t, p, &now, "b", 13, withDelays(26*time.Millisecond))
-	views, _ := p.views(plainRequest(now), p.Directory.Of("s"))
+	views, _ := p.views(plainRequest(now), p.Directory.ForService("s"))
 	for _, v := range views {
-		require.Positive(t, v.EventTime)
+		require.Positive(t, v.EventInterval)
 	}
-	require.InDelta(t, 1, p.states[directory.Life{ID: "a"}].slowness, 0.01)
-	require.InDelta(t, 1.3, p.states[directory.Life{ID: "b"}].slowness, 0.01)
+	require.InDelta(t, 1, p.states[directory.Incarnation{ID: "a"}].slowness, 0.01)
+	require.InDelta(t, 1.3, p.states[directory.Incarnation{ID: "b"}].slowness, 0.01)
 }
 
 // An engine of usual speed prefills prompts back to back for a second, so that all intervals of its
@@ -59,13 +59,13 @@
 	for range 3 {
 		stream(t, p, &now, "b", 13, steady(60*time.Millisecond))
 	}
-	p.views(plainRequest(now), p.Directory.Of("s"))
-	require.Less(t, p.states[directory.Life{ID: "b"}].slowness, 1.3)
+	p.views(plainRequest(now), p.Directory.ForService("s"))
+	require.Less(t, p.states[directory.Incarnation{ID: "b"}].slowness, 1.3)
 	for range 30 {
 		stream(t, p, &now, "b", 13, steady(60*time.Millisecond))
 	}
-	p.views(plainRequest(now), p.Directory.Of("s"))
-	require.Greater(t, p.states[directory.Life{ID: "b"}].slowness, 2.0, "the engine has become slow")
+	p.views(plainRequest(now), p.Directory.ForService("s"))
+	require.Greater(t, p.states[directory.Incarnation{ID: "b"}].slowness, 2.0, "the engine has become slow")
 }
 
 // A router's only report of an engine is a slow one. The engine must not become stall-prone by it, or
@@ -78,15 +78,15 @@
 		now = now.Add(gapRefresh)
 	}
 	changes := 0
-	p.Exposed = func(directory.Life, bool, float64, float64) { changes++ }
+	p.OnStallProne = func(directory.Incarnation, bool, float64, float64) { changes++ }
 	stream(t, p, &now, "a", 40, steady(20*time.Millisecond))
 	stream(t, p, &now, "b", 13, steady(30*time.Millisecond))
-	p.views(plainRequest(now), p.Directory.Of("s"))
+	p.views(plainRequest(now), p.Directory.ForService("s"))
 	require.Zero(t, changes)
 	stream(t, p, &now, "b", 25, steady(30*time.Millisecond))
-	p.views(plainRequest(now), p.Directory.Of("s"))
+	p.views(plainRequest(now), p.Directory.ForService("s"))
 	require.Equal(t, 1, changes)
-	require.True(t, p.states[directory.Life{ID: "b"}].stallProne)
+	require.True(t, p.states[directory.Incarnation{ID: "b"}].stallProne)
 }
 
 // Streams have gaps of nine tenths of their route's goal. The percentile shows it after a second,
@@ -96,7 +96,7 @@
 	p := poolOf(&now)
 	r := plainRequest(now)
 	r.Route = &catalog.Route{Kind: catalog.Streaming, GapGoal: 300 * time.Millisecond}
-	r.Until = now.Add(time.Hour)
+	r.Deadline = now.Add(time.Hour)
 	target, _ := p.Pick(r, nil)
 	for range 30 {
 		for range 15 {
@@ -107,9 +107,9 @@
 		now = now.Add(270 * time.Millisecond)
 	}
 	require.InDelta(t, 0.9, p.gapsOf("s").share(), 0.02)
-	done := target.Done(serving.Attempt{Result: serving.Whole})
-	require.Equal(t, 270*time.Millisecond, done.Pause.For)
-	require.Equal(t, 1, done.Pause.Beside.Running)
+	done := target.Done(serving.Attempt{Result: serving.Complete})
+	require.Equal(t, 270*time.Millisecond, done.Pause.Duration)
+	require.Equal(t, 1, done.Pause.ConcurrentLoad.Running)
 	now = now.Add(2 * gapWindows * gapWindow)
 	for range minGaps + 1 {
 		p.gapsOf("s").observe(now, 0.4)
@@ -123,6 +123,6 @@
 	now := time.Unix(1000, 0)
 	p := poolOf(&now)
 	a := stream(t, p, &now, "a", 40, steady(time.Second))
-	require.Equal(t, time.Second, a.Pause.For)
+	require.Equal(t, time.Second, a.Pause.Duration)
 	require.Zero(t, p.gapsOf("s").share())
 }
--- a/prefill/elsewhere.go
+++ b/prefill/elsewhere.go
@@ -15,10 +15,10 @@
 	maxRemoteParts = 4096
 )
 
-// Elsewhere reports that the engine By prefills the shared leading parts of a prompt.
-type Elsewhere struct {
-	Parts []Part         `json:"parts"`
-	By    directory.Life `json:"by"`
+// RemotePrefill reports that the engine By prefills the shared leading parts of a prompt.
+type RemotePrefill struct {
+	Parts  []Part                `json:"parts"`
+	Engine directory.Incarnation `json:"by"`
 }
 
 // remoteParts records which other engines have which parts cached. Prompts that share a part prefer
@@ -31,13 +31,13 @@
 }
 
 type remotePart struct {
-	engine     directory.Life
+	engine     directory.Incarnation
 	tokens     int64
 	recordedAt time.Time
 }
 
 // record stores the engine that last prefilled the parts.
-func (p *remoteParts) record(now time.Time, e Elsewhere) {
+func (p *remoteParts) record(now time.Time, e RemotePrefill) {
 	if len(e.Parts) == 0 {
 		return
 	}
@@ -50,7 +50,7 @@
 	if len(p.byPart) >= maxRemoteParts {
 		return
 	}
-	p.byPart[e.Parts[len(e.Parts)-1].ID] = remotePart{engine: e.By, tokens: TokensOf(e.Parts), recordedAt: now}
+	p.byPart[e.Parts[len(e.Parts)-1].ID] = remotePart{engine: e.Engine, tokens: TokensOf(e.Parts), recordedAt: now}
 }
 
 func (p *remoteParts) removeExpired(now time.Time) {
@@ -63,11 +63,11 @@
 
 // find returns the engine that has most of a prompt's leading parts cached, and their tokens; 0 if
 // none is found.
-func (p *remoteParts) find(now time.Time, parts []Part) (engine directory.Life, tokens int64) {
+func (p *remoteParts) find(now time.Time, parts []Part) (engine directory.Incarnation, tokens int64) {
 	for i := len(parts) - 1; i >= 0; i-- {
 		if found, ok := p.byPart[parts[i].ID]; ok && now.Sub(found.recordedAt) < remotePartTTL {
 			return found.engine, found.tokens
 		}
 	}
-	return directory.Life{}, 0
+	return directory.Incarnation{}, 0
 }
--- a/prefill/engine.go
+++ b/prefill/engine.go
@@ -16,41 +16,41 @@
 	Parts  []Part `json:"parts"`
 	// Fetched is the number of leading tokens that the engine will fetch from another one.
 	Fetched int64 `json:"fetched,omitempty"`
-	// Most is the maximum number of prompts in any second for a cold engine, from all routers
+	// MaxPerSecond is the maximum number of prompts in any second for a cold engine, from all routers
 	// together; 0 is no bound. Cold is set if the router considers the engine cold.
-	Most int  `json:"most,omitempty"`
-	Cold bool `json:"cold,omitempty"`
-	// PerMs is the router's estimate of the engine's prefill rate in tokens per millisecond; 0
+	MaxPerSecond int  `json:"most,omitempty"`
+	Cold         bool `json:"cold,omitempty"`
+	// PrefillPerMs is the router's estimate of the engine's prefill rate in tokens per millisecond; 0
 	// is none.
-	PerMs float64 `json:"per_ms,omitempty"`
+	PrefillPerMs float64 `json:"per_ms,omitempty"`
 	// Rank is the request's priority, 0 for the most urgent.
 	Rank int `json:"rank,omitempty"`
 	// Limit is the engine's limit of requests per second, as known to the router.
-	Limit ratelimit.Known `json:"limit,omitzero"`
+	Limit ratelimit.State `json:"limit,omitzero"`
 }
 
-// Told is the reply of an engine's lender to an Announcement.
-type Told struct {
+// AnnounceReply is the reply of an engine's lender to an Announcement.
+type AnnounceReply struct {
 	// Backlog is the number of tokens that the engine has to prefill before the prompt.
 	Backlog int64 `json:"backlog"`
 	// Cached is the number of the prompt's leading tokens that the engine has cached.
 	Cached int64 `json:"cached"`
-	// Unread is the number of the prompt's tokens that the engine has to prefill.
-	Unread int64 `json:"unread"`
-	// Born is the start of the engine's incarnation, as known to the lender; see
+	// PrefillTokens is the number of the prompt's tokens that the engine has to prefill.
+	PrefillTokens int64 `json:"unread"`
+	// StartUnixMS is the start of the engine's incarnation, as known to the lender; see
 	// directory.Life.
-	Born int64 `json:"born,omitempty"`
+	StartUnixMS int64 `json:"born,omitempty"`
 	// Denied is set if the prompt must not be sent: the last second's prompts have reached the
 	// bound for a cold engine, or the limit that the engine states.
 	Denied bool `json:"denied,omitempty"`
 	// Limit is the engine's limit of requests per second. Next is the time until another prompt may
 	// be sent, if the prompt was denied for the limit.
-	Limit ratelimit.Known `json:"limit,omitzero"`
-	Next  time.Duration   `json:"next_ns,omitempty"`
-	// Elsewhere is another engine that has more of the prompt's leading tokens cached, as known
+	Limit      ratelimit.State `json:"limit,omitzero"`
+	RetryAfter time.Duration   `json:"next_ns,omitempty"`
+	// RemoteEngine is another engine that has more of the prompt's leading tokens cached, as known
 	// to the lender, and ElsewhereTokens their number; 0 is none.
-	Elsewhere       directory.Life `json:"elsewhere,omitzero"`
-	ElsewhereTokens int64          `json:"elsewhere_tokens,omitempty"`
+	RemoteEngine directory.Incarnation `json:"elsewhere,omitzero"`
+	RemoteTokens int64                 `json:"elsewhere_tokens,omitempty"`
 }
 
 // Engine models one engine for its lender, to which routers announce every prompt sent there.
@@ -76,19 +76,19 @@
 // NewEngine returns the model of an engine with an empty cache and backlog. perMs is its prefill
 // rate in tokens per millisecond.
 func NewEngine(now time.Time, perMs float64) *Engine {
-	return &Engine{queue: Queue{PerMs: perMs}, countingSince: now, limiter: ratelimit.NewLimiter()}
+	return &Engine{queue: Queue{PrefillPerMs: perMs}, countingSince: now, limiter: ratelimit.NewLimiter()}
 }
 
-// SetRoom sets the capacity of the engine's cache in tokens.
-func (e *Engine) SetRoom(tokens int64) {
+// SetCacheCapacity sets the capacity of the engine's cache in tokens.
+func (e *Engine) SetCacheCapacity(tokens int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.cacheCapacity = tokens
 }
 
-// Restarted resets the model to an engine that started at born, with an empty backlog. cached are
+// Reset resets the model to an engine that started at born, with an empty backlog. cached are
 // the parts in its cache: none for a new engine, many if only the process with this model restarted.
-func (e *Engine) Restarted(born int64, cached []Part) {
+func (e *Engine) Reset(born int64, cached []Part) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.born = born
@@ -98,40 +98,40 @@
 	e.cache.Add(cached, e.cacheCapacity)
 }
 
-// Unused records that the engine has no cached parts and no requests, so it has had no prompt since
+// MarkUnused records that the engine has no cached parts and no requests, so it has had no prompt since
 // its start, and none before this process started can count towards the bound for a cold engine.
 // After a loss of all power every engine is cold and every lender new; without this, all prompts
 // would be refused for one second more.
-func (e *Engine) Unused() {
+func (e *Engine) MarkUnused() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.countingSince = time.Time{}
 }
 
 // Announce records a prompt, and returns the engine's state before it.
-func (e *Engine) Announce(now time.Time, a Announcement) Told {
+func (e *Engine) Announce(now time.Time, a Announcement) AnnounceReply {
 	e.mu.Lock()
-	e.limiter.Believed(now, a.Limit)
-	reply := Told{Born: e.born, Limit: e.limiter.Known()}
-	if reply.Denied, reply.Next = e.denyLocked(now, a); reply.Denied {
+	e.limiter.ObserveReported(now, a.Limit)
+	reply := AnnounceReply{StartUnixMS: e.born, Limit: e.limiter.State()}
+	if reply.Denied, reply.RetryAfter = e.denyLocked(now, a); reply.Denied {
 		defer e.mu.Unlock()
 		return reply
 	}
 	reply.Cached = e.cache.Match(a.Parts)
 	if engine, tokens := e.remoteParts.find(now, a.Parts); tokens > reply.Cached {
-		reply.Elsewhere, reply.ElsewhereTokens = engine, tokens
+		reply.RemoteEngine, reply.RemoteTokens = engine, tokens
 	}
 	e.cache.Add(a.Parts, e.cacheCapacity)
 	e.mu.Unlock()
-	e.queue.Learn(a.PerMs)
+	e.queue.ObserveRate(a.PrefillPerMs)
 	// A router that gets ElsewhereTokens has the engine fetch the parts from there.
-	reply.Unread = max(0, a.Prompt-max(reply.Cached, a.Fetched, reply.ElsewhereTokens))
-	reply.Backlog = e.queue.Add(now, reply.Unread)
+	reply.PrefillTokens = max(0, a.Prompt-max(reply.Cached, a.Fetched, reply.RemoteTokens))
+	reply.Backlog = e.queue.Add(now, reply.PrefillTokens)
 	return reply
 }
 
-// ReadElsewhere records that another engine prefills parts of prompts that prefer this one.
-func (e *Engine) ReadElsewhere(now time.Time, other Elsewhere) {
+// RecordRemotePrefill records that another engine prefills parts of prompts that prefer this one.
+func (e *Engine) RecordRemotePrefill(now time.Time, other RemotePrefill) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.remoteParts.record(now, other)
@@ -145,7 +145,7 @@
 // time until another may be sent if that is known.
 func (e *Engine) denyLocked(now time.Time, a Announcement) (denied bool, next time.Duration) {
 	if !e.limiter.Take(now, fullShare, a.Rank) {
-		return true, e.limiter.Next(now, fullShare, a.Rank)
+		return true, e.limiter.RetryAfter(now, fullShare, a.Rank)
 	}
 	if !e.admitColdLocked(now, a) {
 		e.limiter.Return(fullShare)
@@ -157,22 +157,22 @@
 // fullShare is the share of an engine's limit that its lender allots.
 const fullShare = 1
 
-// LimitNamed records the limit of requests per second that an answer of the engine's incarnation
+// ObserveLimit records the limit of requests per second that an answer of the engine's incarnation
 // started at born stated, and returns the limit that applies. Other incarnations are ignored.
-func (e *Engine) LimitNamed(now time.Time, born int64, w ratelimit.Word) ratelimit.Known {
+func (e *Engine) ObserveLimit(now time.Time, born int64, w ratelimit.NamedLimit) ratelimit.State {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if born == e.born {
-		e.limiter.Hear(now, w)
+		e.limiter.Observe(now, w)
 	}
-	return e.limiter.Known()
+	return e.limiter.State()
 }
 
 // admitColdLocked counts a prompt, and reports whether it is within the bound for a cold engine. A
 // warm one has no bound: bounding it as well, in case it has become cold unnoticed, cost 2 in 100 of
 // the worth of a day of cold returns at twice the usual load (five seeds).
 func (e *Engine) admitColdLocked(now time.Time, a Announcement) bool {
-	if a.Most == 0 {
+	if a.MaxPerSecond == 0 {
 		return true
 	}
 	if a.Cold {
@@ -185,22 +185,22 @@
 	if now.Sub(e.countingSince) < time.Second {
 		return false // the prompts before countingSince are unknown
 	}
-	return e.recentPrompts.Take(now, warmup.ByLeave(a.Most))
+	return e.recentPrompts.Take(now, warmup.PermitLimit(a.MaxPerSecond))
 }
 
 // Withdraw revokes an announcement whose prompt went elsewhere. An announcement from before the
 // engine's restart is no longer recorded; revoking it would remove what others have announced since.
-func (e *Engine) Withdraw(now time.Time, a Announcement, reply Told) {
+func (e *Engine) Withdraw(now time.Time, a Announcement, reply AnnounceReply) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if a.Most > 0 {
+	if a.MaxPerSecond > 0 {
 		e.recentPrompts.Return()
 	}
-	if reply.Born != e.born {
+	if reply.StartUnixMS != e.born {
 		return
 	}
 	e.limiter.Return(fullShare)
-	e.queue.Add(now, -reply.Unread)
+	e.queue.Add(now, -reply.PrefillTokens)
 	e.cache.Forget(partsAfter(a.Parts, reply.Cached))
 }
 
@@ -217,10 +217,10 @@
 
 // State is the state of an engine for debug dumps. Backlog, Cached and Room are in tokens.
 type State struct {
-	Backlog int64 `json:"backlog"`
-	Cached  int64 `json:"cached"`
-	Room    int64 `json:"room"`
-	Born    int64 `json:"born_unix_ms,omitempty"`
+	Backlog       int64 `json:"backlog"`
+	Cached        int64 `json:"cached"`
+	CacheCapacity int64 `json:"room"`
+	StartUnixMS   int64 `json:"born_unix_ms,omitempty"`
 	// Limit is the engine's limit of requests per second, 0 if it states none.
 	Limit float64 `json:"limit_per_second,omitempty"`
 }
@@ -229,5 +229,5 @@
 func (e *Engine) State(now time.Time) State {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return State{Backlog: e.queue.Add(now, 0), Cached: e.cache.Tokens(), Room: e.cacheCapacity, Born: e.born, Limit: e.limiter.Known().PerSecond}
+	return State{Backlog: e.queue.Add(now, 0), Cached: e.cache.Tokens(), CacheCapacity: e.cacheCapacity, StartUnixMS: e.born, Limit: e.limiter.State().PerSecond}
 }
--- a/prefill/leave_test.go
+++ b/prefill/leave_test.go
@@ -14,7 +14,7 @@
 // announceMany announces prompts at the same time, and returns how many are admitted.
 func announceMany(e *Engine, now time.Time, prompts int, cold bool) (admitted int) {
 	for range prompts {
-		if !e.Announce(now, Announcement{Prompt: 100, Most: coldMax, Cold: cold}).Denied {
+		if !e.Announce(now, Announcement{Prompt: 100, MaxPerSecond: coldMax, Cold: cold}).Denied {
 			admitted++
 		}
 	}
@@ -30,7 +30,7 @@
 	now := start.Add(time.Minute)
 	require.Equal(t, 8, announceMany(e, now, 8, false))
 	now = now.Add(500 * time.Millisecond)
-	bound := warmup.ByLeave(coldMax)
+	bound := warmup.PermitLimit(coldMax)
 	require.Equal(t, bound-8, announceMany(e, now, 30, true))
 	require.Zero(t, announceMany(e, now, 5, false), "a router that still considers it warm")
 	now = now.Add(600 * time.Millisecond) // the first eight are more than a second ago
@@ -54,8 +54,8 @@
 func TestAdmissionOfUnusedEngine(t *testing.T) {
 	start := time.Unix(0, 0)
 	e := NewEngine(start, 50)
-	e.Unused()
-	require.Equal(t, warmup.ByLeave(coldMax), announceMany(e, start, 30, true))
+	e.MarkUnused()
+	require.Equal(t, warmup.PermitLimit(coldMax), announceMany(e, start, 30, true))
 }
 
 // An admitted prompt goes elsewhere: another one is admitted instead. Services without a rate for
@@ -64,10 +64,10 @@
 	start := time.Unix(0, 0)
 	e := NewEngine(start, 50)
 	now := start.Add(time.Minute)
-	bound := warmup.ByLeave(coldMax)
+	bound := warmup.PermitLimit(coldMax)
 	require.Equal(t, bound, announceMany(e, now, 30, true))
-	a := Announcement{Prompt: 100, Most: coldMax, Cold: true}
-	e.Withdraw(now, a, Told{Unread: 100})
+	a := Announcement{Prompt: 100, MaxPerSecond: coldMax, Cold: true}
+	e.Withdraw(now, a, AnnounceReply{PrefillTokens: 100})
 	require.Equal(t, 1, announceMany(e, now, 5, true))
 	require.False(t, e.Announce(now, Announcement{Prompt: 100}).Denied)
 }
--- a/prefill/queue.go
+++ b/prefill/queue.go
@@ -15,8 +15,8 @@
 // The backlog decreases at a known rate, without a message when a prompt is prefilled, so a
 // router that crashes leaves no stale entries. It is safe for concurrent use.
 type Queue struct {
-	// PerMs is the prefill rate in tokens per millisecond; Learn adjusts it.
-	PerMs float64
+	// PrefillPerMs is the prefill rate in tokens per millisecond; Learn adjusts it.
+	PrefillPerMs float64
 
 	mu        sync.Mutex
 	tokens    float64 // as of updatedAt
@@ -28,7 +28,7 @@
 func (q *Queue) Add(now time.Time, tokens int64) (before int64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	prefilled := float64(now.Sub(q.updatedAt)) / float64(time.Millisecond) * q.PerMs
+	prefilled := float64(now.Sub(q.updatedAt)) / float64(time.Millisecond) * q.PrefillPerMs
 	left := max(0, q.tokens-prefilled)
 	q.tokens, q.updatedAt = max(0, left+float64(tokens)), now
 	return int64(left)
@@ -37,14 +37,14 @@
 // rateWeight is the weight of one router's rate in the queue's moving average, which covers about twenty prompts.
 const rateWeight = 0.1
 
-// Learn updates the prefill rate with a router's estimate in tokens per millisecond; 0 is ignored.
-func (q *Queue) Learn(perMs float64) {
+// ObserveRate updates the prefill rate with a router's estimate in tokens per millisecond; 0 is ignored.
+func (q *Queue) ObserveRate(perMs float64) {
 	if perMs <= 0 {
 		return
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.PerMs += rateWeight * (perMs - q.PerMs)
+	q.PrefillPerMs += rateWeight * (perMs - q.PrefillPerMs)
 }
 
 // Clear empties the queue.
--- a/ratelimit/known.go
+++ b/ratelimit/known.go
@@ -17,28 +17,28 @@
 	Number int64 `json:"number,omitempty"`
 }
 
-// Known is a limit in requests per second, 0 for none, and the mark of the state in which it was
+// State is a limit in requests per second, 0 for none, and the mark of the state in which it was
 // recorded.
-type Known struct {
+type State struct {
 	PerSecond float64 `json:"per_second,omitempty"`
 	Mark      Mark    `json:"mark,omitzero"`
 }
 
-// Word is the limit that one answer named.
-type Word struct {
+// NamedLimit is the limit that one answer named.
+type NamedLimit struct {
 	PerSecond float64 `json:"per_second,omitempty"`
-	// Under is the mark that was current when the answer's request was permitted.
-	Under Mark `json:"under,omitzero"`
+	// KnownMark is the mark that was current when the answer's request was permitted.
+	KnownMark Mark `json:"under,omitzero"`
 }
 
 // apply applies the limit named by an answer and reports whether that changed the limit. Answers
 // may arrive out of order: one whose request was permitted under an earlier mark may have been
 // given before the current limit was named. It can only make the limit stricter.
-func (k *Known) apply(w Word) bool {
+func (k *State) apply(w NamedLimit) bool {
 	switch {
 	case w.PerSecond == k.PerSecond:
 		return false
-	case w.Under != k.Mark && !stricter(w.PerSecond, k.PerSecond):
+	case w.KnownMark != k.Mark && !stricter(w.PerSecond, k.PerSecond):
 		return false
 	}
 	k.PerSecond = w.PerSecond
--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -17,7 +17,7 @@
 // Limiter is a token bucket for the requests to one upstream. While no limit is known it permits
 // all requests. It is not safe for concurrent use. The zero value is for a router.
 type Limiter struct {
-	known Known
+	known State
 	// tokens is the number of requests that may be sent at once, as of filledAt.
 	tokens   float64
 	filledAt time.Time
@@ -29,12 +29,12 @@
 
 // NewLimiter returns the limiter of the process that counts all requests to an upstream, without a
 // limit.
-func NewLimiter() Limiter { return Limiter{known: Known{Mark: Mark{Source: newSource()}}} }
+func NewLimiter() Limiter { return Limiter{known: State{Mark: Mark{Source: newSource()}}} }
 
-// Known returns the current limit and its mark; the zero value until a limit has been named.
-func (l *Limiter) Known() Known {
+// State returns the current limit and its mark; the zero value until a limit has been named.
+func (l *Limiter) State() State {
 	if l.known.Mark.Number == 0 {
-		return Known{}
+		return State{}
 	}
 	return l.known
 }
@@ -42,8 +42,8 @@
 // Limited reports whether there is a limit.
 func (l *Limiter) Limited() bool { return l.known.PerSecond > 0 }
 
-// Hear applies the limit named by an answer and reports whether that changed the limit.
-func (l *Limiter) Hear(now time.Time, w Word) bool {
+// Observe applies the limit named by an answer and reports whether that changed the limit.
+func (l *Limiter) Observe(now time.Time, w NamedLimit) bool {
 	was := l.known.PerSecond
 	if !l.known.apply(w) {
 		return false
@@ -52,10 +52,10 @@
 	return true
 }
 
-// HearOwn is Hear at a router, whose marks must differ from those of the process that counts all
+// ObserveLocal is Hear at a router, whose marks must differ from those of the process that counts all
 // requests.
-func (l *Limiter) HearOwn(now time.Time, w Word) bool {
-	if !l.Hear(now, w) {
+func (l *Limiter) ObserveLocal(now time.Time, w NamedLimit) bool {
+	if !l.Observe(now, w) {
 		return false
 	}
 	l.ownMarks++
@@ -63,18 +63,18 @@
 	return true
 }
 
-// Believed applies the limit that a router reports, so that a process that has just started learns
+// ObserveReported applies the limit that a router reports, so that a process that has just started learns
 // it. Reports that originate from this process are ignored.
-func (l *Limiter) Believed(now time.Time, by Known) bool {
+func (l *Limiter) ObserveReported(now time.Time, by State) bool {
 	if by.PerSecond == 0 || by.Mark.Source == l.known.Mark.Source {
 		return false
 	}
-	return l.Hear(now, Word{PerSecond: by.PerSecond})
+	return l.Observe(now, NamedLimit{PerSecond: by.PerSecond})
 }
 
 // Adopt replaces the state by that of the process that counts all requests, and reports whether
 // that changed the limit.
-func (l *Limiter) Adopt(now time.Time, k Known) bool {
+func (l *Limiter) Adopt(now time.Time, k State) bool {
 	if k.Mark.Source == l.known.Mark.Source && k.Mark.Number < l.known.Mark.Number {
 		return false // outdated
 	}
@@ -106,8 +106,8 @@
 // burst returns the capacity of the bucket at a rate.
 func burst(rate float64) float64 { return 1 + rate*burstSeconds }
 
-// Room reports whether a request of a rank may be sent now.
-func (l *Limiter) Room(now time.Time, share float64, rank int) bool {
+// HasCapacity reports whether a request of a rank may be sent now.
+func (l *Limiter) HasCapacity(now time.Time, share float64, rank int) bool {
 	if !l.Limited() {
 		return true
 	}
@@ -132,7 +132,7 @@
 
 // Take permits and counts a request of a rank, or denies it.
 func (l *Limiter) Take(now time.Time, share float64, rank int) bool {
-	if !l.Room(now, share, rank) {
+	if !l.HasCapacity(now, share, rank) {
 		l.lastDenied[clampRank(rank)] = now
 		return false
 	}
@@ -149,8 +149,8 @@
 	}
 }
 
-// Next returns the time until one more request of a rank may be permitted; 0 if unknown.
-func (l *Limiter) Next(now time.Time, share float64, rank int) time.Duration {
+// RetryAfter returns the time until one more request of a rank may be permitted; 0 if unknown.
+func (l *Limiter) RetryAfter(now time.Time, share float64, rank int) time.Duration {
 	rate := l.fill(now, share)
 	if rate <= 0 {
 		return 0
--- a/ratelimit/share.go
+++ b/ratelimit/share.go
@@ -11,9 +11,9 @@
 	// minListedTime is how long a router must be listed before it gets a share: an earlier
 	// incarnation of it may just have used the share.
 	minListedTime = 4 * time.Second
-	// UnreachedShare is the part of a limit shared by routers that know the process that counts
+	// UnreachableShare is the part of a limit shared by routers that know the process that counts
 	// requests but cannot reach it, since it may permit the whole limit to others.
-	UnreachedShare = 0.3
+	UnreachableShare = 0.3
 )
 
 // Share returns a router's part of an upstream's limit where no process counts all requests. place
--- a/serving/attempt.go
+++ b/serving/attempt.go
@@ -13,8 +13,8 @@
 
 // The results.
 const (
-	// Whole means that the caller has the complete answer.
-	Whole Result = iota
+	// Complete means that the caller has the complete answer.
+	Complete Result = iota
 	// Unreached means that no connection was made and nothing was sent.
 	Unreached
 	// Declined means that the upstream refused and proved that it did not run the request.
@@ -49,20 +49,20 @@
 
 // final reports whether no other upstream may be tried after the result.
 func (r Result) final() bool {
-	return r == Whole || r == CallerGone || r == OutOfTime || r == Refused
+	return r == Complete || r == CallerGone || r == OutOfTime || r == Refused
 }
 
 // Attempt is one send and its outcome.
 type Attempt struct {
-	Upstream directory.Life
+	Upstream directory.Incarnation
 	Result   Result
-	// Why gives details for the log.
-	Why string
+	// Detail gives details for the log.
+	Detail string
 	// Cost and Unread are the estimates made when the upstream was chosen.
-	Cost   time.Duration
-	Unread int64
+	Cost           time.Duration
+	PendingPrefill int64
 	// Pause is the longest pause between two events.
-	Pause Pause
+	Pause Gap
 	// Answer is the upstream's failure response, for Failed; it is passed on unless the request is
 	// sent again.
 	Answer *Answer
@@ -90,20 +90,20 @@
 	Running time.Duration
 }
 
-// Pause is a pause between two events of a stream.
-type Pause struct {
-	For time.Duration
-	// Beside is the router's other load at the upstream when the pause ended, for the log: an
+// Gap is a pause between two events of a stream.
+type Gap struct {
+	Duration time.Duration
+	// ConcurrentLoad is the router's other load at the upstream when the pause ended, for the log: an
 	// engine that reads a long prompt pauses the streams that run concurrently.
-	Beside Load
+	ConcurrentLoad Load
 }
 
 // Load is one router's load at an upstream.
 type Load struct {
 	// Running is the number of requests that have not ended.
 	Running int
-	// Unread is the number of prompt tokens of requests whose first event has not arrived.
-	Unread int64
+	// PendingPrefill is the number of prompt tokens of requests whose first event has not arrived.
+	PendingPrefill int64
 }
 
 // Answer is a complete answer that has not been passed on yet.
@@ -113,25 +113,25 @@
 	Body   []byte
 }
 
-// Pass writes the complete answer to a caller that has received nothing yet.
-func (a *Answer) Pass(out Caller) error {
+// SendTo writes the complete answer to a caller that has received nothing yet.
+func (a *Answer) SendTo(out Caller) error {
 	if err := out.Begin(a.Status, a.Header); err != nil {
 		return err
 	}
-	if err := out.Piece(a.Body); err != nil {
+	if err := out.WriteChunk(a.Body); err != nil {
 		return err
 	}
 	return out.Flush()
 }
 
-// End is the outcome of a request.
-type End struct {
+// Outcome is the outcome of a request.
+type Outcome struct {
 	Attempts []Attempt
 	// Refusal is set if no upstream's answer is passed on.
 	Refusal *contract.Refusal
-	// Cut reports whether the caller received only part of an answer. Its connection must be
+	// Truncated reports whether the caller received only part of an answer. Its connection must be
 	// closed abnormally, or the part would look complete.
-	Cut bool
+	Truncated bool
 	// Used is the number of tokens charged to the team.
 	Used int64
 }
--- a/serving/httpcaller.go
+++ b/serving/httpcaller.go
@@ -44,9 +44,9 @@
 	return nil
 }
 
-// Piece implements Caller. A caller that accepts nothing within the write timeout is disconnected,
+// WriteChunk implements Caller. A caller that accepts nothing within the write timeout is disconnected,
 // so that slow callers hold bounded memory.
-func (c *HTTPCaller) Piece(b []byte) error {
+func (c *HTTPCaller) WriteChunk(b []byte) error {
 	if err := c.rc.SetWriteDeadline(time.Now().Add(c.writeTimeout)); err != nil {
 		return err
 	}
@@ -57,8 +57,8 @@
 // Flush implements Caller.
 func (c *HTTPCaller) Flush() error { return c.rc.Flush() }
 
-// FirstAfter returns the time from start to the first piece, or 0 if there was none.
-func (c *HTTPCaller) FirstAfter(start time.Time) time.Duration {
+// TimeToFirstChunk returns the time from start to the first piece, or 0 if there was none.
+func (c *HTTPCaller) TimeToFirstChunk(start time.Time) time.Duration {
 	if !c.began {
 		return 0
 	}
--- a/serving/path.go
+++ b/serving/path.go
@@ -25,14 +25,14 @@
 // Target is a chosen upstream.
 type Target struct {
 	// Life identifies the incarnation of the upstream.
-	Life directory.Life
+	Life directory.Incarnation
 	// Address is host:port.
 	Address string
 	// FetchFrom is the address of an upstream that probably has more of the prompt cached, or "".
 	FetchFrom string
-	// Until is the deadline of this attempt. It is before the request's own deadline if another
+	// Deadline is the deadline of this attempt. It is before the request's own deadline if another
 	// upstream may still be tried afterwards.
-	Until time.Time
+	Deadline time.Time
 	// Event is called as each event of the answer arrives, or once with the complete answer.
 	Event func(now time.Time)
 	// Limit is called as soon as an answer of the upstream has begun, with the upstream's limit in
@@ -48,8 +48,8 @@
 type Caller interface {
 	// Begin sends status and headers; it is called once, before the first piece.
 	Begin(status int, header map[string][]string) error
-	// Piece writes bytes; they may be buffered until Flush.
-	Piece(b []byte) error
+	// WriteChunk writes bytes; they may be buffered until Flush.
+	WriteChunk(b []byte) error
 	Flush() error
 	// Began reports whether Begin was called.
 	Began() bool
@@ -66,59 +66,59 @@
 	Reserve(ctx context.Context, r *Request) (settle func(used int64), refusal *contract.Refusal)
 }
 
-// Repeats is the retry budget: it limits the sends beyond the first of each request.
-type Repeats interface {
+// RetryBudget is the retry budget: it limits the sends beyond the first of each request.
+type RetryBudget interface {
 	// Request counts a request to a service.
 	Request(service string)
 	// Allow reports whether the budget permits one more send of the request, and counts it.
 	Allow(r *Request) bool
 }
 
-// Poison prevents repeated sends of prompts that crash upstreams.
-type Poison interface {
+// PromptGuard prevents repeated sends of prompts that crash upstreams.
+type PromptGuard interface {
 	// Refuse is called before each send; nil permits the send.
 	Refuse(ctx context.Context, r *Request) *contract.Refusal
 	// Proven returns the final refusal of a prompt that is proven to crash upstreams, nil for
 	// other prompts.
 	Proven(r *Request) *contract.Refusal
-	// Broke is called when the connection to an upstream broke during the last of a request's
+	// ConnectionBroken is called when the connection to an upstream broke during the last of a request's
 	// attempts. Unless it was the first break for its prompt, Broke returns after Refuse takes it
 	// into account.
-	Broke(ctx context.Context, r *Request, attempts []Attempt)
-	// Answered is called when a request was answered.
-	Answered(r *Request)
-	// Sending is called for each send. The returned context is canceled with the cause ErrRecalled
+	ConnectionBroken(ctx context.Context, r *Request, attempts []Attempt)
+	// RecordAnswer is called when a request was answered.
+	RecordAnswer(r *Request)
+	// TrackSend is called for each send. The returned context is canceled with the cause ErrRecalled
 	// if the request's prompt is found to crash upstreams, unless began was called before, with
 	// the first piece of the answer. done is called when the send has ended.
-	Sending(ctx context.Context, r *Request) (sending context.Context, began, done func())
+	TrackSend(ctx context.Context, r *Request) (sending context.Context, began, done func())
 }
 
 // ErrRecalled is the cause of a canceled send whose prompt was found to crash upstreams.
 var ErrRecalled = errors.New("the prompt was found to crash upstreams")
 
-// Path serves requests: it reserves tokens, sends to upstreams and retries.
-type Path struct {
-	Upstreams Upstreams
-	Budgets   Budgets
-	Repeats   Repeats
+// Dispatcher serves requests: it reserves tokens, sends to upstreams and retries.
+type Dispatcher struct {
+	Upstreams   Upstreams
+	Budgets     Budgets
+	RetryBudget RetryBudget
 	// Poison may be nil.
-	Poison Poison
+	Poison PromptGuard
 	// Now is the clock.
 	Now func() time.Time
 }
 
 // Serve processes a request to its end. The caller of Serve sends the refusal, if there is one, or
 // closes the connection of a truncated answer.
-func (p *Path) Serve(ctx context.Context, r *Request, out Caller) End {
-	ctx, cancel := context.WithDeadline(ctx, r.Until)
+func (p *Dispatcher) Serve(ctx context.Context, r *Request, out Caller) Outcome {
+	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
-	p.Repeats.Request(r.Service.Name)
+	p.RetryBudget.Request(r.Service.Name)
 	if refused := p.refusePoisoned(ctx, r); refused != nil {
-		return End{Refusal: refused}
+		return Outcome{Refusal: refused}
 	}
 	settle, refused := p.Budgets.Reserve(ctx, r)
 	if refused != nil {
-		return End{Refusal: refused}
+		return Outcome{Refusal: refused}
 	}
 	end := p.run(ctx, r, out)
 	end.Used = chargedTokens(r, end.Attempts)
@@ -127,7 +127,7 @@
 }
 
 // run sends the request until it is answered or no further send is allowed.
-func (p *Path) run(ctx context.Context, r *Request, out Caller) End {
+func (p *Dispatcher) run(ctx context.Context, r *Request, out Caller) Outcome {
 	var attempts []Attempt
 	for {
 		target, ok := p.Upstreams.Pick(r, attempts)
@@ -137,18 +137,18 @@
 		attempts = append(attempts, target.Done(p.send(ctx, r, target, out)))
 		p.recordOutcome(ctx, r, attempts)
 		v := decideRetry(r, attempts, p.Now())
-		if !v.retry || p.refusePoisoned(ctx, r) != nil || v.countsAsRetry && !p.Repeats.Allow(r) {
+		if !v.retry || p.refusePoisoned(ctx, r) != nil || v.countsAsRetry && !p.RetryBudget.Allow(r) {
 			return p.finish(r, attempts, out)
 		}
 	}
 }
 
 // send sends the request once. The send can be recalled until its answer begins.
-func (p *Path) send(ctx context.Context, r *Request, t Target, out Caller) Attempt {
+func (p *Dispatcher) send(ctx context.Context, r *Request, t Target, out Caller) Attempt {
 	if p.Poison == nil || out.Began() {
 		return p.Upstreams.Send(ctx, r, t, out)
 	}
-	ctx, began, done := p.Poison.Sending(ctx, r)
+	ctx, began, done := p.Poison.TrackSend(ctx, r)
 	defer done()
 	event := t.Event
 	t.Event = func(now time.Time) {
@@ -159,7 +159,7 @@
 }
 
 // refusePoisoned returns the refusal of a prompt that must not be sent now.
-func (p *Path) refusePoisoned(ctx context.Context, r *Request) *contract.Refusal {
+func (p *Dispatcher) refusePoisoned(ctx context.Context, r *Request) *contract.Refusal {
 	if p.Poison == nil {
 		return nil
 	}
@@ -167,19 +167,19 @@
 }
 
 // recordOutcome reports the last attempt's evidence on the request's prompt to Poison.
-func (p *Path) recordOutcome(ctx context.Context, r *Request, attempts []Attempt) {
+func (p *Dispatcher) recordOutcome(ctx context.Context, r *Request, attempts []Attempt) {
 	last := attempts[len(attempts)-1]
 	switch {
 	case p.Poison == nil:
 	case last.Break != nil:
-		p.Poison.Broke(ctx, r, attempts)
-	case last.Result == Whole:
-		p.Poison.Answered(r)
+		p.Poison.ConnectionBroken(ctx, r, attempts)
+	case last.Result == Complete:
+		p.Poison.RecordAnswer(r)
 	}
 }
 
 // finalRefusal returns the refusal of a request without an answer.
-func (p *Path) finalRefusal(r *Request, attempts []Attempt) *contract.Refusal {
+func (p *Dispatcher) finalRefusal(r *Request, attempts []Attempt) *contract.Refusal {
 	hit := slices.ContainsFunc(attempts, func(a Attempt) bool { return a.Break != nil || a.Recalled })
 	if hit && p.Poison != nil {
 		if proven := p.Poison.Proven(r); proven != nil {
@@ -196,20 +196,20 @@
 }
 
 // finish passes on the most useful of the available answers and refusals.
-func (p *Path) finish(r *Request, attempts []Attempt, out Caller) End {
-	e := End{Attempts: attempts}
+func (p *Dispatcher) finish(r *Request, attempts []Attempt, out Caller) Outcome {
+	e := Outcome{Attempts: attempts}
 	if n := len(attempts); n > 0 {
 		last := attempts[n-1]
-		if last.Result == Whole || last.Result == CallerGone && !out.Began() {
+		if last.Result == Complete || last.Result == CallerGone && !out.Began() {
 			return e
 		}
 	}
 	if out.Began() {
-		e.Cut = true
+		e.Truncated = true
 		return e
 	}
 	if a := failureAnswer(attempts); a != nil {
-		e.Cut = a.Pass(out) != nil
+		e.Truncated = a.SendTo(out) != nil
 		return e
 	}
 	e.Refusal = p.finalRefusal(r, attempts)
--- a/serving/request.go
+++ b/serving/request.go
@@ -37,8 +37,8 @@
 
 	// Arrived is the time at which the request's headers were read.
 	Arrived time.Time
-	// Until is the deadline of the caller or the route, whichever is earlier.
-	Until time.Time
+	// Deadline is the deadline of the caller or the route, whichever is earlier.
+	Deadline time.Time
 
 	// Prompt and MaxOutput are in tokens; both are 0 for plain services.
 	Prompt    int64
@@ -48,9 +48,9 @@
 	LastEvent string
 }
 
-// Worst returns the maximum number of tokens that the request can use. An interrupted run may have
+// MaxTokens returns the maximum number of tokens that the request can use. An interrupted run may have
 // produced unrecorded output, so each further run counts its own.
-func (r *Request) Worst() int64 {
+func (r *Request) MaxTokens() int64 {
 	if r.Prompt+r.MaxOutput == 0 {
 		return 0
 	}
--- a/warmup/warmup.go
+++ b/warmup/warmup.go
@@ -16,18 +16,18 @@
 	"github.com/arbutusmill/arbutusmill/coord/rendezvous"
 )
 
-// Bound is the tolerance of cold upstreams beyond the rate that their service names, the same for
+// Tolerance is the tolerance of cold upstreams beyond the rate that their service names, the same for
 // all services.
-type Bound struct {
+type Tolerance struct {
 	// Overshoot multiplies the rate.
 	Overshoot float64
 	// Slack is the number of requests per second added to that.
 	Slack float64
 }
 
-// Most returns the maximum number of requests in any second for a cold upstream whose service
+// MaxRequests returns the maximum number of requests in any second for a cold upstream whose service
 // names this rate; 0 is no bound, for services that name none.
-func (b Bound) Most(perSecond float64) int {
+func (b Tolerance) MaxRequests(perSecond float64) int {
 	if perSecond <= 0 {
 		return 0
 	}
@@ -46,15 +46,15 @@
 // Take counts a request if fewer than most were counted in the last second, and reports whether it
 // did.
 func (w *Window) Take(now time.Time, most int) bool {
-	if !w.Room(now, most) {
+	if !w.HasCapacity(now, most) {
 		return false
 	}
 	w.Count(now)
 	return true
 }
 
-// Room reports whether fewer than most requests were counted in the last second.
-func (w *Window) Room(now time.Time, most int) bool {
+// HasCapacity reports whether fewer than most requests were counted in the last second.
+func (w *Window) HasCapacity(now time.Time, most int) bool {
 	w.Trim(now)
 	return len(w.times) < most
 }
@@ -90,8 +90,8 @@
 // within one.
 const permitShare = 0.6
 
-// ByLeave returns the maximum number of permits in any second for an upstream with the bound most.
-func ByLeave(most int) int { return max(1, int(permitShare*float64(most))) }
+// PermitLimit returns the maximum number of permits in any second for an upstream with the bound most.
+func PermitLimit(most int) int { return max(1, int(permitShare*float64(most))) }
 
 // maxSharers is the number of routers that share the bound of one cold upstream. With one, its
 // failure would leave the upstream idle; with more, routers with different views of the membership
@@ -106,7 +106,7 @@
 	if listedFor < windowLength {
 		return 0
 	}
-	rest := max(1, most-ByLeave(most))
+	rest := max(1, most-PermitLimit(most))
 	ranked := rendezvous.Rank(upstream, routers)
 	ranked = ranked[:min(len(ranked), maxSharers, rest)]
 	if !slices.Contains(ranked, router) {
