--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -45,7 +45,7 @@
 	Timeout time.Duration
 	// Goal is the latency objective of an answer, for streams of the first event.
 	Goal time.Duration
-	// GapGoal is the objective for the longest pause between two events.
+	// GapGoal is the objective for the longest gap between two events.
 	GapGoal time.Duration
 	// MaxRuns is the maximum number of upstreams on which one request may run.
 	MaxRuns int
--- a/coord/account/account.go
+++ b/coord/account/account.go
@@ -171,7 +171,7 @@
 }
 
 // Report writes a holder's own totals into its row. Its errors are ErrNoRow,
-// ErrBackwards and ErrBroken.
+// ErrTotalDecreased and ErrInvariantViolated.
 func (a *Account) Report(holder string, r Row) error {
 	row := a.Rows[holder]
 	if row == nil {
--- a/coord/account/account_test.go
+++ b/coord/account/account_test.go
@@ -79,7 +79,7 @@
 // refused while the existing ones still have space.
 func TestPageNearStoreLimit(t *testing.T) {
 	ctx := t.Context()
-	book := account.AdminClient{Store: memstore.New(), Layout: account.Layout{Prefix: "p/", Pages: 1}}
+	admin := account.AdminClient{Store: memstore.New(), Layout: account.Layout{Prefix: "p/", Pages: 1}}
 	id := func(i int) string { return fmt.Sprintf("team/%0200d", i) }
 	old := &account.Page{Accounts: map[string]*account.Account{}}
 	for i := range 2300 {
@@ -88,19 +88,19 @@
 	value, err := old.Encode()
 	require.NoError(t, err)
 	require.Greater(t, len(value), account.PageFullBytes)
-	_, err = book.Store.CompareAndSwap(ctx, book.Layout.PageKey(0), 0, value, 0)
+	_, err = admin.Store.CompareAndSwap(ctx, admin.Layout.PageKey(0), 0, value, 0)
 	require.NoError(t, err)
-	require.ErrorIs(t, book.Create(ctx, "team/new", "team"), account.ErrPageFull)
-	require.NoError(t, book.Create(ctx, id(7), "team"), "the budget exists already")
-	require.NoError(t, book.TopUp(ctx, id(0), "second", 1000))
+	require.ErrorIs(t, admin.Create(ctx, "team/new", "team"), account.ErrPageFull)
+	require.NoError(t, admin.Create(ctx, id(7), "team"), "the budget exists already")
+	require.NoError(t, admin.TopUp(ctx, id(0), "second", 1000))
 	for h := range 33 {
-		err := book.Update(ctx, id(0), func(a *account.Account) error {
+		err := admin.Update(ctx, id(0), func(a *account.Account) error {
 			a.Grant(fmt.Sprintf("router-%d#1", h), 10)
 			return nil
 		})
 		require.NoError(t, err)
 	}
-	item, err := book.Store.Get(ctx, book.Layout.PageKey(0))
+	item, err := admin.Store.Get(ctx, admin.Layout.PageKey(0))
 	require.NoError(t, err)
 	require.Less(t, len(item.Value), store.MaxValueBytes)
 }
--- a/coord/account/page.go
+++ b/coord/account/page.go
@@ -97,8 +97,8 @@
 }
 
 // Load reads the page of a budget.
-func (b AdminClient) Load(ctx context.Context, budget string) (*Page, error) {
-	item, err := b.Store.Get(ctx, b.Layout.Key(budget))
+func (c AdminClient) Load(ctx context.Context, budget string) (*Page, error) {
+	item, err := c.Store.Get(ctx, c.Layout.Key(budget))
 	if err != nil {
 		return nil, err
 	}
@@ -106,8 +106,8 @@
 }
 
 // Get reads one account.
-func (b AdminClient) Get(ctx context.Context, budget string) (*Account, error) {
-	p, err := b.Load(ctx, budget)
+func (c AdminClient) Get(ctx context.Context, budget string) (*Account, error) {
+	p, err := c.Load(ctx, budget)
 	if err != nil {
 		return nil, err
 	}
@@ -116,8 +116,8 @@
 
 // Update applies change to the budget's account, again after a conflicting write,
 // until the result is durable. Change must be idempotent.
-func (b AdminClient) Update(ctx context.Context, budget string, change func(*Account) error) error {
-	return b.updatePage(ctx, budget, func(p *Page, _ int) error {
+func (c AdminClient) Update(ctx context.Context, budget string, change func(*Account) error) error {
+	return c.updatePage(ctx, budget, func(p *Page, _ int) error {
 		a, err := p.Get(budget)
 		if err != nil {
 			return err
@@ -128,8 +128,8 @@
 
 // Create creates an empty budget for a team. It does nothing if the team's budget
 // exists. Its errors include ErrExists and ErrPageFull.
-func (b AdminClient) Create(ctx context.Context, budget, team string) error {
-	return b.updatePage(ctx, budget, func(p *Page, size int) error {
+func (c AdminClient) Create(ctx context.Context, budget, team string) error {
+	return c.updatePage(ctx, budget, func(p *Page, size int) error {
 		if a := p.Accounts[budget]; a != nil {
 			if a.Team != team {
 				return Error.New("budget %q: %w", budget, ErrExists)
@@ -146,8 +146,8 @@
 
 // TopUp credits the budget once for each ID. When it returns nil the credit is
 // durable.
-func (b AdminClient) TopUp(ctx context.Context, budget, id string, tokens int64) error {
-	return b.Update(ctx, budget, func(a *Account) error {
+func (c AdminClient) TopUp(ctx context.Context, budget, id string, tokens int64) error {
+	return c.Update(ctx, budget, func(a *Account) error {
 		_, err := a.TopUp(id, tokens)
 		return err
 	})
@@ -155,17 +155,17 @@
 
 // Release frees forfeited tokens on an operator's order, once for each ID, and
 // returns how many that order freed.
-func (b AdminClient) Release(ctx context.Context, budget, id string, tokens int64) (int64, error) {
+func (c AdminClient) Release(ctx context.Context, budget, id string, tokens int64) (int64, error) {
 	var released int64
-	err := b.Update(ctx, budget, func(a *Account) (err error) {
+	err := c.Update(ctx, budget, func(a *Account) (err error) {
 		released, err = a.Release(id, tokens)
 		return err
 	})
 	return released, err
 }
 
-func (b AdminClient) updatePage(ctx context.Context, budget string, change func(p *Page, size int) error) error {
-	_, err := store.Update(ctx, b.Store, b.Layout.Key(budget), func(old store.Item) ([]byte, error) {
+func (c AdminClient) updatePage(ctx context.Context, budget string, change func(p *Page, size int) error) error {
+	_, err := store.Update(ctx, c.Store, c.Layout.Key(budget), func(old store.Item) ([]byte, error) {
 		p, err := Decode(old.Value)
 		if err != nil {
 			return nil, err
--- a/coord/grant/fleet_test.go
+++ b/coord/grant/fleet_test.go
@@ -348,9 +348,9 @@
 	now := time.Unix(1000, 0)
 	layout := account.Layout{Prefix: "b/", Pages: 1}
 	st := memstore.New()
-	book := account.AdminClient{Store: st, Layout: layout}
-	require.NoError(t, book.Create(t.Context(), "b", "pilots"))
-	require.NoError(t, book.TopUp(t.Context(), "b", "one", 1000))
+	admin := account.AdminClient{Store: st, Layout: layout}
+	require.NoError(t, admin.Create(t.Context(), "b", "pilots"))
+	require.NoError(t, admin.TopUp(t.Context(), "b", "one", 1000))
 	h := grant.NewHolder("router-1/b", layout, grant.RequestPolicy{})
 	g := &grant.StoreGranter{Holder: h, Store: st, Layout: layout, Timing: grant.DefaultTiming(),
 		Timeout: time.Second, Now: func() time.Time { return now }}
--- a/coord/grant/granter.go
+++ b/coord/grant/granter.go
@@ -135,22 +135,22 @@
 
 // runSync runs a sync. Other requests wait for it too, so it must not end when the request that
 // started it is canceled or reaches its deadline.
-func (g *StoreGranter) runSync(ctx context.Context, key string, f *syncCall) {
+func (g *StoreGranter) runSync(ctx context.Context, key string, c *syncCall) {
 	syncCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), cmp.Or(g.SyncTimeout, g.Timeout))
 	defer cancel()
-	f.err = g.sync(syncCtx, key)
+	c.err = g.sync(syncCtx, key)
 	if g.OnSyncEnd != nil {
-		g.OnSyncEnd(g.Now().Sub(f.began), f.err)
+		g.OnSyncEnd(g.Now().Sub(c.began), c.err)
 	}
-	g.finishSync(key, f)
+	g.finishSync(key, c)
 }
 
 // SyncOverdue reports whether a sync has been in flight for d or longer.
 func (g *StoreGranter) SyncOverdue(d time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, f := range g.syncCalls {
-		if g.Now().Sub(f.began) >= d {
+	for _, c := range g.syncCalls {
+		if g.Now().Sub(c.began) >= d {
 			return true
 		}
 	}
@@ -162,38 +162,38 @@
 func (g *StoreGranter) isOverdue(key string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	f := g.syncCalls[key]
-	return f != nil && g.Now().Sub(f.began) >= g.Timeout
+	c := g.syncCalls[key]
+	return c != nil && g.Now().Sub(c.began) >= g.Timeout
 }
 
-func (f *syncCall) wait(ctx context.Context) error {
+func (c *syncCall) wait(ctx context.Context) error {
 	select {
-	case <-f.done:
-		return f.err
+	case <-c.done:
+		return c.err
 	case <-ctx.Done():
 		return Error.Wrap(ErrUnreachable)
 	}
 }
 
-func (g *StoreGranter) joinSync(key string) (f *syncCall, started bool) {
+func (g *StoreGranter) joinSync(key string) (c *syncCall, started bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.syncCalls == nil {
 		g.syncCalls = map[string]*syncCall{}
 	}
-	if f := g.syncCalls[key]; f != nil {
-		return f, false
+	if c := g.syncCalls[key]; c != nil {
+		return c, false
 	}
-	f = &syncCall{done: make(chan struct{}), began: g.Now()}
-	g.syncCalls[key] = f
-	return f, true
+	c = &syncCall{done: make(chan struct{}), began: g.Now()}
+	g.syncCalls[key] = c
+	return c, true
 }
 
-func (g *StoreGranter) finishSync(key string, f *syncCall) {
+func (g *StoreGranter) finishSync(key string, c *syncCall) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.syncCalls, key)
-	close(f.done)
+	close(c.done)
 }
 
 // sync plans on a cached page first. Other processes may have changed the page and freed
--- a/coord/grant/holder.go
+++ b/coord/grant/holder.go
@@ -25,7 +25,7 @@
 	// returns are closed lots that their lenders have not acknowledged.
 	returns  map[Part]LotReturn
 	disowned map[Part]struct{}
-	// excluded are holders that were declared dead; see ShutOut.
+	// excluded are holders that were declared dead; see ExcludeHolder.
 	excluded map[string]struct{}
 	// lenders is the use of closed lots by lender; lendersIncomplete says that some lenders
 	// are missing in it.
@@ -37,7 +37,7 @@
 	expectedHolders int
 	// demandWindow is the time constant of the demand average.
 	demandWindow time.Duration
-	// minimalRows limits rows to what was granted; see Lean.
+	// minimalRows limits rows to what was granted; see UseMinimalRows.
 	minimalRows bool
 	isDead      func(holder string) bool
 	// stopping removes each row as soon as nothing is open on it.
@@ -140,7 +140,7 @@
 const largestRecentDecay = 64
 
 // Reserve reserves n tokens for one request, from the own row first and then from
-// lots. If too few are spendable it reserves nothing and returns ErrShort.
+// lots. If too few are spendable it reserves nothing and returns ErrInsufficientTokens.
 func (h *Holder) Reserve(now time.Time, budget string, n int64) (Reservation, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -271,7 +271,7 @@
 	return slices.Sorted(maps.Keys(h.otherHolders))
 }
 
-// ForgetRecovered removes a holder whose recovery is complete from Others.
+// ForgetRecovered removes a holder whose recovery is complete from OtherHolders.
 func (h *Holder) ForgetRecovered(holder string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/coord/grant/horizon.go
+++ b/coord/grant/horizon.go
@@ -20,7 +20,7 @@
 	// LargestRequests is how many of the largest recent requests a holder additionally holds
 	// tokens for: a single request may need more than many seconds of demand.
 	LargestRequests float64
-	// Role returns this holder's role for a budget; nil stands for HomeOf.
+	// Role returns this holder's role for a budget; nil stands for RolePrimary.
 	Role func(budget string) Role
 	// UsingStore reports whether a request of this holder calls the store because no peer
 	// is reachable; nil stands for always. Otherwise a borrower takes nothing from the
@@ -36,7 +36,7 @@
 	// demand.
 	Share float64
 	// MaxLoss is the largest share of what is left of the budget that a holder has available
-	// while the store is healthy (0..1); Wary reports that the store was recently slow or did
+	// while the store is healthy (0..1); StoreDegraded reports that the store was recently slow or did
 	// not answer. Available tokens are lost when the incarnation dies. Early in a budget the
 	// bound still covers an outage without warning; the less is left, the more later requests
 	// depend on it, and the less is risked. 0 disables the bound.
--- a/coord/grant/lean_property_test.go
+++ b/coord/grant/lean_property_test.go
@@ -154,24 +154,24 @@
 }
 
 // Obtain implements grant.Granter. It calls the store.
-func (l *process) Obtain(ctx context.Context, budget string, lack int64) error {
-	l.usingStore = true
-	defer func() { l.usingStore = false }()
-	return l.pages.Obtain(ctx, budget, lack)
+func (p *process) Obtain(ctx context.Context, budget string, lack int64) error {
+	p.usingStore = true
+	defer func() { p.usingStore = false }()
+	return p.pages.Obtain(ctx, budget, lack)
 }
 
 // Lend implements grant.Lender.
-func (l *process) Lend(ctx context.Context, peer, budget, id string, need, want int64) (grant.Lot, error) {
-	for _, lender := range l.fleet.lenders {
-		if lender.id != peer || lender == l || lender.partitioned || l.partitioned {
+func (p *process) Lend(ctx context.Context, peer, budget, id string, need, want int64) (grant.Lot, error) {
+	for _, lender := range p.fleet.lenders {
+		if lender.id != peer || lender == p || lender.partitioned || p.partitioned {
 			continue
 		}
-		if l.fleet.settleLenders && lender.register.Admit(ctx, l.id) != nil {
+		if p.fleet.settleLenders && lender.register.Admit(ctx, p.id) != nil {
 			return grant.Lot{}, errLost
 		}
 		own := &grant.Acquirer{Holder: lender.holder, Now: time.Now, Chain: []grant.Granter{lender}, Exposer: &lender.exposure}
-		lot, err := own.Lend(ctx, budget, id, l.id, need, want)
-		if l.fleet.loseAnswers {
+		lot, err := own.Lend(ctx, budget, id, p.id, need, want)
+		if p.fleet.loseAnswers {
 			return grant.Lot{}, errLost
 		}
 		return lot, err
@@ -179,10 +179,10 @@
 	return grant.Lot{}, errLost
 }
 
-func (l *process) sync(ctx context.Context) {
+func (p *process) sync(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 	defer cancel()
-	_ = l.pages.Sync(ctx, l.fleet.layout.PageKey(0)) // failures are part of the test
+	_ = p.pages.Sync(ctx, p.fleet.layout.PageKey(0)) // failures are part of the test
 }
 
 func (f *lenderFleet) router() *process { return rapid.SampledFrom(f.routers[:]).Draw(f.t, "router") }
--- a/coord/grant/pages_test.go
+++ b/coord/grant/pages_test.go
@@ -18,7 +18,7 @@
 type storeHolder struct {
 	store *memstore.Store
 	pages *grant.StoreGranter
-	// usingStore is the result of HorizonPolicy.Asking; borrows selects the borrower role.
+	// usingStore is the result of HorizonPolicy.UsingStore; borrows selects the borrower role.
 	usingStore, borrows bool
 }
 
@@ -134,13 +134,13 @@
 }
 
 // Obtain implements grant.Granter.
-func (f *contendedGranter) Obtain(ctx context.Context, budget string, lack int64) error {
-	err := f.pages.Obtain(ctx, budget, lack)
-	if f.times--; f.times < 0 {
+func (g *contendedGranter) Obtain(ctx context.Context, budget string, lack int64) error {
+	err := g.pages.Obtain(ctx, budget, lack)
+	if g.times--; g.times < 0 {
 		return err
 	}
 	for {
-		if _, short := f.pages.Holder.Reserve(time.Now(), budget, 1); short != nil {
+		if _, short := g.pages.Holder.Reserve(time.Now(), budget, 1); short != nil {
 			return err
 		}
 	}
--- a/coord/grant/policy.go
+++ b/coord/grant/policy.go
@@ -15,10 +15,10 @@
 	HeldByDead int64
 	// Granted, Available and Reserved are of the holder's own row.
 	Granted, Available, Reserved int64
-	// Waiting is the total that waiting requests need, Smallest the smallest need
-	// of one of them; Worst is the largest recent reservation.
+	// Waiting is the total that waiting requests need, SmallestWaiting the smallest need
+	// of one of them; LargestRecent is the largest recent reservation.
 	Waiting, SmallestWaiting, LargestRecent int64
-	// Demand is the holder's recent use, Others the sum of all other rows'
+	// Demand is the holder's recent use, OthersDemand the sum of all other rows'
 	// (tokens a second).
 	Demand, OthersDemand float64
 	// Holders is the current or expected number of holders, whichever is larger.
--- a/coord/grant/property_test.go
+++ b/coord/grant/property_test.go
@@ -29,132 +29,132 @@
 func newFaultyFleet(ctx context.Context, t *rapid.T) *faultyFleet {
 	policy := rapid.SampledFrom([]grant.Policy{grant.FavourAvailability(), grant.FavourExactness(),
 		grant.EvenPolicy{N: 3}, grant.RequestPolicy{}}).Draw(t, "policy")
-	w := &faultyFleet{t: t, ctx: ctx, Fleet: lab.New(lab.Options{Pages: 1, Policy: func() grant.Policy { return policy },
+	f := &faultyFleet{t: t, ctx: ctx, Fleet: lab.New(lab.Options{Pages: 1, Policy: func() grant.Policy { return policy },
 		Timing: grant.DefaultTiming(), Transfers: true, Expect: 3})}
-	require.NoError(t, w.Book().Create(ctx, budget, "team"))
-	w.topUp()
+	require.NoError(t, f.Book().Create(ctx, budget, "team"))
+	f.topUp()
 	for _, dc := range dcs {
-		_, err := w.AddAgent(ctx, dc+"-engine", dc)
+		_, err := f.AddAgent(ctx, dc+"-engine", dc)
 		require.NoError(t, err)
-		w.start(dc)
+		f.start(dc)
 	}
-	return w
+	return f
 }
 
-func (w *faultyFleet) topUp() {
-	n := rapid.Int64Range(1, 2000).Draw(w.t, "credit")
-	w.count++
-	ctx, cancel := context.WithTimeout(w.ctx, lab.CallTimeout)
+func (f *faultyFleet) topUp() {
+	n := rapid.Int64Range(1, 2000).Draw(f.t, "credit")
+	f.count++
+	ctx, cancel := context.WithTimeout(f.ctx, lab.CallTimeout)
 	defer cancel()
-	if w.Book().TopUp(ctx, budget, fmt.Sprint(w.count), n) == nil {
-		w.credit += n
+	if f.Book().TopUp(ctx, budget, fmt.Sprint(f.count), n) == nil {
+		f.credit += n
 		return
 	}
 	// Not acknowledged, but it may have taken effect: read the account.
-	w.Store.SetFaults(memstore.Faults{})
-	a, err := w.Book().Get(w.ctx, budget)
-	require.NoError(w.t, err)
-	w.credit = a.Credit()
+	f.Store.SetFaults(memstore.Faults{})
+	a, err := f.Book().Get(f.ctx, budget)
+	require.NoError(f.t, err)
+	f.credit = a.Credit()
 }
 
-func (w *faultyFleet) start(dc string) {
-	ctx, cancel := context.WithTimeout(w.ctx, lab.CallTimeout)
+func (f *faultyFleet) start(dc string) {
+	ctx, cancel := context.WithTimeout(f.ctx, lab.CallTimeout)
 	defer cancel()
-	if n, err := w.AddNode(ctx, dc+"-router", dc); err == nil {
-		n.Place(w.ctx)
+	if n, err := f.AddNode(ctx, dc+"-router", dc); err == nil {
+		n.Place(f.ctx)
 	}
 }
 
-func (w *faultyFleet) node() *lab.Node { return rapid.SampledFrom(w.Nodes).Draw(w.t, "node") }
+func (f *faultyFleet) node() *lab.Node { return rapid.SampledFrom(f.Nodes).Draw(f.t, "node") }
 
-func (w *faultyFleet) step() {
-	switch rapid.IntRange(0, 14).Draw(w.t, "op") {
+func (f *faultyFleet) step() {
+	switch rapid.IntRange(0, 14).Draw(f.t, "op") {
 	case 0, 1, 2, 3:
-		w.serve()
+		f.serve()
 	case 4, 5:
-		w.finish()
+		f.finish()
 	case 6:
-		w.Now = w.Now.Add(time.Duration(rapid.IntRange(1, 400).Draw(w.t, "seconds")) * time.Second)
-		for _, n := range w.Nodes {
-			n.Sync(w.ctx)
+		f.Now = f.Now.Add(time.Duration(rapid.IntRange(1, 400).Draw(f.t, "seconds")) * time.Second)
+		for _, n := range f.Nodes {
+			n.Sync(f.ctx)
 		}
 	case 7:
-		w.Cut(rapid.SampledFrom(dcs).Draw(w.t, "cut"))
+		f.Cut(rapid.SampledFrom(dcs).Draw(f.t, "cut"))
 	case 8:
-		w.Heal()
+		f.Heal()
 	case 9:
-		n := w.node()
+		n := f.node()
 		n.Dead = true
-		w.start(n.DC)
+		f.start(n.DC)
 	case 10:
-		n := w.node()
+		n := f.node()
 		n.Frozen = !n.Frozen
 	case 11:
-		w.recover()
+		f.recover()
 	case 12:
-		w.Store.SetFaults(memstore.Faults{LoseResponses: rapid.IntRange(0, 2).Draw(w.t, "lose"), Down: rapid.IntRange(0, 5).Draw(w.t, "down") == 0})
-		w.DropLots = rapid.IntRange(0, 2).Draw(w.t, "drop")
+		f.Store.SetFaults(memstore.Faults{LoseResponses: rapid.IntRange(0, 2).Draw(f.t, "lose"), Down: rapid.IntRange(0, 5).Draw(f.t, "down") == 0})
+		f.DropLots = rapid.IntRange(0, 2).Draw(f.t, "drop")
 	case 13:
-		for _, n := range w.Nodes {
+		for _, n := range f.Nodes {
 			n.ReturnLots(0)
 			if !n.Dead && !n.Frozen {
 				n.Audit()
 			}
 		}
 	case 14:
-		w.topUp()
+		f.topUp()
 	}
 }
 
-func (w *faultyFleet) serve() {
-	n := w.node()
+func (f *faultyFleet) serve() {
+	n := f.node()
 	if n.Dead || n.Frozen {
 		return
 	}
-	w.count++
-	r, err := n.Serve(w.ctx, fmt.Sprint("r", w.count), budget, rapid.Int64Range(1, 300).Draw(w.t, "worst"))
+	f.count++
+	r, err := n.Serve(f.ctx, fmt.Sprint("r", f.count), budget, rapid.Int64Range(1, 300).Draw(f.t, "worst"))
 	if err == nil {
-		w.open = append(w.open, r)
+		f.open = append(f.open, r)
 	}
 }
 
-func (w *faultyFleet) finish() {
-	if len(w.open) == 0 {
+func (f *faultyFleet) finish() {
+	if len(f.open) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(w.open)-1).Draw(w.t, "request")
-	w.open[i].Finish(rapid.Int64Range(0, 300).Draw(w.t, "used"))
-	w.open = append(w.open[:i], w.open[i+1:]...)
+	i := rapid.IntRange(0, len(f.open)-1).Draw(f.t, "request")
+	f.open[i].Finish(rapid.Int64Range(0, 300).Draw(f.t, "used"))
+	f.open = append(f.open[:i], f.open[i+1:]...)
 }
 
 // recover recovers a holder that is dead or wrongly taken for dead.
-func (w *faultyFleet) recover() {
-	n := w.node()
-	_, _ = w.Recover(w.ctx, rapid.SampledFrom(dcs).Draw(w.t, "seat"), n.Holder.ID(), rapid.Bool().Draw(w.t, "forfeit"))
+func (f *faultyFleet) recover() {
+	n := f.node()
+	_, _ = f.Recover(f.ctx, rapid.SampledFrom(dcs).Draw(f.t, "seat"), n.Holder.ID(), rapid.Bool().Draw(f.t, "forfeit"))
 }
 
-func (w *faultyFleet) check() {
-	require.LessOrEqual(w.t, w.Served(budget), w.credit, "overspend")
+func (f *faultyFleet) check() {
+	require.LessOrEqual(f.t, f.Served(budget), f.credit, "overspend")
 }
 
 // stabilize ends all failures and requests, and makes every node report.
-func (w *faultyFleet) stabilize() {
-	w.Store.SetFaults(memstore.Faults{})
-	w.DropLots = 0
-	w.Heal()
-	for _, r := range w.open {
+func (f *faultyFleet) stabilize() {
+	f.Store.SetFaults(memstore.Faults{})
+	f.DropLots = 0
+	f.Heal()
+	for _, r := range f.open {
 		r.Finish(1)
 	}
-	for _, n := range w.Nodes {
+	for _, n := range f.Nodes {
 		n.Frozen = false
 	}
 	for range 3 {
-		w.Now = w.Now.Add(5 * time.Minute)
-		for _, n := range w.Nodes {
+		f.Now = f.Now.Add(5 * time.Minute)
+		for _, n := range f.Nodes {
 			if !n.Dead {
 				n.ReturnLots(0)
 				n.Audit()
-				n.SyncPage(w.ctx, w.Layout.PageKey(0))
+				n.SyncPage(f.ctx, f.Layout.PageKey(0))
 			}
 		}
 	}
@@ -170,18 +170,18 @@
 func TestNoOverspendUnderAnyInterleaving(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		rapid.Check(noDeadline{t}, func(rt *rapid.T) {
-			w := newFaultyFleet(t.Context(), rt)
+			f := newFaultyFleet(t.Context(), rt)
 			for range rapid.IntRange(1, 60).Draw(rt, "steps") {
-				w.step()
-				w.Quiesce()
-				w.check()
+				f.step()
+				f.Quiesce()
+				f.check()
 			}
-			w.stabilize()
-			w.check()
-			a, err := w.Book().Get(w.ctx, budget)
+			f.stabilize()
+			f.check()
+			a, err := f.Book().Get(f.ctx, budget)
 			require.NoError(rt, err)
 			require.NoError(rt, a.Check())
-			require.LessOrEqual(rt, w.Served(budget), a.Settled()+a.Outstanding()+a.Forfeited)
+			require.LessOrEqual(rt, f.Served(budget), a.Settled()+a.Outstanding()+a.Forfeited)
 		})
 	})
 }
--- a/coord/grant/witness_property_test.go
+++ b/coord/grant/witness_property_test.go
@@ -75,10 +75,10 @@
 }
 
 // sendNotice delivers a lender's limits to a witness and records a duplicate for later delivery.
-func (l *process) sendNotice(_ context.Context, witness string, notice settlement.Notice) error {
-	f := l.fleet
+func (p *process) sendNotice(_ context.Context, witness string, notice settlement.Notice) error {
+	f := p.fleet
 	for _, w := range f.witnesses {
-		if w.id != witness || w.partitioned || l.partitioned {
+		if w.id != witness || w.partitioned || p.partitioned {
 			continue
 		}
 		again := func() { _ = w.witness.Apply(time.Now(), notice) } // a witness may refuse a late notice
--- a/coord/lapse/lapse.go
+++ b/coord/lapse/lapse.go
@@ -26,41 +26,41 @@
 // StartGrace starts a grace period with the first read after a loss of the store. During it,
 // entries may be missing because of the loss, and live owners create theirs again. If the grace
 // period of an earlier loss is not over, the entries missing because of that loss still count.
-func (j *Detector) StartGrace(now time.Time, grace time.Duration) {
-	if !j.InGrace(now) {
-		j.missing = 0
+func (d *Detector) StartGrace(now time.Time, grace time.Duration) {
+	if !d.InGrace(now) {
+		d.missing = 0
 	}
-	j.graceEnd = now.Add(grace)
+	d.graceEnd = now.Add(grace)
 }
 
 // RecordRead records what a read shows of the entries known before: how many of them still exist as
 // they were created, so that their leases have not run out, and how many were created again.
-func (j *Detector) RecordRead(surviving, recreated int) {
-	j.surviving = surviving
-	j.missing += recreated
+func (d *Detector) RecordRead(surviving, recreated int) {
+	d.surviving = surviving
+	d.missing += recreated
 }
 
 // RecordMissing records an entry that has disappeared; hadSurvived is whether it had outlasted the loss so
 // far.
-func (j *Detector) RecordMissing(hadSurvived bool) {
-	j.missing++
+func (d *Detector) RecordMissing(hadSurvived bool) {
+	d.missing++
 	if hadSurvived {
-		j.surviving--
+		d.surviving--
 	}
 }
 
 // InGrace reports whether an entry that disappears now may have lapsed at all.
-func (j *Detector) InGrace(now time.Time) bool { return now.Before(j.graceEnd) }
+func (d *Detector) InGrace(now time.Time) bool { return now.Before(d.graceEnd) }
 
 // GraceEnd returns the end of the grace period in which that is possible.
-func (j *Detector) GraceEnd() time.Time { return j.graceEnd }
+func (d *Detector) GraceEnd() time.Time { return d.graceEnd }
 
 // Lapsed reports whether the missing entries count as lapsed, so that their owners are considered
 // alive. The result may change with each entry that disappears, since a store may remove entries
 // whose leases ran out some time after its return. Entries that were created again still count.
-func (j *Detector) Lapsed(now time.Time) bool {
-	return j.InGrace(now) && float64(j.missing) >= lapsedShare*float64(j.surviving+j.missing)
+func (d *Detector) Lapsed(now time.Time) bool {
+	return d.InGrace(now) && float64(d.missing) >= lapsedShare*float64(d.surviving+d.missing)
 }
 
 // Counts returns how many entries are missing because of the loss, and how many outlasted it.
-func (j *Detector) Counts() (missing, surviving int) { return j.missing, j.surviving }
+func (d *Detector) Counts() (missing, surviving int) { return d.missing, d.surviving }
--- a/coord/ledger/group.go
+++ b/coord/ledger/group.go
@@ -22,23 +22,23 @@
 // appendQueueSize bounds the appends queued for a flush and those in one flush.
 const appendQueueSize = 1024
 
-// NewBatcher returns a Group for the shard. Append blocks unless Run is running.
+// NewBatcher returns a Batcher for the shard. Append blocks unless Run is running.
 func NewBatcher(s *Shard, interval time.Duration) *Batcher {
 	return &Batcher{shard: s, interval: interval, requests: make(chan appendRequest, appendQueueSize)}
 }
 
 // Append waits until the charges are durable and returns the shard's last segment.
 // After an error the outcome is unknown.
-func (g *Batcher) Append(ctx context.Context, charges []Charge) (int64, error) {
+func (b *Batcher) Append(ctx context.Context, charges []Charge) (int64, error) {
 	r := appendRequest{charges: charges, done: make(chan error, 1)}
 	select {
-	case g.requests <- r:
+	case b.requests <- r:
 	case <-ctx.Done():
 		return 0, ctx.Err()
 	}
 	select {
 	case err := <-r.done:
-		return g.shard.Last(), err
+		return b.shard.Last(), err
 	case <-ctx.Done():
 		return 0, ctx.Err()
 	}
@@ -47,28 +47,28 @@
 // Waiting returns the number of appends queued for a flush and the queue's capacity.
 // Appends beyond the capacity are not dropped: their callers block until their
 // contexts end.
-func (g *Batcher) Waiting() (n, capacity int) { return len(g.requests), cap(g.requests) }
+func (b *Batcher) Waiting() (n, capacity int) { return len(b.requests), cap(b.requests) }
 
 // Run flushes queued appends once per interval until ctx is done.
-func (g *Batcher) Run(ctx context.Context) {
+func (b *Batcher) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case first := <-g.requests:
-			g.flush(ctx, g.collect(ctx, first))
+		case first := <-b.requests:
+			b.flush(ctx, b.collect(ctx, first))
 		}
 	}
 }
 
 // collect returns first and the requests that arrive within the interval after it.
-func (g *Batcher) collect(ctx context.Context, first appendRequest) []appendRequest {
+func (b *Batcher) collect(ctx context.Context, first appendRequest) []appendRequest {
 	batch := []appendRequest{first}
-	t := time.NewTimer(g.interval)
+	t := time.NewTimer(b.interval)
 	defer t.Stop()
 	for len(batch) < appendQueueSize {
 		select {
-		case r := <-g.requests:
+		case r := <-b.requests:
 			batch = append(batch, r)
 		case <-t.C:
 			return batch
@@ -79,12 +79,12 @@
 	return batch
 }
 
-func (g *Batcher) flush(ctx context.Context, batch []appendRequest) {
+func (b *Batcher) flush(ctx context.Context, batch []appendRequest) {
 	var all []Charge
 	for _, r := range batch {
 		all = append(all, r.charges...)
 	}
-	err := g.shard.Append(ctx, all)
+	err := b.shard.Append(ctx, all)
 	for _, r := range batch {
 		r.done <- err
 	}
--- a/coord/ledger/ledger_test.go
+++ b/coord/ledger/ledger_test.go
@@ -147,11 +147,11 @@
 func TestGroupCommit(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		s := memstore.New()
-		g := ledger.NewBatcher(ledger.OpenShard(s, layout, 0, "r#1", 100), time.Second)
+		b := ledger.NewBatcher(ledger.OpenShard(s, layout, 0, "r#1", 100), time.Second)
 		ctx, cancel := context.WithCancel(t.Context())
-		go g.Run(ctx)
+		go b.Run(ctx)
 		for i := range 500 {
-			go func() { _, _ = g.Append(ctx, []ledger.Charge{charge(fmt.Sprint(i), 1)}) }()
+			go func() { _, _ = b.Append(ctx, []ledger.Charge{charge(fmt.Sprint(i), 1)}) }()
 		}
 		time.Sleep(3 * time.Second)
 		require.Equal(t, int64(500), total(t, s))
--- a/coord/ledger/outbox.go
+++ b/coord/ledger/outbox.go
@@ -49,7 +49,7 @@
 	return o
 }
 
-// Admit reserves a place for the charge of one request, or returns ErrFull. After a
+// Admit reserves a place for the charge of one request, or returns ErrBacklogFull. After a
 // nil error the caller must call Put or Cancel exactly once.
 func (o *Outbox) Admit() error {
 	o.mu.Lock()
--- a/coord/member/lease.go
+++ b/coord/member/lease.go
@@ -89,7 +89,7 @@
 	})
 }
 
-// wake makes Keep renew at once.
+// wake makes KeepAlive renew at once.
 func (g *Group) wake() {
 	g.init()
 	select {
@@ -164,7 +164,7 @@
 	return g.lease
 }
 
-// Withdrawn reports whether this process has withdrawn from the list; see StepAside.
+// Withdrawn reports whether this process has withdrawn from the list; see SetWithdrawn.
 func (g *Group) Withdrawn() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/coord/member/member.go
+++ b/coord/member/member.go
@@ -54,7 +54,7 @@
 	Report Reporter
 
 	once    sync.Once
-	wakeups chan struct{} // wakes Keep
+	wakeups chan struct{} // wakes KeepAlive
 
 	mu         sync.Mutex
 	members    map[string]Member // nil before the first read
--- a/coord/recovery/recovery.go
+++ b/coord/recovery/recovery.go
@@ -158,43 +158,43 @@
 // answer. An agent that has just started may not be in the lagging list yet, and may have
 // read the fences before this one was added. Agents register their incarnation before they
 // read the fences, so an agent that is not registered by now will read this fence.
-func (c *evidenceSet) requireRegisteredAgents() {
-	for _, entry := range c.incarnations {
-		if entry.Role == AgentRole && !entry.Clean && !entry.Gone && !c.answered[entry.VM] {
-			c.missing = errors.Join(c.missing, fmt.Errorf("agent %s: no answer", entry.VM))
+func (e *evidenceSet) requireRegisteredAgents() {
+	for _, entry := range e.incarnations {
+		if entry.Role == AgentRole && !entry.Clean && !entry.Gone && !e.answered[entry.VM] {
+			e.missing = errors.Join(e.missing, fmt.Errorf("agent %s: no answer", entry.VM))
 		}
 	}
 }
 
-func (c *evidenceSet) addPeer(vm string, ev PeerEvidence, err error) {
+func (e *evidenceSet) addPeer(vm string, ev PeerEvidence, err error) {
 	if err != nil {
-		c.missing = errors.Join(c.missing, fmt.Errorf("router %s: %w", vm, err))
+		e.missing = errors.Join(e.missing, fmt.Errorf("router %s: %w", vm, err))
 		return
 	}
-	c.lots[vm] = ev.Lots
+	e.lots[vm] = ev.Lots
 }
 
-func (c *evidenceSet) addAgent(vm string, ev Evidence, err error) {
+func (e *evidenceSet) addAgent(vm string, ev Evidence, err error) {
 	if err == nil && ev.Running > 0 {
 		err = fmt.Errorf("%d requests still run", ev.Running)
 	}
 	if err != nil {
-		c.missing = errors.Join(c.missing, fmt.Errorf("agent %s: %w", vm, err))
+		e.missing = errors.Join(e.missing, fmt.Errorf("agent %s: %w", vm, err))
 		return
 	}
-	c.answered[vm] = true
+	e.answered[vm] = true
 	for _, u := range ev.Uses {
 		key := u
 		key.Used = 0
-		c.uses[key] += u.Used
+		e.uses[key] += u.Used
 	}
 }
 
 // used sums the evidence about one row above its watermark.
-func (c *evidenceSet) used(budget string, through int64) int64 {
+func (e *evidenceSet) used(budget string, through int64) int64 {
 	var n int64
-	for u, tokens := range c.uses {
-		if u.Holder == c.holder && u.Budget == budget && u.Seq > through {
+	for u, tokens := range e.uses {
+		if u.Holder == e.holder && u.Budget == budget && u.Seq > through {
 			n += tokens
 		}
 	}
@@ -203,11 +203,11 @@
 
 // complete reports whether the evidence covers everything since the revision at
 // which the oldest unreported reservation was made.
-func (c *evidenceSet) complete(since store.Revision) bool {
-	if c.missing != nil {
+func (e *evidenceSet) complete(since store.Revision) bool {
+	if e.missing != nil {
 		return false
 	}
-	for _, entry := range c.incarnations {
+	for _, entry := range e.incarnations {
 		if entry.Role == AgentRole && entry.LostSince(since) {
 			return false
 		}
@@ -248,23 +248,23 @@
 
 // recoverRow closes the holder's row of one account. Without complete evidence the
 // whole balance of the row is forfeited: what a lost agent served of it is unknown.
-func (c *evidenceSet) recoverRow(budget string, a *account.Account, res *Result) error {
-	row := a.Rows[c.holder]
+func (e *evidenceSet) recoverRow(budget string, a *account.Account, res *Result) error {
+	row := a.Rows[e.holder]
 	if row == nil {
 		return nil
 	}
 	balance := row.Balance()
-	used := c.used(budget, row.Through)
+	used := e.used(budget, row.Through)
 	var forfeit int64
-	if !c.complete(store.Revision(row.Since)) {
+	if !e.complete(store.Revision(row.Since)) {
 		forfeit = balance
 	}
-	rest, err := a.Recover(c.holder, used, forfeit)
+	rest, err := a.Recover(e.holder, used, forfeit)
 	if err != nil {
 		return err
 	}
 	used = min(used, balance)
-	res.Holder = c.holder
+	res.Holder = e.holder
 	res.Returned += rest
 	res.Used += used
 	res.Forfeited += balance - used - rest
--- a/coord/relay/hub.go
+++ b/coord/relay/hub.go
@@ -184,14 +184,14 @@
 }
 
 // wait blocks until the next check is due, the wait is over or the context ends.
-func (l nextCheck) wait(ctx context.Context, now, until time.Time) {
-	if !l.staleAt.IsZero() && l.staleAt.Before(until) {
-		until = l.staleAt
+func (n nextCheck) wait(ctx context.Context, now, until time.Time) {
+	if !n.staleAt.IsZero() && n.staleAt.Before(until) {
+		until = n.staleAt
 	}
 	t := time.NewTimer(max(0, until.Sub(now)))
 	defer t.Stop()
 	select {
-	case <-l.updated:
+	case <-n.updated:
 	case <-t.C:
 	case <-ctx.Done():
 	}
--- a/coord/relay/pack.go
+++ b/coord/relay/pack.go
@@ -66,7 +66,7 @@
 	return reply, err
 }
 
-// Unpack decompresses the values of a reply of Serve. An error wraps ErrNonsense.
+// Unpack decompresses the values of a reply of Serve. An error wraps ErrInvalidReply.
 func (r Reply) Unpack() error {
 	for _, u := range r.Updates {
 		for i, c := range u.Changes {
--- a/coord/relay/pack_test.go
+++ b/coord/relay/pack_test.go
@@ -27,8 +27,8 @@
 }
 
 // serveAndUnpack passes a reply through its encoding between two processes.
-func serveAndUnpack(t *testing.T, w *testCluster, after store.Revision) (Reply, int) {
-	reply, err := w.hubs[0].Serve(w.ctx, Request{Store: "s", Positions: []Position{{Prefix: keys, After: after}}})
+func serveAndUnpack(t *testing.T, tc *testCluster, after store.Revision) (Reply, int) {
+	reply, err := tc.hubs[0].Serve(tc.ctx, Request{Store: "s", Positions: []Position{{Prefix: keys, After: after}}})
 	require.NoError(t, err)
 	wire, err := json.Marshal(reply)
 	require.NoError(t, err)
@@ -41,14 +41,14 @@
 // Guards against large values that are sent uncompressed or arrive changed, in a whole copy and as
 // a change: a configuration of 2,000 routes must take less than a third of its size.
 func TestLargeValuesArePacked(t *testing.T) {
-	withCluster(t, 1, 1, func(w *testCluster) {
+	withCluster(t, 1, 1, func(tc *testCluster) {
 		time.Sleep(time.Second)
 		large := routes(2000)
-		w.put("config", string(large))
-		w.put("small", "value")
+		tc.put("config", string(large))
+		tc.put("small", "value")
 		time.Sleep(watchDelay)
 		for _, after := range []store.Revision{0, 1} {
-			out, size := serveAndUnpack(t, w, after)
+			out, size := serveAndUnpack(t, tc, after)
 			require.Less(t, size, len(large)/3)
 			got := map[string]string{}
 			for _, c := range out.Updates[0].Changes {
@@ -59,11 +59,11 @@
 				require.Equal(t, string(large), got[keys+"config"])
 			}
 		}
-		w.requireConverged() // a hub in the same process passes the value uncompressed
+		tc.requireConverged() // a hub in the same process passes the value uncompressed
 		larger := append(large, large...)
-		w.put("config", string(larger))
+		tc.put("config", string(larger))
 		time.Sleep(watchDelay)
-		out, _ := serveAndUnpack(t, w, 2)
+		out, _ := serveAndUnpack(t, tc, 2)
 		require.Len(t, out.Updates[0].Changes, 1)
 		require.True(t, bytes.Equal(larger, out.Updates[0].Changes[0].Value), "must not be the previous packed value")
 	})
--- a/coord/relay/relay_test.go
+++ b/coord/relay/relay_test.go
@@ -19,17 +19,17 @@
 // Guards against followers that watch the store themselves: with nine followers, only the two
 // relays have watch calls at the store.
 func TestFollowersAskTheirRelaysOnly(t *testing.T) {
-	withCluster(t, 2, 9, func(w *testCluster) {
+	withCluster(t, 2, 9, func(tc *testCluster) {
 		time.Sleep(5 * time.Second)
 		for n := range 20 {
-			w.put(fmt.Sprint(n%3), fmt.Sprint("value ", n))
+			tc.put(fmt.Sprint(n%3), fmt.Sprint("value ", n))
 			time.Sleep(100 * time.Millisecond)
 		}
-		w.remove("1")
+		tc.remove("1")
 		time.Sleep(watchDelay)
-		w.requireConverged()
-		require.EqualValues(t, 2, w.store.Calls().Watches, "one per relay")
-		for _, h := range w.hubs {
+		tc.requireConverged()
+		require.EqualValues(t, 2, tc.store.Calls().Watches, "one per relay")
+		for _, h := range tc.hubs {
 			require.NotZero(t, h.State().Waiting)
 		}
 	})
@@ -39,16 +39,16 @@
 // reset: they must receive changes from the other relay within 1.5 s, without a reported loss of
 // the store.
 func TestSilentRelayIsAbandoned(t *testing.T) {
-	withCluster(t, 2, 2, func(w *testCluster) {
+	withCluster(t, 2, 2, func(tc *testCluster) {
 		time.Sleep(5 * time.Second)
-		w.put("a", "1")
-		for _, conns := range w.hubConns {
+		tc.put("a", "1")
+		for _, conns := range tc.hubConns {
 			conns[0].silent.Store(true)
 		}
-		w.put("a", "2")
+		tc.put("a", "2")
 		time.Sleep(1500 * time.Millisecond)
-		w.requireConverged()
-		for _, c := range w.copies {
+		tc.requireConverged()
+		for _, c := range tc.copies {
 			_, losses := c.lossState()
 			require.Zero(t, losses)
 		}
@@ -59,17 +59,17 @@
 // changes in that moment. Followers must receive the change from the store itself within the 2 s in
 // which changes must take effect: only the first relay may take the whole time of a waiting poll.
 func TestTwoSilentRelays(t *testing.T) {
-	withCluster(t, 2, 2, func(w *testCluster) {
+	withCluster(t, 2, 2, func(tc *testCluster) {
 		time.Sleep(5 * time.Second)
-		w.put("a", "1")
+		tc.put("a", "1")
 		time.Sleep(watchDelay)
-		for _, conns := range w.hubConns {
+		for _, conns := range tc.hubConns {
 			conns[0].silent.Store(true)
 			conns[1].silent.Store(true)
 		}
-		w.put("a", "2")
+		tc.put("a", "2")
 		time.Sleep(1900 * time.Millisecond)
-		w.requireConverged()
+		tc.requireConverged()
 	})
 }
 
@@ -77,24 +77,24 @@
 // the relay must report the loss before that call times out. Its followers, which can reach the
 // store, must receive changes within 2 s.
 func TestRelayThatLostTheStoreSilently(t *testing.T) {
-	withCluster(t, 2, 2, func(w *testCluster) {
+	withCluster(t, 2, 2, func(tc *testCluster) {
 		time.Sleep(5 * time.Second)
-		w.storeConns[0].silent.Store(true)
-		w.put("a", "1")
+		tc.storeConns[0].silent.Store(true)
+		tc.put("a", "1")
 		time.Sleep(2 * time.Second)
-		w.requireConverged()
+		tc.requireConverged()
 	})
 }
 
 // Guards against a follower that depends on its own connection to the store: it loses the store,
 // the relays do not, and it must still receive changes.
 func TestFollowerWithoutTheStore(t *testing.T) {
-	withCluster(t, 1, 1, func(w *testCluster) {
+	withCluster(t, 1, 1, func(tc *testCluster) {
 		time.Sleep(5 * time.Second)
-		w.storeConns[1].cut.Store(true)
-		w.put("a", "1")
+		tc.storeConns[1].cut.Store(true)
+		tc.put("a", "1")
 		time.Sleep(watchDelay)
-		w.requireConverged()
+		tc.requireConverged()
 	})
 }
 
@@ -102,22 +102,22 @@
 // relays lose the store and the follower does not. It must follow the store itself and switch back
 // to its relay later.
 func TestRelaysWithoutTheStore(t *testing.T) {
-	withCluster(t, 2, 1, func(w *testCluster) {
+	withCluster(t, 2, 1, func(tc *testCluster) {
 		time.Sleep(5 * time.Second)
-		w.storeConns[0].cut.Store(true)
-		w.storeConns[1].cut.Store(true)
-		w.put("a", "1")
+		tc.storeConns[0].cut.Store(true)
+		tc.storeConns[1].cut.Store(true)
+		tc.put("a", "1")
 		time.Sleep(2 * time.Second)
-		w.requireConverged()
-		w.storeConns[0].cut.Store(false)
-		w.storeConns[1].cut.Store(false)
+		tc.requireConverged()
+		tc.storeConns[0].cut.Store(false)
+		tc.storeConns[1].cut.Store(false)
 		time.Sleep(20 * time.Second)
-		before := w.store.Calls().Watches
+		before := tc.store.Calls().Watches
 		time.Sleep(20 * time.Second)
-		w.put("a", "2")
+		tc.put("a", "2")
 		time.Sleep(watchDelay)
-		w.requireConverged()
-		require.Equal(t, before, w.store.Calls().Watches, "no new watch of the store")
+		tc.requireConverged()
+		require.Equal(t, before, tc.store.Calls().Watches, "no new watch of the store")
 	})
 }
 
@@ -125,33 +125,33 @@
 // keys change when it returns. Each follower must report the loss once and have all changes within
 // 1.5 s of the return. The nine followers must not call the store for that, only the two relays.
 func TestOutageOfTheStore(t *testing.T) {
-	withCluster(t, 2, 9, func(w *testCluster) {
+	withCluster(t, 2, 9, func(tc *testCluster) {
 		time.Sleep(5 * time.Second)
-		w.put("a", "1")
+		tc.put("a", "1")
 		time.Sleep(watchDelay)
-		for _, conn := range w.storeConns {
+		for _, conn := range tc.storeConns {
 			conn.cut.Store(true)
 		}
 		time.Sleep(8 * time.Second)
-		for i, c := range w.copies {
+		for i, c := range tc.copies {
 			lost, losses := c.lossState()
 			require.True(t, lost, "follower %d", i)
 			require.Equal(t, 1, losses)
-			require.Zero(t, w.storeConns[2+i].reads.Load(), "follower %d", i)
+			require.Zero(t, tc.storeConns[2+i].reads.Load(), "follower %d", i)
 		}
-		w.put("a", "2")
-		before := w.store.Calls().Watches
-		for _, conn := range w.storeConns[:2] {
+		tc.put("a", "2")
+		before := tc.store.Calls().Watches
+		for _, conn := range tc.storeConns[:2] {
 			conn.cut.Store(false)
 		}
 		time.Sleep(1500 * time.Millisecond)
-		w.requireConverged()
-		for _, c := range w.copies {
+		tc.requireConverged()
+		for _, c := range tc.copies {
 			lost, losses := c.lossState()
 			require.False(t, lost)
 			require.Equal(t, 1, losses)
 		}
-		require.EqualValues(t, 2, w.store.Calls().Watches-before)
+		require.EqualValues(t, 2, tc.store.Calls().Watches-before)
 	})
 }
 
@@ -172,15 +172,15 @@
 // were not read yet. Followers must get the keys with the relay's next read of the store, without a
 // reported loss: the missing keys were removed.
 func TestCompactedHistory(t *testing.T) {
-	withCluster(t, 1, 2, func(w *testCluster) {
-		w.put("a", "1")
+	withCluster(t, 1, 2, func(tc *testCluster) {
+		tc.put("a", "1")
 		time.Sleep(5 * time.Second)
-		w.put("b", "1")
-		w.remove("a")
-		w.store.Compact()
+		tc.put("b", "1")
+		tc.remove("a")
+		tc.store.Compact()
 		time.Sleep(time.Second)
-		w.requireConverged()
-		for _, c := range w.copies {
+		tc.requireConverged()
+		for _, c := range tc.copies {
 			_, losses := c.lossState()
 			require.LessOrEqual(t, losses, 1) // an interrupted watch counts as an outage
 		}
@@ -323,46 +323,46 @@
 func TestFollowersNeverGoBackAndConverge(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const relays, followers = 2, 3
-		var steps []func(w *testCluster)
+		var steps []func(tc *testCluster)
 		for n := range rapid.IntRange(5, 40).Draw(rt, "steps") {
 			i := rapid.IntRange(0, 99).Draw(rt, "which")
 			on := rapid.Bool().Draw(rt, "on")
 			pause := time.Duration(rapid.IntRange(0, 2500).Draw(rt, "pause ms")) * time.Millisecond
-			var step func(w *testCluster)
+			var step func(tc *testCluster)
 			switch rapid.SampledFrom([]string{"put", "put", "put", "remove", "compact", "store", "silence", "relay", "silent relay"}).Draw(rt, "what") {
 			case "put":
-				step = func(w *testCluster) { w.put(fmt.Sprint(i%4), fmt.Sprint("value ", n)) }
+				step = func(tc *testCluster) { tc.put(fmt.Sprint(i%4), fmt.Sprint("value ", n)) }
 			case "remove":
-				step = func(w *testCluster) { w.remove(fmt.Sprint(i % 4)) }
+				step = func(tc *testCluster) { tc.remove(fmt.Sprint(i % 4)) }
 			case "compact":
-				step = func(w *testCluster) { w.store.Compact() }
+				step = func(tc *testCluster) { tc.store.Compact() }
 			case "store":
-				step = func(w *testCluster) { w.storeConns[i%len(w.storeConns)].cut.Store(on) }
+				step = func(tc *testCluster) { tc.storeConns[i%len(tc.storeConns)].cut.Store(on) }
 			case "silence":
-				step = func(w *testCluster) { w.storeConns[i%len(w.storeConns)].silent.Store(on) }
+				step = func(tc *testCluster) { tc.storeConns[i%len(tc.storeConns)].silent.Store(on) }
 			case "relay":
-				step = func(w *testCluster) { w.hubConns[i%followers][i%relays].cut.Store(on) }
+				step = func(tc *testCluster) { tc.hubConns[i%followers][i%relays].cut.Store(on) }
 			case "silent relay":
-				step = func(w *testCluster) { w.hubConns[i%followers][i%relays].silent.Store(on) }
+				step = func(tc *testCluster) { tc.hubConns[i%followers][i%relays].silent.Store(on) }
 			}
 			steps = append(steps, step, func(*testCluster) { time.Sleep(pause) })
 		}
-		withCluster(t, relays, followers, func(w *testCluster) {
+		withCluster(t, relays, followers, func(tc *testCluster) {
 			for _, step := range steps {
-				step(w)
+				step(tc)
 			}
-			for _, conn := range w.storeConns {
+			for _, conn := range tc.storeConns {
 				conn.cut.Store(false)
 				conn.silent.Store(false)
 			}
-			for _, conns := range w.hubConns {
+			for _, conns := range tc.hubConns {
 				for _, conn := range conns {
 					conn.cut.Store(false)
 					conn.silent.Store(false)
 				}
 			}
 			time.Sleep(15 * time.Second)
-			w.requireConverged()
+			tc.requireConverged()
 		})
 	})
 }
--- a/coord/relay/world_test.go
+++ b/coord/relay/world_test.go
@@ -112,30 +112,30 @@
 	reads       atomic.Int64 // snapshots, failed ones included
 }
 
-func (w *connection) check(ctx context.Context) error {
-	if w.silent.Load() {
+func (c *connection) check(ctx context.Context) error {
+	if c.silent.Load() {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		<-ctx.Done()
 		return store.Error.Wrap(store.ErrUnknown)
 	}
-	if w.cut.Load() {
+	if c.cut.Load() {
 		return store.Error.Wrap(store.ErrUnknown)
 	}
 	return nil
 }
 
-func (w *connection) Snapshot(ctx context.Context, prefix string) ([]store.Item, store.Revision, error) {
-	w.reads.Add(1)
-	if err := w.check(ctx); err != nil {
+func (c *connection) Snapshot(ctx context.Context, prefix string) ([]store.Item, store.Revision, error) {
+	c.reads.Add(1)
+	if err := c.check(ctx); err != nil {
 		return nil, 0, err
 	}
-	return w.Store.Snapshot(ctx, prefix)
+	return c.Store.Snapshot(ctx, prefix)
 }
 
 // Watch ends when the connection is cut; a silent connection delivers no more events.
-func (w *connection) Watch(ctx context.Context, prefix string, after store.Revision) (<-chan store.Event, error) {
-	in, err := w.Store.Watch(ctx, prefix, after)
+func (c *connection) Watch(ctx context.Context, prefix string, after store.Revision) (<-chan store.Event, error) {
+	in, err := c.Store.Watch(ctx, prefix, after)
 	if err != nil {
 		return nil, err
 	}
@@ -143,7 +143,7 @@
 	go func() {
 		defer close(out)
 		for e := range in {
-			if err := w.check(ctx); err != nil {
+			if err := c.check(ctx); err != nil {
 				return
 			}
 			select {
@@ -171,45 +171,45 @@
 const keys = "k/"
 
 func newTestCluster(ctx context.Context, t *testing.T, relays, followers int) *testCluster {
-	w := &testCluster{t: t, ctx: ctx, store: memstore.New(), wg: &sync.WaitGroup{}}
+	tc := &testCluster{t: t, ctx: ctx, store: memstore.New(), wg: &sync.WaitGroup{}}
 	for range relays {
-		w.hubs = append(w.hubs, w.newHub())
+		tc.hubs = append(tc.hubs, tc.newHub())
 	}
 	for n := range followers {
-		local := w.newHub()
+		local := tc.newHub()
 		conns := make([]*connection, relays)
 		sources := []Source{}
 		for i := range conns {
 			conns[i] = &connection{}
-			sources = append(sources, Source{Name: fmt.Sprint("relay-", i), Follow: w.followThrough(conns[i], w.hubs[i])})
+			sources = append(sources, Source{Name: fmt.Sprint("relay-", i), Follow: tc.followThrough(conns[i], tc.hubs[i])})
 		}
-		w.hubConns = append(w.hubConns, conns)
-		conn := w.storeConns[len(w.storeConns)-1]
+		tc.hubConns = append(tc.hubConns, conns)
+		conn := tc.storeConns[len(tc.storeConns)-1]
 		sources = append(sources, Source{Name: "own", Follow: local.Follow, Usable: func(ctx context.Context) bool {
 			ctx, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
 			defer cancel()
 			return conn.check(ctx) == nil
 		}})
 		c := newCopy()
-		w.copies = append(w.copies, c)
+		tc.copies = append(tc.copies, c)
 		f := &Follower{Store: "s", Readers: map[string]mirror.Reader{keys: c}, Report: nopReporter{}, Now: time.Now,
 			Sources: func() []Source {
 				return append(sources[n%relays:relays:relays], append(sources[:n%relays:n%relays], sources[relays])...)
 			}}
-		w.wg.Go(func() { f.Run(ctx) })
+		tc.wg.Go(func() { f.Run(ctx) })
 	}
-	return w
+	return tc
 }
 
-func (w *testCluster) newHub() *Hub {
-	conn := &connection{Store: w.store}
-	w.storeConns = append(w.storeConns, conn)
+func (tc *testCluster) newHub() *Hub {
+	conn := &connection{Store: tc.store}
+	tc.storeConns = append(tc.storeConns, conn)
 	h := &Hub{Store: "s", Prefixes: []Prefix{{Name: keys, Store: conn, StaleAfter: 1600 * time.Millisecond}}, MaxFollowers: 10, Now: time.Now}
-	w.wg.Go(func() { h.Run(w.ctx) })
+	tc.wg.Go(func() { h.Run(tc.ctx) })
 	return h
 }
 
-func (w *testCluster) followThrough(conn *connection, h *Hub) func(context.Context, Request) (Reply, error) {
+func (tc *testCluster) followThrough(conn *connection, h *Hub) func(context.Context, Request) (Reply, error) {
 	return func(ctx context.Context, r Request) (Reply, error) {
 		if err := conn.check(ctx); err != nil {
 			return Reply{}, err
@@ -222,24 +222,24 @@
 	}
 }
 
-func (w *testCluster) put(key, value string) {
-	old, err := w.store.Get(w.ctx, keys+key)
-	require.NoError(w.t, err)
-	_, err = w.store.CompareAndSwap(w.ctx, keys+key, old.Revision, []byte(value), 0)
-	require.NoError(w.t, err)
+func (tc *testCluster) put(key, value string) {
+	old, err := tc.store.Get(tc.ctx, keys+key)
+	require.NoError(tc.t, err)
+	_, err = tc.store.CompareAndSwap(tc.ctx, keys+key, old.Revision, []byte(value), 0)
+	require.NoError(tc.t, err)
 }
 
-func (w *testCluster) remove(key string) {
-	old, err := w.store.Get(w.ctx, keys+key)
-	require.NoError(w.t, err)
+func (tc *testCluster) remove(key string) {
+	old, err := tc.store.Get(tc.ctx, keys+key)
+	require.NoError(tc.t, err)
 	if old.Revision != 0 {
-		require.NoError(w.t, w.store.Delete(w.ctx, keys+key, old.Revision))
+		require.NoError(tc.t, tc.store.Delete(tc.ctx, keys+key, old.Revision))
 	}
 }
 
-func (w *testCluster) values() map[string]string {
-	items, _, err := w.store.Snapshot(w.ctx, keys)
-	require.NoError(w.t, err)
+func (tc *testCluster) values() map[string]string {
+	items, _, err := tc.store.Snapshot(tc.ctx, keys)
+	require.NoError(tc.t, err)
 	out := map[string]string{}
 	for _, it := range items {
 		out[it.Key] = string(it.Value)
@@ -248,20 +248,20 @@
 }
 
 // withCluster runs a test on a testCluster in virtual time.
-func withCluster(t *testing.T, relays, followers int, test func(w *testCluster)) {
+func withCluster(t *testing.T, relays, followers int, test func(tc *testCluster)) {
 	virtualtime.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := newTestCluster(ctx, t, relays, followers)
-		defer w.wg.Wait()
+		tc := newTestCluster(ctx, t, relays, followers)
+		defer tc.wg.Wait()
 		defer cancel()
-		test(w)
+		test(tc)
 	})
 }
 
 // requireConverged requires that each copy equals the store and never went back.
-func (w *testCluster) requireConverged() {
-	for i, c := range w.copies {
-		require.Equal(w.t, w.values(), c.values(), "follower %d", i)
-		require.Empty(w.t, c.wentBack(), "follower %d", i)
+func (tc *testCluster) requireConverged() {
+	for i, c := range tc.copies {
+		require.Equal(tc.t, tc.values(), c.values(), "follower %d", i)
+		require.Empty(tc.t, c.wentBack(), "follower %d", i)
 	}
 }
--- a/coord/retrybudget/retrybudget.go
+++ b/coord/retrybudget/retrybudget.go
@@ -42,7 +42,7 @@
 	Allowed bool
 	// Balance is the number of retries that deposits of the process's own requests covered.
 	Balance float64
-	// ExtraUsed is the number of retries already taken from Part, the process's part of Extra.
+	// ExtraUsed is the number of retries already taken from ExtraShare, the process's part of Extra.
 	ExtraUsed, ExtraShare int
 }
 
--- a/coord/settlement/answers.go
+++ b/coord/settlement/answers.go
@@ -18,53 +18,53 @@
 	limits map[string]map[string]grant.ExposureLimits
 }
 
-func (w *AnswerCache) reportOf(lender, borrower string) (report grant.Borrowed, ok bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	report, ok = w.byLender[lender][borrower]
+func (c *AnswerCache) reportOf(lender, borrower string) (report grant.Borrowed, ok bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	report, ok = c.byLender[lender][borrower]
 	return report, ok
 }
 
 // setReport stores a borrower's report. A report without data does not replace one with data: the
 // next incarnation on a borrower's VM answers so when it is queried at the previous one's address.
-func (w *AnswerCache) setReport(lender, borrower string, report grant.Borrowed) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.byLender[lender][borrower].Known && !report.Known {
+func (c *AnswerCache) setReport(lender, borrower string, report grant.Borrowed) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.byLender[lender][borrower].Known && !report.Known {
 		return
 	}
-	if w.byLender == nil {
-		w.byLender = map[string]map[string]grant.Borrowed{}
+	if c.byLender == nil {
+		c.byLender = map[string]map[string]grant.Borrowed{}
 	}
-	if w.byLender[lender] == nil {
-		w.byLender[lender] = map[string]grant.Borrowed{}
+	if c.byLender[lender] == nil {
+		c.byLender[lender] = map[string]grant.Borrowed{}
 	}
-	w.byLender[lender][borrower] = report
+	c.byLender[lender][borrower] = report
 }
 
 // Forget drops all answers about a lender that is settled or can never be.
-func (w *AnswerCache) Forget(lender string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.byLender, lender)
-	delete(w.limits, lender)
+func (c *AnswerCache) Forget(lender string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.byLender, lender)
+	delete(c.limits, lender)
 }
 
-func (w *AnswerCache) limitsOf(lender, witness string) (limits grant.ExposureLimits, ok bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	limits, ok = w.limits[lender][witness]
+func (c *AnswerCache) limitsOf(lender, witness string) (limits grant.ExposureLimits, ok bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	limits, ok = c.limits[lender][witness]
 	return limits, ok
 }
 
-func (w *AnswerCache) setLimits(lender, witness string, limits grant.ExposureLimits) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.limits == nil {
-		w.limits = map[string]map[string]grant.ExposureLimits{}
+func (c *AnswerCache) setLimits(lender, witness string, limits grant.ExposureLimits) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.limits == nil {
+		c.limits = map[string]map[string]grant.ExposureLimits{}
 	}
-	if w.limits[lender] == nil {
-		w.limits[lender] = map[string]grant.ExposureLimits{}
+	if c.limits[lender] == nil {
+		c.limits[lender] = map[string]grant.ExposureLimits{}
 	}
-	w.limits[lender][witness] = limits
+	c.limits[lender][witness] = limits
 }
--- a/coord/settlement/settler.go
+++ b/coord/settlement/settler.go
@@ -39,9 +39,9 @@
 	Missing []string
 }
 
-// Settle removes the dead lender's rows from a page. With waitForRunning set it returns ErrNotYet
+// Settle removes the dead lender's rows from a page. With waitForRunning set it returns ErrUsagePending
 // while requests still run on the lender's lots, so that what they do not use is freed as well;
-// otherwise their reservations count as used. Its errors are ErrUnsettled, ErrNotYet and the
+// otherwise their reservations count as used. Its errors are ErrUsageUnknown, ErrUsagePending and the
 // store's; each of them leaves the rows unchanged.
 func (s *Settler) Settle(ctx context.Context, lender, page string, waitForRunning bool) (Settlement, error) {
 	sealed, err := s.seal(ctx, lender)
@@ -157,7 +157,7 @@
 }
 
 // seal seals the list and returns it. Without a list the lender's borrowers are unknown, since the
-// list may have been removed, so the result is ErrUnsettled.
+// list may have been removed, so the result is ErrUsageUnknown.
 func (s *Settler) seal(ctx context.Context, lender string) (borrowerList, error) {
 	var sealed borrowerList
 	_, err := store.Update(ctx, s.Store, s.Prefix+lender, func(old store.Item) ([]byte, error) {
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -227,15 +227,15 @@
 
 // Reject records that another process answered at the upstream's address: this incarnation has
 // ended, even if its entry remains.
-func (d *Directory) Reject(life Incarnation) {
+func (d *Directory) Reject(incarnation Incarnation) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, e := range d.entries {
-		if e.Incarnation == life && !e.rejected {
+		if e.Incarnation == incarnation && !e.rejected {
 			e.rejected = true
 			d.Report.UpstreamGone(e.Upstream, "another process answers at its address")
 		}
-		if e.supersededBy == life {
+		if e.supersededBy == incarnation {
 			e.supersededBy = Incarnation{}
 		}
 	}
--- a/directory/life.go
+++ b/directory/life.go
@@ -6,7 +6,7 @@
 // upstream may restart under the same id and has lost all its state then, so everything recorded
 // about an upstream belongs to one incarnation.
 //
-// Lives are compared for equality only. Their order follows from the revisions of the store, never
+// Incarnations are compared for equality only. Their order follows from the revisions of the store, never
 // from start times, since clocks step.
 type Incarnation struct {
 	// ID is the id under which the upstream is registered.
@@ -16,9 +16,9 @@
 }
 
 // String returns the form used in logs.
-func (l Incarnation) String() string {
-	if l.StartUnixMS == 0 {
-		return l.ID
+func (i Incarnation) String() string {
+	if i.StartUnixMS == 0 {
+		return i.ID
 	}
-	return fmt.Sprintf("%s@%d", l.ID, l.StartUnixMS)
+	return fmt.Sprintf("%s@%d", i.ID, i.StartUnixMS)
 }
--- a/gateway/announce.go
+++ b/gateway/announce.go
@@ -60,18 +60,18 @@
 	}
 }
 
-// ask implements pool.Pool's Ask.
-func (a *announcer) ask(address string, what prefill.Announcement) (told prefill.AnnounceReply, ok bool) {
-	ok = a.call(address, link.MethodAnnounce, what, &told)
-	return told, ok
+// ask implements pool.Pool's Announce.
+func (a *announcer) ask(address string, what prefill.Announcement) (reply prefill.AnnounceReply, ok bool) {
+	ok = a.call(address, link.MethodAnnounce, what, &reply)
+	return reply, ok
 }
 
 // withdraw implements pool.Pool's Withdraw. Nobody waits for it.
-func (a *announcer) withdraw(address string, what prefill.Announcement, told prefill.AnnounceReply) {
-	a.send(note{address: address, method: link.MethodWithdraw, message: link.Withdrawal{Announcement: what, Told: told}})
+func (a *announcer) withdraw(address string, what prefill.Announcement, reply prefill.AnnounceReply) {
+	a.send(note{address: address, method: link.MethodWithdraw, message: link.Withdrawal{Announcement: what, Told: reply}})
 }
 
-// readElsewhere implements pool.Pool's ReadElsewhere. Nobody waits for it.
+// readElsewhere implements pool.Pool's ReportRemotePrefill. Nobody waits for it.
 func (a *announcer) readElsewhere(address string, what prefill.RemotePrefill) {
 	a.send(note{address: address, method: link.MethodReadElsewhere, message: what})
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -68,15 +68,15 @@
 	meter    linkMeter
 	lag      *admission.Lag
 
-	catalog   catalog.Current
-	operators *operatorReader
-	directory *directory.Directory
-	pool      *pool.Pool
-	beside    *announcer
-	repeats   *repeats
-	prompts   *promptGuard
-	path      *serving.Dispatcher
-	metrics   *gatewayMetrics
+	catalog    catalog.Current
+	operators  *operatorReader
+	directory  *directory.Directory
+	pool       *pool.Pool
+	beside     *announcer
+	repeats    *repeats
+	prompts    *promptGuard
+	dispatcher *serving.Dispatcher
+	metrics    *gatewayMetrics
 
 	// What is followed in the store.
 	configuration, upstreamEntries hosted.Dependency
@@ -126,7 +126,7 @@
 		ColdShare:           g.shareOfCold,
 		Now:                 time.Now,
 	}
-	g.path = &serving.Dispatcher{
+	g.dispatcher = &serving.Dispatcher{
 		Upstreams:   &upstreams{Pool: g.pool, transport: newTransport(g.Network, s.Upstreams)},
 		Budgets:     g.Budgets,
 		RetryBudget: g.repeats,
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -188,7 +188,7 @@
 func (v *visit) serve(w http.ResponseWriter, req *http.Request) {
 	g := v.gateway
 	out := serving.NewHTTPCaller(w, time.Duration(g.current.Load().Limits.WriteTimeout), v.request.Route.Kind == catalog.Streaming)
-	end := g.path.Serve(req.Context(), v.request, out)
+	end := g.dispatcher.Serve(req.Context(), v.request, out)
 	if end.Refusal != nil {
 		v.logEnd(end, end.Refusal.Kind.Answer().Status, 0)
 		v.answer(w, end.Refusal)
@@ -217,17 +217,17 @@
 }
 
 // logEnd writes the one line that tells what became of a request, and why.
-func (v *visit) logEnd(end serving.Outcome, status int, first time.Duration) {
+func (v *visit) logEnd(outcome serving.Outcome, status int, first time.Duration) {
 	g, r := v.gateway, v.request
 	took := time.Since(r.Arrived)
-	g.metrics.ended(r, end, took)
+	g.metrics.ended(r, outcome, took)
 	line := g.Log.Info().Str("id", r.ID).Str("team", r.Team).Str("route", r.Route.Name).
 		Str("service", r.Service.Name).Int64("version", r.Version).Int("status", status).
 		Int64("first_ms", first.Milliseconds()).Int64("took_ms", took.Milliseconds()).Int64("left_ms", time.Until(r.Deadline).Milliseconds()).
-		Int64("reserved", r.MaxTokens()).Int64("used", end.Used).Bool("cut", end.Truncated)
-	line = line.Str("attempts", history(end.Attempts))
-	if end.Refusal != nil {
-		line = line.Str("kind", string(end.Refusal.Kind)).Str("refusal", end.Refusal.Message).Str("asked", end.Refusal.Detail)
+		Int64("reserved", r.MaxTokens()).Int64("used", outcome.Used).Bool("cut", outcome.Truncated)
+	line = line.Str("attempts", history(outcome.Attempts))
+	if outcome.Refusal != nil {
+		line = line.Str("kind", string(outcome.Refusal.Kind)).Str("refusal", outcome.Refusal.Message).Str("asked", outcome.Refusal.Detail)
 	}
 	line.Msg("request")
 }
@@ -242,9 +242,9 @@
 			b.WriteString("; ")
 		}
 		fmt.Fprintf(&b, "%s [%d ms, %d tokens] %s", a.Upstream, a.Cost.Milliseconds(), a.PendingPrefill, a.Result)
-		if p := a.Pause; p.Duration > 0 {
+		if gap := a.Gap; gap.Duration > 0 {
 			fmt.Fprintf(&b, ", longest pause %d ms beside %d requests with %d unread tokens",
-				p.Duration.Milliseconds(), p.ConcurrentLoad.Running, p.ConcurrentLoad.PendingPrefill)
+				gap.Duration.Milliseconds(), gap.ConcurrentLoad.Running, gap.ConcurrentLoad.PendingPrefill)
 		}
 		if a.Detail != "" {
 			b.WriteString(" (" + a.Detail + ")")
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -28,34 +28,34 @@
 }
 
 // Report implements pool.Limits.
-func (l limits) Report(address string, born int64, w ratelimit.NamedLimit, known func(ratelimit.State)) {
+func (l limits) Report(address string, born int64, n ratelimit.NamedLimit, known func(ratelimit.State)) {
 	var answer ratelimit.State
-	l.g.beside.send(note{address: address, method: link.MethodLimit, message: link.LimitNamed{Born: born, Word: w},
+	l.g.beside.send(note{address: address, method: link.MethodLimit, message: link.LimitNamed{Born: born, Word: n},
 		answer: &answer, answered: func() { known(answer) }})
 }
 
 // Changed implements pool.Limits.
-func (l limits) Changed(life directory.Incarnation, was, now float64, from pool.LimitSource) {
-	l.g.Log.Info().Stringer("upstream", life).Float64("was_per_second", was).Float64("per_second", now).Str("from", string(from)).
+func (l limits) Changed(incarnation directory.Incarnation, was, now float64, from pool.LimitSource) {
+	l.g.Log.Info().Stringer("upstream", incarnation).Float64("was_per_second", was).Float64("per_second", now).Str("from", string(from)).
 		Msg("upstream_limit")
 }
 
 // Unparsable implements pool.Limits.
-func (l limits) Unparsable(life directory.Incarnation, err error, again bool) {
+func (l limits) Unparsable(incarnation directory.Incarnation, err error, again bool) {
 	l.g.metrics.limitUnreadable()
 	if again {
 		return // one line for each text
 	}
-	l.g.Log.Warn().Stringer("upstream", life).Err(err).Msg("upstream_limit_unreadable")
+	l.g.Log.Warn().Stringer("upstream", incarnation).Err(err).Msg("upstream_limit_unreadable")
 }
 
 // Limited implements pool.Limits.
-func (l limits) Limited(r *serving.Request, h pool.LimitedChoice) {
+func (l limits) Limited(r *serving.Request, c pool.LimitedChoice) {
 	chosen := ""
-	if h.Chosen != nil {
-		chosen = h.Chosen.String()
+	if c.Chosen != nil {
+		chosen = c.Chosen.String()
 	}
-	l.g.metrics.heldByLimits(r.Service.Name, h.Chosen != nil)
-	l.g.Log.Info().Str("id", r.ID).Str("service", r.Service.Name).Int("rank", r.Rank).Int("held", h.Limited).Int("of", h.Eligible).
-		Str("chosen", chosen).Int64("next_ms", h.RetryAfter.Milliseconds()).Msg("held_by_limits")
+	l.g.metrics.heldByLimits(r.Service.Name, c.Chosen != nil)
+	l.g.Log.Info().Str("id", r.ID).Str("service", r.Service.Name).Int("rank", r.Rank).Int("held", c.Limited).Int("of", c.Eligible).
+		Str("chosen", chosen).Int64("next_ms", c.RetryAfter.Milliseconds()).Msg("held_by_limits")
 }
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -69,17 +69,17 @@
 }
 
 // ended counts the end of a request that came onto the path.
-func (m *gatewayMetrics) ended(r *serving.Request, e serving.Outcome, took time.Duration) {
+func (m *gatewayMetrics) ended(r *serving.Request, o serving.Outcome, took time.Duration) {
 	service := r.Service.Name
-	if e.Refusal != nil {
-		m.refused(e.Refusal.Kind)
+	if o.Refusal != nil {
+		m.refused(o.Refusal.Kind)
 	}
-	for _, a := range e.Attempts {
+	for _, a := range o.Attempts {
 		m.set.GetOrCreateCounter(fmt.Sprintf("arbutusmill_gateway_attempts_total{service=%q,result=%q}", service, a.Result)).Inc()
-		if a.Pause.Duration > 0 {
-			m.set.GetOrCreateHistogram(fmt.Sprintf("arbutusmill_gateway_longest_pause_seconds{service=%q}", service)).Update(a.Pause.Duration.Seconds())
+		if a.Gap.Duration > 0 {
+			m.set.GetOrCreateHistogram(fmt.Sprintf("arbutusmill_gateway_longest_pause_seconds{service=%q}", service)).Update(a.Gap.Duration.Seconds())
 		}
 	}
-	m.set.GetOrCreateCounter(fmt.Sprintf("arbutusmill_gateway_used_tokens_total{team=%q}", r.Team)).Add(int(e.Used))
+	m.set.GetOrCreateCounter(fmt.Sprintf("arbutusmill_gateway_used_tokens_total{team=%q}", r.Team)).Add(int(o.Used))
 	m.set.GetOrCreateHistogram(fmt.Sprintf("arbutusmill_gateway_request_duration_seconds{service=%q}", service)).Update(took.Seconds())
 }
--- a/gateway/prompts.go
+++ b/gateway/prompts.go
@@ -26,7 +26,7 @@
 	lapsePause = time.Second
 )
 
-// promptGuard implements serving.Poison. The load that it answers: one prompt ends each engine
+// promptGuard implements serving.PromptGuard. The load that it answers: one prompt ends each engine
 // that runs it, its caller and others bring it again through all routers, and what runs beside it
 // is cut each time.
 //
@@ -90,7 +90,7 @@
 	return p.register.Known(time.Now(), poison.Identify(r)).ForService(r.Service.Name)
 }
 
-// Refuse implements serving.Poison.
+// Refuse implements serving.PromptGuard.
 func (p *promptGuard) Refuse(ctx context.Context, r *serving.Request) *contract.Refusal {
 	known := p.known(r)
 	switch known.Standing() {
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// Proven implements serving.Poison.
+// Proven implements serving.PromptGuard.
 func (p *promptGuard) Proven(r *serving.Request) *contract.Refusal {
 	known := p.known(r)
 	if known.Standing() != poison.Proven {
@@ -148,7 +148,7 @@
 	return refusal
 }
 
-// RecordAnswer implements serving.Poison.
+// RecordAnswer implements serving.PromptGuard.
 func (p *promptGuard) RecordAnswer(r *serving.Request) {
 	if p.register.Empty() {
 		return
@@ -168,7 +168,7 @@
 		toAll: known.Standing() >= poison.OnTrial})
 }
 
-// ConnectionBroken implements serving.Poison. Nobody waits after the first break under a prompt: its second
+// ConnectionBroken implements serving.PromptGuard. Nobody waits after the first break under a prompt: its second
 // try is let through whatever the look shows.
 func (p *promptGuard) ConnectionBroken(ctx context.Context, r *serving.Request, attempts []serving.Attempt) {
 	b := brokenAttempt{request: r, attempt: attempts[len(attempts)-1]}
@@ -208,8 +208,8 @@
 	if state != upstreamEnded {
 		return
 	}
-	end := poison.Crash{Upstream: b.attempt.Upstream.String(), Service: b.request.Service.Name}
-	mine, news := p.add(poison.Evidence{Prompt: prompt, Crashes: []poison.Crash{end}})
+	crash := poison.Crash{Upstream: b.attempt.Upstream.String(), Service: b.request.Service.Name}
+	mine, news := p.add(poison.Evidence{Prompt: prompt, Crashes: []poison.Crash{crash}})
 	decideHere := func(context.Context, poison.Evidence) (poison.Evidence, error) {
 		p.decided(mine, news)
 		return mine, nil
--- a/gateway/recall.go
+++ b/gateway/recall.go
@@ -60,7 +60,7 @@
 	return out
 }
 
-// TrackSend implements serving.Poison. Requests without parts are not recalled: they are short.
+// TrackSend implements serving.PromptGuard. Requests without parts are not recalled: they are short.
 func (p *promptGuard) TrackSend(ctx context.Context, r *serving.Request) (sending context.Context, began, done func()) {
 	if len(r.Parts) == 0 {
 		return ctx, func() {}, func() {}
--- a/gateway/repeats.go
+++ b/gateway/repeats.go
@@ -8,7 +8,7 @@
 	"github.com/arbutusmill/arbutusmill/serving"
 )
 
-// repeats implements serving.Repeats with a budget for each service.
+// repeats implements serving.RetryBudget with a budget for each service.
 type repeats struct {
 	rule func() retrybudget.Rule
 	// share is this router's part in what all routers share.
@@ -20,10 +20,10 @@
 	services map[string]*retrybudget.Budget
 }
 
-// Request implements serving.Repeats.
+// Request implements serving.RetryBudget.
 func (r *repeats) Request(service string) { r.of(service).RecordRequest(time.Now(), r.rule()) }
 
-// Allow implements serving.Repeats.
+// Allow implements serving.RetryBudget.
 func (r *repeats) Allow(request *serving.Request) bool {
 	share := r.share()
 	d := r.of(request.Service.Name).TryRetry(time.Now(), r.rule(), share)
--- a/gateway/report.go
+++ b/gateway/report.go
@@ -69,8 +69,8 @@
 }
 
 // engineExposed logs that an engine is left to short prompts, or not any more.
-func (g *Gateway) engineExposed(life directory.Incarnation, exposed bool, heldUp, slowness float64) {
-	g.Log.Info().Stringer("upstream", life).Bool("exposed", exposed).Float64("pause_of_goal", heldUp).Float64("slowness", slowness).
+func (g *Gateway) engineExposed(incarnation directory.Incarnation, exposed bool, heldUp, slowness float64) {
+	g.Log.Info().Stringer("upstream", incarnation).Bool("exposed", exposed).Float64("pause_of_goal", heldUp).Float64("slowness", slowness).
 		Msg("engine_left_to_short_prompts")
 }
 
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -92,7 +92,7 @@
 }
 
 func (x *exchange) attempt(result serving.Result, format string, args ...any) serving.Attempt {
-	a := serving.Attempt{Upstream: x.target.Life, Result: result, Detail: fmt.Sprintf(format, args...)}
+	a := serving.Attempt{Upstream: x.target.Incarnation, Result: result, Detail: fmt.Sprintf(format, args...)}
 	if !result.NotRun() {
 		a.Began = true
 		a.Output = x.output(result)
--- a/lender/lender.go
+++ b/lender/lender.go
@@ -142,19 +142,19 @@
 
 // announce takes a prompt that a router sends to the upstream beside.
 func (l *Lender) announce(_ context.Context, in prefill.Announcement) (prefill.AnnounceReply, error) {
-	told := l.engine.Announce(time.Now(), in)
-	l.announced(told)
-	l.limitKnown(told.Limit)
-	return told, nil
+	reply := l.engine.Announce(time.Now(), in)
+	l.announced(reply)
+	l.limitKnown(reply.Limit)
+	return reply, nil
 }
 
 // announced counts a prompt by whether it may go to the upstream.
-func (l *Lender) announced(told prefill.AnnounceReply) {
+func (l *Lender) announced(reply prefill.AnnounceReply) {
 	result := "taken"
 	switch {
-	case told.Denied && told.RetryAfter > 0:
+	case reply.Denied && reply.RetryAfter > 0:
 		result = "beyond_limit"
-	case told.Denied:
+	case reply.Denied:
 		result = "beyond_cold"
 	}
 	l.Metrics.GetOrCreateCounter(fmt.Sprintf("arbutusmill_lender_announced_prompts_total{result=%q}", result)).Inc()
@@ -168,10 +168,10 @@
 }
 
 // limitKnown logs when what is known of the upstream's limit has changed.
-func (l *Lender) limitKnown(k ratelimit.State) {
-	if was := l.loggedLimit.Swap(math.Float64bits(k.PerSecond)); was != math.Float64bits(k.PerSecond) {
-		l.Log.Info().Float64("was_per_second", math.Float64frombits(was)).Float64("per_second", k.PerSecond).
-			Int64("number", k.Mark.Number).Msg("upstream_limit")
+func (l *Lender) limitKnown(s ratelimit.State) {
+	if was := l.loggedLimit.Swap(math.Float64bits(s.PerSecond)); was != math.Float64bits(s.PerSecond) {
+		l.Log.Info().Float64("was_per_second", math.Float64frombits(was)).Float64("per_second", s.PerSecond).
+			Int64("number", s.Mark.Number).Msg("upstream_limit")
 	}
 }
 
--- a/link/messages.go
+++ b/link/messages.go
@@ -22,7 +22,7 @@
 	// MethodLimits brings a lender's limits of exposure to a witness: settlement.Notice, Empty.
 	MethodLimits = "budget.limits"
 	// MethodTestify asks a witness for a dead lender's limits: LimitsRequest,
-	// settlement.Testimony.
+	// settlement.WitnessAnswer.
 	MethodTestify = "budget.testify"
 	// MethodWatermarks asks how far rows are reported durably:
 	// WatermarkRequest, WatermarkReply.
@@ -34,15 +34,15 @@
 // Methods of processes beside engines.
 const (
 	// MethodAnnounce tells of a prompt that is sent to the engine:
-	// prefill.Announcement, prefill.Told.
+	// prefill.Announcement, prefill.AnnounceReply.
 	MethodAnnounce = "upstream.announce"
 	// MethodWithdraw takes an announcement back: Withdrawal, Empty.
 	MethodWithdraw = "upstream.withdraw"
 	// MethodLimit tells what an answer of the engine said of the requests a second that it takes, and
-	// asks what is known: LimitNamed, ratelimit.Known.
+	// asks what is known: LimitNamed, ratelimit.State.
 	MethodLimit = "upstream.limit"
 	// MethodReadElsewhere tells the process beside the engine that prompts with a shared part
-	// prefer that another engine reads it: prefill.Elsewhere, Empty.
+	// prefer that another engine reads it: prefill.RemotePrefill, Empty.
 	MethodReadElsewhere = "upstream.read_elsewhere"
 )
 
@@ -93,7 +93,7 @@
 
 // LimitNamed is what an answer of an engine's life said.
 type LimitNamed struct {
-	// Born is the start of that life; see directory.Life.
+	// Born is the start of that life; see directory.Incarnation.
 	Born int64                `json:"born,omitempty"`
 	Word ratelimit.NamedLimit `json:"word"`
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -18,8 +18,8 @@
 
 // Upstream is one candidate and its state as known to the router.
 type Upstream struct {
-	Life       directory.Incarnation
-	Datacentre string
+	Incarnation directory.Incarnation
+	Datacentre  string
 	// Slots is the number of requests that it runs at once.
 	Slots int
 	// Running is the number of this router's requests there that have not ended.
@@ -28,7 +28,7 @@
 	// whose first event has not arrived, without those probably cached.
 	PendingPrefill int64
 	// Reply is its lender's reply to the announcement of the request's prompt; nil if there
-	// is none. It overrides Unread and Cached, which are this router's own estimates.
+	// is none. It overrides PendingPrefill and Cached, which are this router's own estimates.
 	Reply *prefill.AnnounceReply
 	// Cached is how many leading tokens of the request's prompt it probably has
 	// cached, estimated from what this router sent there.
@@ -211,7 +211,7 @@
 	return float64(u.PendingPrefill) + avg.unread*rates.otherRouters()
 }
 
-// reportedBacklog returns the backlog for Choice.Before.
+// reportedBacklog returns the backlog for Choice.Backlog.
 func (u Upstream) reportedBacklog() int64 {
 	if u.Reply == nil {
 		return -1
@@ -290,11 +290,11 @@
 	}
 	ids := make([]string, len(usable))
 	for k, i := range usable {
-		ids[k] = ups[i].Life.ID
+		ids[k] = ups[i].Incarnation.ID
 	}
 	id := rendezvous.Pick(key, ids)
 	for _, i := range usable {
-		if ups[i].Life.ID == id {
+		if ups[i].Incarnation.ID == id {
 			return i
 		}
 	}
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -18,7 +18,7 @@
 func engines(n int) []Upstream {
 	out := make([]Upstream, n)
 	for i := range out {
-		out[i] = Upstream{Life: directory.Incarnation{ID: fmt.Sprint("e", i)}, Datacentre: "bergen", Slots: 64}
+		out[i] = Upstream{Incarnation: directory.Incarnation{ID: fmt.Sprint("e", i)}, Datacentre: "bergen", Slots: 64}
 	}
 	return out
 }
@@ -36,14 +36,14 @@
 	ups := engines(12)
 	ids := make([]string, len(ups))
 	for i, u := range ups {
-		ids[i] = u.Life.ID
+		ids[i] = u.Incarnation.ID
 	}
 	tie := seededTie()
 	for s := range 50 {
 		subject := fmt.Sprint("s", s)
 		c, ok := Choose(prompt(subject), ups, rates, tie)
 		require.True(t, ok)
-		require.Equal(t, rendezvous.Pick(subject, ids), ups[c.Index].Life.ID)
+		require.Equal(t, rendezvous.Pick(subject, ids), ups[c.Index].Incarnation.ID)
 		require.Equal(t, -1, c.FetchFrom)
 	}
 }
--- a/poison/register.go
+++ b/poison/register.go
@@ -243,14 +243,14 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for p, known := range r.records {
-		l := StandingChange{Prompt: p, Was: known.lastStanding, Now: known.standing(now)}
-		known.lastStanding = l.Now
+		c := StandingChange{Prompt: p, Was: known.lastStanding, Now: known.standing(now)}
+		known.lastStanding = c.Now
 		if known.expired(now) {
-			l.Now = Clear
+			c.Now = Clear
 			delete(r.records, p)
 		}
-		if l.Was >= OnTrial && l.Now != l.Was {
-			lapsed = append(lapsed, l)
+		if c.Was >= OnTrial && c.Now != c.Was {
+			lapsed = append(lapsed, c)
 		}
 	}
 	return lapsed
--- a/pool/choose.go
+++ b/pool/choose.go
@@ -35,7 +35,7 @@
 		}
 		if target, ok := p.beginAttempt(c, choice); ok {
 			c.notifyPreferred(choice)
-			c.reportHeld(&target.Life)
+			c.reportHeld(&target.Incarnation)
 			return target, true
 		}
 	}
@@ -61,16 +61,16 @@
 	rates placement.Rates
 	// granted is set when the chosen upstream's lender has admitted the prompt.
 	granted bool
-	// held counts the upstreams excluded by limits, denied those among them whose lender denied
+	// limited counts the upstreams excluded by limits, denied those among them whose lender denied
 	// the prompt.
-	held   LimitedChoice
-	denied int
+	limited LimitedChoice
+	denied  int
 }
 
 func (p *Pool) candidates(r *serving.Request, attempts []serving.Attempt) *candidates {
 	ups := p.eligible(r, attempts)
 	views, held := p.views(r, ups)
-	return &candidates{pool: p, r: r, ups: ups, views: views, held: held, rates: p.rates(r)}
+	return &candidates{pool: p, r: r, ups: ups, views: views, limited: held, rates: p.rates(r)}
 }
 
 // eligible returns the upstreams of the request's service in its allowed regions, without those
@@ -149,7 +149,7 @@
 	c.pool.adoptLimit(u.Incarnation, reply.Limit)
 	if reply.Denied && reply.RetryAfter > 0 {
 		c.pool.recordDenial(u.Incarnation, c.r.Rank, reply.RetryAfter)
-		c.held.add(reply.RetryAfter)
+		c.limited.add(reply.RetryAfter)
 		c.countLimitDenial()
 	}
 	return reply.Denied
@@ -174,9 +174,9 @@
 
 // reportHeld reports a choice in which limits excluded upstreams.
 func (c *candidates) reportHeld(chosen *directory.Incarnation) {
-	if c.held.Limited > 0 {
-		c.held.Chosen = chosen
-		c.pool.Limits.Limited(c.r, c.held)
+	if c.limited.Limited > 0 {
+		c.limited.Chosen = chosen
+		c.pool.Limits.Limited(c.r, c.limited)
 	}
 }
 
@@ -186,7 +186,7 @@
 		return
 	}
 	for i := range c.views {
-		if v := &c.views[i]; v.Life == reply.RemoteEngine {
+		if v := &c.views[i]; v.Incarnation == reply.RemoteEngine {
 			v.Cached = max(v.Cached, reply.RemoteTokens)
 		}
 	}
--- a/pool/limit.go
+++ b/pool/limit.go
@@ -17,7 +17,7 @@
 	Share(upstream string, perSecond float64) float64
 	// Report reports to the lender of the upstream at an address the limit that the incarnation started
 	// at born stated. known is called with the lender's state, if it answers.
-	Report(address string, born int64, w ratelimit.NamedLimit, known func(ratelimit.State))
+	Report(address string, born int64, n ratelimit.NamedLimit, known func(ratelimit.State))
 	// Changed is called when a known limit has changed, in requests per second; 0 is none. from is the
 	// source of the new value.
 	Changed(incarnation directory.Incarnation, was, now float64, from LimitSource)
@@ -25,7 +25,7 @@
 	// failed in the same way. The limit stated before stays in force.
 	Unparsable(incarnation directory.Incarnation, err error, again bool)
 	// Limited is called for each choice in which limits excluded upstreams.
-	Limited(r *serving.Request, h LimitedChoice)
+	Limited(r *serving.Request, c LimitedChoice)
 }
 
 // LimitSource is the source of a limit.
@@ -48,10 +48,10 @@
 }
 
 // add counts one more excluded upstream, which may have capacity after next; 0 is unknown.
-func (h *LimitedChoice) add(next time.Duration) {
-	h.Limited++
-	if next > 0 && (h.RetryAfter == 0 || next < h.RetryAfter) {
-		h.RetryAfter = next
+func (c *LimitedChoice) add(next time.Duration) {
+	c.Limited++
+	if next > 0 && (c.RetryAfter == 0 || next < c.RetryAfter) {
+		c.RetryAfter = next
 	}
 }
 
@@ -63,14 +63,14 @@
 const maxLimitDenials = 2
 
 // observeLimit records the limit that an upstream's answer states.
-func (p *Pool) observeLimit(r *attempt, perSecond float64, err error) {
+func (p *Pool) observeLimit(att *attempt, perSecond float64, err error) {
 	if err != nil {
-		p.Limits.Unparsable(r.upstream, err, p.sameLimitError(r.upstream, err.Error()))
+		p.Limits.Unparsable(att.upstream, err, p.sameLimitError(att.upstream, err.Error()))
 		return
 	}
-	report := ratelimit.NamedLimit{PerSecond: perSecond, KnownMark: r.limitMark}
+	report := ratelimit.NamedLimit{PerSecond: perSecond, KnownMark: att.limitMark}
 	p.mu.Lock()
-	s := p.stateLocked(r.upstream)
+	s := p.stateLocked(att.upstream)
 	s.limitError = ""
 	was := s.limiter.State().PerSecond
 	changed := s.limiter.ObserveLocal(p.Now(), report)
@@ -78,8 +78,8 @@
 	if !changed {
 		return
 	}
-	p.Limits.Changed(r.upstream, was, perSecond, FromAnswer)
-	p.Limits.Report(r.address, r.upstream.StartUnixMS, report, func(k ratelimit.State) { p.adoptLimit(r.upstream, k) })
+	p.Limits.Changed(att.upstream, was, perSecond, FromAnswer)
+	p.Limits.Report(att.address, att.upstream.StartUnixMS, report, func(reported ratelimit.State) { p.adoptLimit(att.upstream, reported) })
 }
 
 // sameLimitError records why a limit cannot be parsed, and reports whether the previous one failed
@@ -94,17 +94,17 @@
 }
 
 // adoptLimit takes over the limit that an upstream's lender reports.
-func (p *Pool) adoptLimit(incarnation directory.Incarnation, k ratelimit.State) {
-	if k.Mark.Source == 0 {
+func (p *Pool) adoptLimit(incarnation directory.Incarnation, reported ratelimit.State) {
+	if reported.Mark.Source == 0 {
 		return // the lender reports no limits
 	}
 	p.mu.Lock()
 	s := p.stateLocked(incarnation)
 	was := s.limiter.State().PerSecond
-	changed := s.limiter.Adopt(p.Now(), k)
+	changed := s.limiter.Adopt(p.Now(), reported)
 	p.mu.Unlock()
 	if changed {
-		p.Limits.Changed(incarnation, was, k.PerSecond, FromLender)
+		p.Limits.Changed(incarnation, was, reported.PerSecond, FromLender)
 	}
 }
 
--- a/pool/pace.go
+++ b/pool/pace.go
@@ -23,21 +23,21 @@
 }
 
 // observe records an event, and reports whether a report is due.
-func (p *eventIntervals) observe(now time.Time) bool {
-	if p.events == 0 {
-		p.reportedAt = now
+func (e *eventIntervals) observe(now time.Time) bool {
+	if e.events == 0 {
+		e.reportedAt = now
 	}
-	oldest := &p.recent[p.events%intervalWindow]
-	if p.events >= intervalWindow {
-		if mean := now.Sub(*oldest) / intervalWindow; p.minMean == 0 || mean < p.minMean {
-			p.minMean = mean
+	oldest := &e.recent[e.events%intervalWindow]
+	if e.events >= intervalWindow {
+		if mean := now.Sub(*oldest) / intervalWindow; e.minMean == 0 || mean < e.minMean {
+			e.minMean = mean
 		}
 	}
 	*oldest = now
-	p.events++
-	if p.events%reportEvents != 0 {
+	e.events++
+	if e.events%reportEvents != 0 {
 		return false
 	}
-	p.mean, p.reportedAt = now.Sub(p.reportedAt)/reportEvents, now
+	e.mean, e.reportedAt = now.Sub(e.reportedAt)/reportEvents, now
 	return true
 }
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -123,17 +123,17 @@
 	defer p.mu.Unlock()
 	now := p.Now()
 	views, states := make([]placement.Upstream, len(ups)), make([]*state, len(ups))
-	held := LimitedChoice{Eligible: len(ups)}
+	choice := LimitedChoice{Eligible: len(ups)}
 	for i, u := range ups {
 		states[i] = p.stateLocked(u.Incarnation)
 		views[i] = p.viewLocked(now, r, u, states[i])
 		if limited, next := p.limitedLocked(now, r, u, states[i]); limited {
 			views[i].Excluded = true
-			held.add(next)
+			choice.add(next)
 		}
 	}
 	p.addIntervalsLocked(r.Service.Name, views, states)
-	return views, held
+	return views, choice
 }
 
 // addIntervalsLocked adds the event intervals of a service's upstreams, and whether they are stall-prone.
@@ -147,7 +147,7 @@
 	gapShare := p.gapsOf(service).share()
 	for i, s := range states {
 		s.slowness = slowness(baseIntervals[i], usualBase)
-		p.updateStallProneLocked(views[i].Life, s, gapShare)
+		p.updateStallProneLocked(views[i].Incarnation, s, gapShare)
 		views[i].StallProne = s.stallProne
 		views[i].EventInterval = cmp.Or(intervals[i], usualInterval)
 	}
@@ -199,7 +199,7 @@
 
 func (p *Pool) viewLocked(now time.Time, r *serving.Request, u directory.Upstream, s *state) placement.Upstream {
 	return placement.Upstream{
-		Life:           u.Incarnation,
+		Incarnation:    u.Incarnation,
 		Datacentre:     u.Datacentre,
 		Slots:          u.Slots,
 		Running:        s.running,
@@ -239,7 +239,7 @@
 	if e := r.Service.Engine; e != nil {
 		s.cache.Add(r.Parts, int64(cacheShare*float64(e.CacheTokens)))
 	}
-	t := serving.Target{Life: u.Incarnation, Address: u.Address, Deadline: r.Deadline}
+	t := serving.Target{Incarnation: u.Incarnation, Address: u.Address, Deadline: r.Deadline}
 	if c.FetchFrom >= 0 {
 		t.FetchFrom = ups[c.FetchFrom].Address
 	}
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -47,7 +47,7 @@
 	for range tries {
 		target, ok := p.Pick(plainRequest(now), nil)
 		require.True(t, ok)
-		if target.Life.ID == id {
+		if target.Incarnation.ID == id {
 			return target, true
 		}
 		target.Done(serving.Attempt{Result: serving.Complete})
@@ -81,9 +81,9 @@
 	r.Route = &catalog.Route{Kind: catalog.Unsafe, MaxRuns: 1}
 	target, _ = p.Pick(r, nil)
 	require.Equal(t, r.Deadline, target.Deadline)
-	other, ok := p.Pick(r, []serving.Attempt{{Upstream: target.Life}})
+	other, ok := p.Pick(r, []serving.Attempt{{Upstream: target.Incarnation}})
 	require.True(t, ok)
-	require.NotEqual(t, target.Life, other.Life)
+	require.NotEqual(t, target.Incarnation, other.Incarnation)
 }
 
 // The preferred engine's lender reports a long backlog: the request goes to another engine, where
@@ -133,26 +133,26 @@
 	r.Prompt, r.Parts = 17_000, []prefill.Part{{ID: "subject", Tokens: 13_300}, {ID: "own", Tokens: 3_700}}
 	before, ok := p.Pick(r, nil)
 	require.True(t, ok)
-	id := before.Life.ID
+	id := before.Incarnation.ID
 	for range 3 {
-		p.attemptDone(before.Life, serving.Attempt{Result: serving.Unknown})
+		p.attemptDone(before.Incarnation, serving.Attempt{Result: serving.Unknown})
 	}
 	restart(p, id, 2)
 	incarnation := directory.Incarnation{ID: id, StartUnixMS: 2}
 	view := func() placement.Upstream {
-		ups := p.eligible(r, []serving.Attempt{{Upstream: before.Life}})
+		ups := p.eligible(r, []serving.Attempt{{Upstream: before.Incarnation}})
 		views, _ := p.views(r, ups)
 		for _, v := range views {
-			if v.Life == incarnation {
+			if v.Incarnation == incarnation {
 				return v
 			}
 		}
 		t.Fatal("the new incarnation is not a candidate")
 		return placement.Upstream{}
 	}
-	require.Equal(t, placement.Upstream{Life: incarnation, Slots: 6}, view())
+	require.Equal(t, placement.Upstream{Incarnation: incarnation, Slots: 6}, view())
 	before.Done(serving.Attempt{Result: serving.Unknown})
-	require.Equal(t, placement.Upstream{Life: incarnation, Slots: 6}, view())
+	require.Equal(t, placement.Upstream{Incarnation: incarnation, Slots: 6}, view())
 }
 
 // The engine has restarted, and either its lender or the router has not noticed. The lender's reply
--- a/pool/run.go
+++ b/pool/run.go
@@ -32,45 +32,45 @@
 }
 
 // limit implements serving.Target's Limit.
-func (r *attempt) limit(perSecond float64, err error) { r.pool.observeLimit(r, perSecond, err) }
+func (att *attempt) limit(perSecond float64, err error) { att.pool.observeLimit(att, perSecond, err) }
 
 // event implements serving.Target's Event.
-func (r *attempt) event(now time.Time) {
-	if r.lastEvent.IsZero() && r.choice.Backlog == 0 && r.choice.FetchFrom < 0 && r.choice.PrefillTokens > 0 {
-		r.prefillRate.observe(r.choice.PrefillTokens, now.Sub(r.sent))
+func (att *attempt) event(now time.Time) {
+	if att.lastEvent.IsZero() && att.choice.Backlog == 0 && att.choice.FetchFrom < 0 && att.choice.PrefillTokens > 0 {
+		att.prefillRate.observe(att.choice.PrefillTokens, now.Sub(att.sent))
 	}
-	r.prefillDone()
-	if !r.lastEvent.IsZero() {
-		r.observeGap(now, now.Sub(r.lastEvent))
+	att.prefillDone()
+	if !att.lastEvent.IsZero() {
+		att.observeGap(now, now.Sub(att.lastEvent))
 	}
-	r.lastEvent = now
-	if r.intervals.observe(now) {
-		r.pool.observeIntervals(r.upstream, r.intervals)
+	att.lastEvent = now
+	if att.intervals.observe(now) {
+		att.pool.observeIntervals(att.upstream, att.intervals)
 	}
 }
 
 // prefillDone records once that the prompt is prefilled: the first event arrived, or the attempt ended.
-func (r *attempt) prefillDone() {
-	if !r.prefilled {
-		r.prefilled = true
-		r.pool.prefillDone(r.upstream, r.choice.PrefillTokens)
+func (att *attempt) prefillDone() {
+	if !att.prefilled {
+		att.prefilled = true
+		att.pool.prefillDone(att.upstream, att.choice.PrefillTokens)
 	}
 }
 
 // observeGap records the gap between two events.
-func (r *attempt) observeGap(now time.Time, gap time.Duration) {
-	if gap > r.longestGap.Duration {
-		r.longestGap = serving.Gap{Duration: gap, ConcurrentLoad: r.pool.load(r.upstream)}
+func (att *attempt) observeGap(now time.Time, gap time.Duration) {
+	if gap > att.longestGap.Duration {
+		att.longestGap = serving.Gap{Duration: gap, ConcurrentLoad: att.pool.load(att.upstream)}
 	}
-	if r.goal > 0 {
-		r.gaps.observe(now, float64(gap)/float64(r.goal)/r.slowness)
+	if att.goal > 0 {
+		att.gaps.observe(now, float64(gap)/float64(att.goal)/att.slowness)
 	}
 }
 
 // done implements serving.Target's Done.
-func (r *attempt) done(a serving.Attempt) serving.Attempt {
-	r.prefillDone()
-	r.pool.attemptDone(r.upstream, a)
-	a.Cost, a.PendingPrefill, a.Pause = r.choice.Cost, r.choice.PrefillTokens, r.longestGap
+func (att *attempt) done(a serving.Attempt) serving.Attempt {
+	att.prefillDone()
+	att.pool.attemptDone(att.upstream, a)
+	a.Cost, a.PendingPrefill, a.Gap = att.choice.Cost, att.choice.PrefillTokens, att.longestGap
 	return a
 }
--- a/pool/speed.go
+++ b/pool/speed.go
@@ -94,34 +94,34 @@
 }
 
 // observe adds a gap, as a share of its goal.
-func (p *serviceGaps) observe(now time.Time, ofGoal float64) {
+func (g *serviceGaps) observe(now time.Time, ofGoal float64) {
 	if ofGoal < minGapShare {
 		return
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.recent == nil || now.Sub(p.rotated) > gapWindows*gapWindow {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.recent == nil || now.Sub(g.rotated) > gapWindows*gapWindow {
 		const digits = 2
-		p.recent, p.rotated = hdrhistogram.NewWindowed(gapWindows, 1, maxGapHundredths, digits), now
+		g.recent, g.rotated = hdrhistogram.NewWindowed(gapWindows, 1, maxGapHundredths, digits), now
 	}
-	for now.Sub(p.rotated) >= gapWindow {
-		p.recent.Rotate()
-		p.rotated = p.rotated.Add(gapWindow)
+	for now.Sub(g.rotated) >= gapWindow {
+		g.recent.Rotate()
+		g.rotated = g.rotated.Add(gapWindow)
 	}
-	_ = p.recent.Current.RecordValue(int64(min(maxGapHundredths, 100*ofGoal))) // cannot fail: always within bounds
-	if now.Sub(p.refreshedAt) < gapRefresh {
+	_ = g.recent.Current.RecordValue(int64(min(maxGapHundredths, 100*ofGoal))) // cannot fail: always within bounds
+	if now.Sub(g.refreshedAt) < gapRefresh {
 		return
 	}
-	p.refreshedAt = now
-	if all := p.recent.Merge(); all.TotalCount() >= minGaps {
-		p.percentile = float64(all.ValueAtQuantile(gapPercentile)) / 100
+	g.refreshedAt = now
+	if all := g.recent.Merge(); all.TotalCount() >= minGaps {
+		g.percentile = float64(all.ValueAtQuantile(gapPercentile)) / 100
 	}
 }
 
 // share returns the gapPercentile of the gaps that prefills cause, as a share of the goal; 0 while
 // unknown.
-func (p *serviceGaps) share() float64 {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.percentile
+func (g *serviceGaps) share() float64 {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.percentile
 }
--- a/pool/speed_test.go
+++ b/pool/speed_test.go
@@ -108,8 +108,8 @@
 	}
 	require.InDelta(t, 0.9, p.gapsOf("s").share(), 0.02)
 	done := target.Done(serving.Attempt{Result: serving.Complete})
-	require.Equal(t, 270*time.Millisecond, done.Pause.Duration)
-	require.Equal(t, 1, done.Pause.ConcurrentLoad.Running)
+	require.Equal(t, 270*time.Millisecond, done.Gap.Duration)
+	require.Equal(t, 1, done.Gap.ConcurrentLoad.Running)
 	now = now.Add(2 * gapWindows * gapWindow)
 	for range minGaps + 1 {
 		p.gapsOf("s").observe(now, 0.4)
@@ -123,6 +123,6 @@
 	now := time.Unix(1000, 0)
 	p := poolOf(&now)
 	a := stream(t, p, &now, "a", 40, steady(time.Second))
-	require.Equal(t, time.Second, a.Pause.Duration)
+	require.Equal(t, time.Second, a.Gap.Duration)
 	require.Zero(t, p.gapsOf("s").share())
 }
--- a/prefill/elsewhere.go
+++ b/prefill/elsewhere.go
@@ -15,7 +15,7 @@
 	maxRemoteParts = 4096
 )
 
-// RemotePrefill reports that the engine By prefills the shared leading parts of a prompt.
+// RemotePrefill reports that Engine prefills the shared leading parts of a prompt.
 type RemotePrefill struct {
 	Parts  []Part                `json:"parts"`
 	Engine directory.Incarnation `json:"by"`
--- a/prefill/engine.go
+++ b/prefill/engine.go
@@ -38,17 +38,17 @@
 	// PrefillTokens is the number of the prompt's tokens that the engine has to prefill.
 	PrefillTokens int64 `json:"unread"`
 	// StartUnixMS is the start of the engine's incarnation, as known to the lender; see
-	// directory.Life.
+	// directory.Incarnation.
 	StartUnixMS int64 `json:"born,omitempty"`
 	// Denied is set if the prompt must not be sent: the last second's prompts have reached the
 	// bound for a cold engine, or the limit that the engine states.
 	Denied bool `json:"denied,omitempty"`
-	// Limit is the engine's limit of requests per second. Next is the time until another prompt may
+	// Limit is the engine's limit of requests per second. RetryAfter is the time until another prompt may
 	// be sent, if the prompt was denied for the limit.
 	Limit      ratelimit.State `json:"limit,omitzero"`
 	RetryAfter time.Duration   `json:"next_ns,omitempty"`
 	// RemoteEngine is another engine that has more of the prompt's leading tokens cached, as known
-	// to the lender, and ElsewhereTokens their number; 0 is none.
+	// to the lender, and RemoteTokens their number; 0 is none.
 	RemoteEngine directory.Incarnation `json:"elsewhere,omitzero"`
 	RemoteTokens int64                 `json:"elsewhere_tokens,omitempty"`
 }
@@ -124,7 +124,7 @@
 	e.cache.Add(a.Parts, e.cacheCapacity)
 	e.mu.Unlock()
 	e.queue.ObserveRate(a.PrefillPerMs)
-	// A router that gets ElsewhereTokens has the engine fetch the parts from there.
+	// A router that gets RemoteTokens has the engine fetch the parts from there.
 	reply.PrefillTokens = max(0, a.Prompt-max(reply.Cached, a.Fetched, reply.RemoteTokens))
 	reply.Backlog = e.queue.Add(now, reply.PrefillTokens)
 	return reply
@@ -159,11 +159,11 @@
 
 // ObserveLimit records the limit of requests per second that an answer of the engine's incarnation
 // started at born stated, and returns the limit that applies. Other incarnations are ignored.
-func (e *Engine) ObserveLimit(now time.Time, born int64, w ratelimit.NamedLimit) ratelimit.State {
+func (e *Engine) ObserveLimit(now time.Time, born int64, n ratelimit.NamedLimit) ratelimit.State {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if born == e.born {
-		e.limiter.Observe(now, w)
+		e.limiter.Observe(now, n)
 	}
 	return e.limiter.State()
 }
@@ -215,7 +215,7 @@
 	return nil
 }
 
-// State is the state of an engine for debug dumps. Backlog, Cached and Room are in tokens.
+// State is the state of an engine for debug dumps. Backlog, Cached and CacheCapacity are in tokens.
 type State struct {
 	Backlog       int64 `json:"backlog"`
 	Cached        int64 `json:"cached"`
--- a/prefill/queue.go
+++ b/prefill/queue.go
@@ -15,7 +15,7 @@
 // The backlog decreases at a known rate, without a message when a prompt is prefilled, so a
 // router that crashes leaves no stale entries. It is safe for concurrent use.
 type Queue struct {
-	// PrefillPerMs is the prefill rate in tokens per millisecond; Learn adjusts it.
+	// PrefillPerMs is the prefill rate in tokens per millisecond; ObserveRate adjusts it.
 	PrefillPerMs float64
 
 	mu        sync.Mutex
--- a/prepaid/budgets.go
+++ b/prepaid/budgets.go
@@ -151,8 +151,8 @@
 	// settling is since when dead lenders have been waiting for their settlement, and
 	// unsettled names those that cannot be settled.
 	settling absences
-	// words are what borrowers told of these lenders.
-	words     settlement.AnswerCache
+	// answers are what borrowers told of these lenders.
+	answers   settlement.AnswerCache
 	unsettled nameSet
 	// late are the peers whose answers came too late, since the last probes.
 	late nameSet
--- a/prepaid/settle.go
+++ b/prepaid/settle.go
@@ -106,7 +106,7 @@
 
 // newSettler is this process's side of settling others.
 func (b *Budgets) newSettler() *settlement.Settler {
-	return &settlement.Settler{Store: b.pages.Store, Prefix: lendsPrefix, Answers: &b.words, Ended: b.isDead, AskBorrower: b.desk.AskBorrowed,
+	return &settlement.Settler{Store: b.pages.Store, Prefix: lendsPrefix, Answers: &b.answers, Ended: b.isDead, AskBorrower: b.desk.AskBorrowed,
 		AskWitness: b.askWitness}
 }
 
@@ -136,7 +136,7 @@
 		return
 	}
 	b.holder.ForgetRecovered(life)
-	b.words.Forget(life)
+	b.answers.Forget(life)
 	b.settling.since(time.Now(), life, false)
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
@@ -155,7 +155,7 @@
 		return false
 	case errors.Is(err, settlement.ErrUsageUnknown):
 		b.unsettled.add(life)
-		b.words.Forget(life)
+		b.answers.Forget(life)
 		b.log.Warn().Err(err).Str("lender", life).Msg("lender_not_settled")
 		return false
 	case err != nil:
--- a/ratelimit/known.go
+++ b/ratelimit/known.go
@@ -34,15 +34,15 @@
 // apply applies the limit named by an answer and reports whether that changed the limit. Answers
 // may arrive out of order: one whose request was permitted under an earlier mark may have been
 // given before the current limit was named. It can only make the limit stricter.
-func (k *State) apply(w NamedLimit) bool {
+func (s *State) apply(n NamedLimit) bool {
 	switch {
-	case w.PerSecond == k.PerSecond:
+	case n.PerSecond == s.PerSecond:
 		return false
-	case w.KnownMark != k.Mark && !stricter(w.PerSecond, k.PerSecond):
+	case n.KnownMark != s.Mark && !stricter(n.PerSecond, s.PerSecond):
 		return false
 	}
-	k.PerSecond = w.PerSecond
-	k.Mark.Number++
+	s.PerSecond = n.PerSecond
+	s.Mark.Number++
 	return true
 }
 
--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -43,19 +43,19 @@
 func (l *Limiter) Limited() bool { return l.known.PerSecond > 0 }
 
 // Observe applies the limit named by an answer and reports whether that changed the limit.
-func (l *Limiter) Observe(now time.Time, w NamedLimit) bool {
+func (l *Limiter) Observe(now time.Time, n NamedLimit) bool {
 	was := l.known.PerSecond
-	if !l.known.apply(w) {
+	if !l.known.apply(n) {
 		return false
 	}
 	l.resetIfNew(now, was)
 	return true
 }
 
-// ObserveLocal is Hear at a router, whose marks must differ from those of the process that counts all
+// ObserveLocal is Observe at a router, whose marks must differ from those of the process that counts all
 // requests.
-func (l *Limiter) ObserveLocal(now time.Time, w NamedLimit) bool {
-	if !l.Observe(now, w) {
+func (l *Limiter) ObserveLocal(now time.Time, n NamedLimit) bool {
+	if !l.Observe(now, n) {
 		return false
 	}
 	l.ownMarks++
@@ -74,13 +74,13 @@
 
 // Adopt replaces the state by that of the process that counts all requests, and reports whether
 // that changed the limit.
-func (l *Limiter) Adopt(now time.Time, k State) bool {
-	if k.Mark.Source == l.known.Mark.Source && k.Mark.Number < l.known.Mark.Number {
+func (l *Limiter) Adopt(now time.Time, s State) bool {
+	if s.Mark.Source == l.known.Mark.Source && s.Mark.Number < l.known.Mark.Number {
 		return false // outdated
 	}
 	was := l.known.PerSecond
-	l.known = k
-	if was == k.PerSecond {
+	l.known = s
+	if was == s.PerSecond {
 		return false
 	}
 	l.resetIfNew(now, was)
@@ -159,7 +159,7 @@
 	return max(time.Millisecond, time.Duration(refill*float64(time.Second)), l.yieldFor(now, rate, rank))
 }
 
-// maxNext limits the result of Next, for limits close to 0.
+// maxNext limits the result of RetryAfter, for limits close to 0.
 const maxNext = time.Minute
 
 func clampRank(rank int) int { return min(max(rank, 0), numRanks-1) }
--- a/router/dispatch.go
+++ b/router/dispatch.go
@@ -27,7 +27,7 @@
 var agentRoute = &catalog.Route{Kind: catalog.Safe, MaxRuns: maxTries}
 
 // agents is the dialect of agents for one request: it implements serving.Upstreams,
-// serving.Budgets and serving.Repeats.
+// serving.Budgets and serving.RetryBudget.
 type agents struct {
 	*Router
 	job *job
@@ -45,9 +45,9 @@
 // dispatch sends the request to an upstream and its answer to the caller.
 func (r *Router) dispatch(w http.ResponseWriter, req *http.Request, j *job) {
 	a := &agents{Router: r, job: j, req: req, byID: map[string]vm.VM{}}
-	path := serving.Dispatcher{Upstreams: a, Budgets: a, RetryBudget: a, Now: time.Now}
+	dispatcher := serving.Dispatcher{Upstreams: a, Budgets: a, RetryBudget: a, Now: time.Now}
 	out := serving.NewHTTPCaller(w, time.Duration(r.base.Settings.Limits.WriteTimeout), true)
-	end := path.Serve(req.Context(), &serving.Request{
+	end := dispatcher.Serve(req.Context(), &serving.Request{
 		ID: j.key, Team: j.team.Name, Route: agentRoute, Service: catalog.Service{Name: j.service.Name},
 		Arrived: j.arrived, Deadline: j.arrived.Add(time.Duration(j.service.Timeout)),
 	}, out)
@@ -81,7 +81,7 @@
 		a.metrics.retries.Inc()
 	}
 	a.byID[chosen.ID] = chosen
-	return serving.Target{Life: directory.Incarnation{ID: chosen.ID}, Address: chosen.Work, Event: func(time.Time) {},
+	return serving.Target{Incarnation: directory.Incarnation{ID: chosen.ID}, Address: chosen.Work, Event: func(time.Time) {},
 		Done: func(at serving.Attempt) serving.Attempt {
 			done(answered(at.Result))
 			return at
@@ -98,10 +98,10 @@
 
 // Send implements serving.Upstreams.
 func (a *agents) Send(ctx context.Context, _ *serving.Request, t serving.Target, out serving.Caller) serving.Attempt {
-	a.last = a.byID[t.Life.ID]
+	a.last = a.byID[t.Incarnation.ID]
 	a.served = false
 	at := a.send(ctx, out)
-	at.Upstream = t.Life
+	at.Upstream = t.Incarnation
 	if !at.Result.NotRun() && !a.served {
 		a.unsure = a.last
 	}
@@ -178,10 +178,10 @@
 	}, nil
 }
 
-// Request implements serving.Repeats: the number of tries is the only bound here.
+// Request implements serving.RetryBudget: the number of tries is the only bound here.
 func (a *agents) Request(string) {}
 
-// Allow implements serving.Repeats.
+// Allow implements serving.RetryBudget.
 func (a *agents) Allow(*serving.Request) bool { return true }
 
 func (r *Router) workRequest(ctx context.Context, req *http.Request, j *job, chosen vm.VM) (*http.Request, error) {
--- a/router/ledger.go
+++ b/router/ledger.go
@@ -13,8 +13,8 @@
 // shards is this router's side of the ledger: it can append to any shard, and does
 // so for those that the others take it to own.
 type shards struct {
-	list   []*ledger.Shard
-	groups []*ledger.Batcher
+	list     []*ledger.Shard
+	batchers []*ledger.Batcher
 }
 
 // makeLedger makes the shards and the outbox.
@@ -25,7 +25,7 @@
 	for n := range s.Shards {
 		shard := ledger.OpenShard(r.base.Store, layout, n, r.base.Incarnation, s.Window)
 		r.shards.list = append(r.shards.list, shard)
-		r.shards.groups = append(r.shards.groups, ledger.NewBatcher(shard, time.Duration(s.Flush)))
+		r.shards.batchers = append(r.shards.batchers, ledger.NewBatcher(shard, time.Duration(s.Flush)))
 	}
 	sender := &billing.Sender{Self: r.base.Settings.VM, Local: r.shards.append, Links: r.base.Links,
 		View: r.base.View, Timeout: sendTimeout}
@@ -34,22 +34,22 @@
 
 // start starts the group commit of each shard.
 func (s *shards) start(d *process.Duties) {
-	for _, g := range s.groups {
+	for _, g := range s.batchers {
 		d.Go(g.Run)
 	}
 }
 
 func (s *shards) append(ctx context.Context, shard int, charges []ledger.Charge) (int64, error) {
-	if shard < 0 || shard >= len(s.groups) {
+	if shard < 0 || shard >= len(s.batchers) {
 		return 0, billing.Error.New("there is no shard %d", shard)
 	}
-	return s.groups[shard].Append(ctx, charges)
+	return s.batchers[shard].Append(ctx, charges)
 }
 
 // waiting counts the appends that wait for a flush in all shards.
 func (s *shards) waiting() int {
 	total := 0
-	for _, g := range s.groups {
+	for _, g := range s.batchers {
 		n, _ := g.Waiting()
 		total += n
 	}
--- a/router/methods.go
+++ b/router/methods.go
@@ -48,9 +48,9 @@
 		}
 		return out, nil
 	}
-	book := account.AdminClient{Store: r.base.Store, Layout: r.layout}
+	admin := account.AdminClient{Store: r.base.Store, Layout: r.layout}
 	for _, b := range in.Budgets {
-		a, err := book.Get(ctx, b)
+		a, err := admin.Get(ctx, b)
 		if err != nil {
 			return out, err
 		}
--- a/serving/attempt.go
+++ b/serving/attempt.go
@@ -58,15 +58,15 @@
 	Result   Result
 	// Detail gives details for the log.
 	Detail string
-	// Cost and Unread are the estimates made when the upstream was chosen.
+	// Cost and PendingPrefill are the estimates made when the upstream was chosen.
 	Cost           time.Duration
 	PendingPrefill int64
-	// Pause is the longest pause between two events.
-	Pause Gap
+	// Gap is the longest gap between two events.
+	Gap Gap
 	// Answer is the upstream's failure response, for Failed; it is passed on unless the request is
 	// sent again.
 	Answer *Answer
-	// Refusal is the reason given by the upstream, for Declined, Refused and Failed; if nil, Path
+	// Refusal is the reason given by the upstream, for Declined, Refused and Failed; if nil, Dispatcher
 	// determines it.
 	Refusal *contract.Refusal
 	// Break is set if the connection broke while the upstream had the request.
@@ -90,10 +90,10 @@
 	Running time.Duration
 }
 
-// Gap is a pause between two events of a stream.
+// Gap is the time between two consecutive events of a stream.
 type Gap struct {
 	Duration time.Duration
-	// ConcurrentLoad is the router's other load at the upstream when the pause ended, for the log: an
+	// ConcurrentLoad is the router's other load at the upstream when the gap ended, for the log: an
 	// engine that reads a long prompt pauses the streams that run concurrently.
 	ConcurrentLoad Load
 }
--- a/serving/httpcaller.go
+++ b/serving/httpcaller.go
@@ -57,7 +57,7 @@
 // Flush implements Caller.
 func (c *HTTPCaller) Flush() error { return c.rc.Flush() }
 
-// TimeToFirstChunk returns the time from start to the first piece, or 0 if there was none.
+// TimeToFirstChunk returns the time from start to the first chunk, or 0 if there was none.
 func (c *HTTPCaller) TimeToFirstChunk(start time.Time) time.Duration {
 	if !c.began {
 		return 0
--- a/serving/path.go
+++ b/serving/path.go
@@ -24,8 +24,8 @@
 
 // Target is a chosen upstream.
 type Target struct {
-	// Life identifies the incarnation of the upstream.
-	Life directory.Incarnation
+	// Incarnation identifies the incarnation of the upstream.
+	Incarnation directory.Incarnation
 	// Address is host:port.
 	Address string
 	// FetchFrom is the address of an upstream that probably has more of the prompt cached, or "".
@@ -40,13 +40,13 @@
 	// of parsing it.
 	Limit func(perSecond float64, err error)
 	// Done is called once with the attempt, and returns it with the chooser's data: its estimates
-	// and the pauses of the stream.
+	// and the gaps of the stream.
 	Done func(Attempt) Attempt
 }
 
 // Caller receives the answer on behalf of the client.
 type Caller interface {
-	// Begin sends status and headers; it is called once, before the first piece.
+	// Begin sends status and headers; it is called once, before the first chunk.
 	Begin(status int, header map[string][]string) error
 	// WriteChunk writes bytes; they may be buffered until Flush.
 	WriteChunk(b []byte) error
@@ -82,14 +82,14 @@
 	// other prompts.
 	Proven(r *Request) *contract.Refusal
 	// ConnectionBroken is called when the connection to an upstream broke during the last of a request's
-	// attempts. Unless it was the first break for its prompt, Broke returns after Refuse takes it
+	// attempts. Unless it was the first break for its prompt, ConnectionBroken returns after Refuse takes it
 	// into account.
 	ConnectionBroken(ctx context.Context, r *Request, attempts []Attempt)
 	// RecordAnswer is called when a request was answered.
 	RecordAnswer(r *Request)
 	// TrackSend is called for each send. The returned context is canceled with the cause ErrRecalled
 	// if the request's prompt is found to crash upstreams, unless began was called before, with
-	// the first piece of the answer. done is called when the send has ended.
+	// the first chunk of the answer. done is called when the send has ended.
 	TrackSend(ctx context.Context, r *Request) (sending context.Context, began, done func())
 }
 
@@ -109,86 +109,86 @@
 
 // Serve processes a request to its end. The caller of Serve sends the refusal, if there is one, or
 // closes the connection of a truncated answer.
-func (p *Dispatcher) Serve(ctx context.Context, r *Request, out Caller) Outcome {
+func (d *Dispatcher) Serve(ctx context.Context, r *Request, out Caller) Outcome {
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
-	p.RetryBudget.Request(r.Service.Name)
-	if refused := p.refusePoisoned(ctx, r); refused != nil {
+	d.RetryBudget.Request(r.Service.Name)
+	if refused := d.refusePoisoned(ctx, r); refused != nil {
 		return Outcome{Refusal: refused}
 	}
-	settle, refused := p.Budgets.Reserve(ctx, r)
+	settle, refused := d.Budgets.Reserve(ctx, r)
 	if refused != nil {
 		return Outcome{Refusal: refused}
 	}
-	end := p.run(ctx, r, out)
+	end := d.run(ctx, r, out)
 	end.Used = chargedTokens(r, end.Attempts)
 	settle(end.Used)
 	return end
 }
 
 // run sends the request until it is answered or no further send is allowed.
-func (p *Dispatcher) run(ctx context.Context, r *Request, out Caller) Outcome {
+func (d *Dispatcher) run(ctx context.Context, r *Request, out Caller) Outcome {
 	var attempts []Attempt
 	for {
-		target, ok := p.Upstreams.Pick(r, attempts)
+		target, ok := d.Upstreams.Pick(r, attempts)
 		if !ok {
-			return p.finish(r, attempts, out)
+			return d.finish(r, attempts, out)
 		}
-		attempts = append(attempts, target.Done(p.send(ctx, r, target, out)))
-		p.recordOutcome(ctx, r, attempts)
-		v := decideRetry(r, attempts, p.Now())
-		if !v.retry || p.refusePoisoned(ctx, r) != nil || v.countsAsRetry && !p.RetryBudget.Allow(r) {
-			return p.finish(r, attempts, out)
+		attempts = append(attempts, target.Done(d.send(ctx, r, target, out)))
+		d.recordOutcome(ctx, r, attempts)
+		v := decideRetry(r, attempts, d.Now())
+		if !v.retry || d.refusePoisoned(ctx, r) != nil || v.countsAsRetry && !d.RetryBudget.Allow(r) {
+			return d.finish(r, attempts, out)
 		}
 	}
 }
 
 // send sends the request once. The send can be recalled until its answer begins.
-func (p *Dispatcher) send(ctx context.Context, r *Request, t Target, out Caller) Attempt {
-	if p.Poison == nil || out.Began() {
-		return p.Upstreams.Send(ctx, r, t, out)
+func (d *Dispatcher) send(ctx context.Context, r *Request, t Target, out Caller) Attempt {
+	if d.Poison == nil || out.Began() {
+		return d.Upstreams.Send(ctx, r, t, out)
 	}
-	ctx, began, done := p.Poison.TrackSend(ctx, r)
+	ctx, began, done := d.Poison.TrackSend(ctx, r)
 	defer done()
 	event := t.Event
 	t.Event = func(now time.Time) {
 		began()
 		event(now)
 	}
-	return p.Upstreams.Send(ctx, r, t, out)
+	return d.Upstreams.Send(ctx, r, t, out)
 }
 
 // refusePoisoned returns the refusal of a prompt that must not be sent now.
-func (p *Dispatcher) refusePoisoned(ctx context.Context, r *Request) *contract.Refusal {
-	if p.Poison == nil {
+func (d *Dispatcher) refusePoisoned(ctx context.Context, r *Request) *contract.Refusal {
+	if d.Poison == nil {
 		return nil
 	}
-	return p.Poison.Refuse(ctx, r)
+	return d.Poison.Refuse(ctx, r)
 }
 
-// recordOutcome reports the last attempt's evidence on the request's prompt to Poison.
-func (p *Dispatcher) recordOutcome(ctx context.Context, r *Request, attempts []Attempt) {
+// recordOutcome reports the last attempt's evidence on the request's prompt to PromptGuard.
+func (d *Dispatcher) recordOutcome(ctx context.Context, r *Request, attempts []Attempt) {
 	last := attempts[len(attempts)-1]
 	switch {
-	case p.Poison == nil:
+	case d.Poison == nil:
 	case last.Break != nil:
-		p.Poison.ConnectionBroken(ctx, r, attempts)
+		d.Poison.ConnectionBroken(ctx, r, attempts)
 	case last.Result == Complete:
-		p.Poison.RecordAnswer(r)
+		d.Poison.RecordAnswer(r)
 	}
 }
 
 // finalRefusal returns the refusal of a request without an answer.
-func (p *Dispatcher) finalRefusal(r *Request, attempts []Attempt) *contract.Refusal {
+func (d *Dispatcher) finalRefusal(r *Request, attempts []Attempt) *contract.Refusal {
 	hit := slices.ContainsFunc(attempts, func(a Attempt) bool { return a.Break != nil || a.Recalled })
-	if hit && p.Poison != nil {
-		if proven := p.Poison.Proven(r); proven != nil {
+	if hit && d.Poison != nil {
+		if proven := d.Poison.Proven(r); proven != nil {
 			return proven
 		}
 	}
-	named := refusalFor(r, attempts, p.Now())
+	named := refusalFor(r, attempts, d.Now())
 	if named.Kind == contract.NoUpstream {
-		if limited := p.Upstreams.Limited(r, attempts); limited != nil {
+		if limited := d.Upstreams.Limited(r, attempts); limited != nil {
 			return limited
 		}
 	}
@@ -196,24 +196,24 @@
 }
 
 // finish passes on the most useful of the available answers and refusals.
-func (p *Dispatcher) finish(r *Request, attempts []Attempt, out Caller) Outcome {
-	e := Outcome{Attempts: attempts}
+func (d *Dispatcher) finish(r *Request, attempts []Attempt, out Caller) Outcome {
+	o := Outcome{Attempts: attempts}
 	if n := len(attempts); n > 0 {
 		last := attempts[n-1]
 		if last.Result == Complete || last.Result == CallerGone && !out.Began() {
-			return e
+			return o
 		}
 	}
 	if out.Began() {
-		e.Truncated = true
-		return e
+		o.Truncated = true
+		return o
 	}
 	if a := failureAnswer(attempts); a != nil {
-		e.Truncated = a.SendTo(out) != nil
-		return e
+		o.Truncated = a.SendTo(out) != nil
+		return o
 	}
-	e.Refusal = p.finalRefusal(r, attempts)
-	return e
+	o.Refusal = d.finalRefusal(r, attempts)
+	return o
 }
 
 // failureAnswer returns the upstream's failure response that the caller gets: that of the last
--- a/warmup/warmup.go
+++ b/warmup/warmup.go
@@ -27,11 +27,11 @@
 
 // MaxRequests returns the maximum number of requests in any second for a cold upstream whose service
 // names this rate; 0 is no bound, for services that name none.
-func (b Tolerance) MaxRequests(perSecond float64) int {
+func (t Tolerance) MaxRequests(perSecond float64) int {
 	if perSecond <= 0 {
 		return 0
 	}
-	return max(1, int(perSecond*b.Overshoot+b.Slack))
+	return max(1, int(perSecond*t.Overshoot+t.Slack))
 }
 
 // windowLength is the duration in which requests are counted.
--- a/warmup/warmup_test.go
+++ b/warmup/warmup_test.go
@@ -10,10 +10,10 @@
 )
 
 func TestMost(t *testing.T) {
-	b := Tolerance{Overshoot: 1.5, Slack: 5}
-	require.Equal(t, 14, b.MaxRequests(6.6))
-	require.Zero(t, b.MaxRequests(0), "the service names no rate")
-	require.Zero(t, b.MaxRequests(-1))
+	tolerance := Tolerance{Overshoot: 1.5, Slack: 5}
+	require.Equal(t, 14, tolerance.MaxRequests(6.6))
+	require.Zero(t, tolerance.MaxRequests(0), "the service names no rate")
+	require.Zero(t, tolerance.MaxRequests(-1))
 	require.Equal(t, 1, Tolerance{Overshoot: 1}.MaxRequests(0.2))
 }
 
