--- a/coord/member/member_test.go
+++ b/coord/member/member_test.go
@@ -35,7 +35,7 @@
 }
 
 // Guards against members that are ranked or counted under another role: a router ranked among the
-// lenders would be used as the home of budgets.
+// lenders would be used as the primary of budgets.
 func TestRolesAreSeparate(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -201,7 +201,7 @@
 func (c *unreadableCounter) MemberUnreadable(error) { c.unreadable++ }
 
 // Guards against invalid entries that count as members: another writer uses the members' prefix. Its
-// entries must be reported and ignored; as a member without a VM, one could be ranked as the home of
+// entries must be reported and ignored; as a member without a VM, one could be ranked as the primary of
 // a budget.
 func TestUnreadableMembersAreIgnored(t *testing.T) {
 	g := newTestGroup(memstore.New(), "r1", "router")
--- a/coord/member/view.go
+++ b/coord/member/view.go
@@ -24,7 +24,7 @@
 const formerRetention = time.Minute
 
 // returnGrace is how long members that are missing after an outage are kept: live ones register
-// again with their next renewal. A view that empties and refills would move every home of a budget
+// again with their next renewal. A view that empties and refills would move every primary of a budget
 // twice.
 const returnGrace = 10 * time.Second
 
