--- a/coord/ledger/group.go
+++ b/coord/ledger/group.go
@@ -5,68 +5,70 @@
 	"time"
 )
 
-// Group collects the charges that reach a shard's owner during one interval and
-// appends them together, so that the store sees about one write a second for a
-// shard whatever the request rate is.
-type Group struct {
+// Batcher batches the charges that reach a shard's owner within one interval into one
+// append, so that the store receives about one write per second and shard whatever
+// the request rate.
+type Batcher struct {
 	shard    *Shard
 	interval time.Duration
-	requests chan groupRequest
+	requests chan appendRequest
 }
 
-type groupRequest struct {
+type appendRequest struct {
 	charges []Charge
 	done    chan error
 }
 
-// groupQueue bounds the appends that wait for a flush.
-const groupQueue = 1024
+// appendQueueSize bounds the appends queued for a flush and those in one flush.
+const appendQueueSize = 1024
 
-// NewGroup returns the group commit of a shard. Run must be running for Append.
-func NewGroup(s *Shard, interval time.Duration) *Group {
-	return &Group{shard: s, interval: interval, requests: make(chan groupRequest, groupQueue)}
+// NewBatcher returns a Batcher for the shard. Append blocks unless Run is running.
+func NewBatcher(s *Shard, interval time.Duration) *Batcher {
+	return &Batcher{shard: s, interval: interval, requests: make(chan appendRequest, appendQueueSize)}
 }
 
-// Append waits until the charges are durable and returns the last segment.
-func (g *Group) Append(ctx context.Context, charges []Charge) (int64, error) {
-	r := groupRequest{charges: charges, done: make(chan error, 1)}
+// Append waits until the charges are durable and returns the shard's last segment.
+// After an error the outcome is unknown.
+func (b *Batcher) Append(ctx context.Context, charges []Charge) (int64, error) {
+	r := appendRequest{charges: charges, done: make(chan error, 1)}
 	select {
-	case g.requests <- r:
+	case b.requests <- r:
 	case <-ctx.Done():
 		return 0, ctx.Err()
 	}
 	select {
 	case err := <-r.done:
-		return g.shard.Last(), err
+		return b.shard.Last(), err
 	case <-ctx.Done():
 		return 0, ctx.Err()
 	}
 }
 
-// Waiting counts the appends that wait for a flush, and the most that may. More than
-// that are not dropped: their callers wait, within their contexts.
-func (g *Group) Waiting() (n, most int) { return len(g.requests), cap(g.requests) }
+// Waiting returns the number of appends queued for a flush and the queue's capacity.
+// Appends beyond the capacity are not dropped: their callers block until their
+// contexts end.
+func (b *Batcher) Waiting() (n, capacity int) { return len(b.requests), cap(b.requests) }
 
-// Run flushes once an interval until the context ends.
-func (g *Group) Run(ctx context.Context) {
+// Run flushes queued appends once per interval until ctx is done.
+func (b *Batcher) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case first := <-g.requests:
-			g.flush(ctx, g.collect(ctx, first))
+		case first := <-b.requests:
+			b.flush(ctx, b.collect(ctx, first))
 		}
 	}
 }
 
-// collect gathers what comes within the interval after the first request.
-func (g *Group) collect(ctx context.Context, first groupRequest) []groupRequest {
-	batch := []groupRequest{first}
-	t := time.NewTimer(g.interval)
+// collect returns first and the requests that arrive within the interval after it.
+func (b *Batcher) collect(ctx context.Context, first appendRequest) []appendRequest {
+	batch := []appendRequest{first}
+	t := time.NewTimer(b.interval)
 	defer t.Stop()
-	for len(batch) < groupQueue {
+	for len(batch) < appendQueueSize {
 		select {
-		case r := <-g.requests:
+		case r := <-b.requests:
 			batch = append(batch, r)
 		case <-t.C:
 			return batch
@@ -77,12 +79,12 @@
 	return batch
 }
 
-func (g *Group) flush(ctx context.Context, batch []groupRequest) {
+func (b *Batcher) flush(ctx context.Context, batch []appendRequest) {
 	var all []Charge
 	for _, r := range batch {
 		all = append(all, r.charges...)
 	}
-	err := g.shard.Append(ctx, all)
+	err := b.shard.Append(ctx, all)
 	for _, r := range batch {
 		r.done <- err
 	}
--- a/pool/run.go
+++ b/pool/run.go
@@ -9,68 +9,68 @@
 	"github.com/arbutusmill/arbutusmill/serving"
 )
 
-// run follows one attempt, from the choice of its upstream to its end. One goroutine uses it.
-type run struct {
+// attempt tracks one attempt from the choice of its upstream to its end. It is not safe for concurrent use.
+type attempt struct {
 	pool     *Pool
-	upstream directory.Life
+	upstream directory.Incarnation
 	address  string
-	// under is what was known of the upstream's limit when the request was let go.
-	under  ratelimit.Mark
-	choice placement.Choice
-	// goal is that of the route for pauses; slowness is the engine's at the choice.
-	goal     time.Duration
-	slowness float64
-	pauses   *pauses
-	reading  *reading
+	// limitMark identifies the state of the upstream's limit when the request was sent.
+	limitMark ratelimit.Mark
+	choice    placement.Choice
+	// goal is the route's goal for gaps between events; slowness is the engine's at the choice.
+	goal        time.Duration
+	slowness    float64
+	gaps        *serviceGaps
+	prefillRate *prefillRate
 	// sent is when the upstream was chosen.
 	sent time.Time
 
-	last  time.Time // of the last event
-	read  bool      // the prompt was read
-	pause serving.Pause
-	pace  pace
+	lastEvent  time.Time
+	prefilled  bool
+	longestGap serving.Gap
+	intervals  eventIntervals
 }
 
 // limit implements serving.Target's Limit.
-func (r *run) limit(perSecond float64, err error) { r.pool.limitNamed(r, perSecond, err) }
+func (att *attempt) limit(perSecond float64, err error) { att.pool.observeLimit(att, perSecond, err) }
 
 // event implements serving.Target's Event.
-func (r *run) event(now time.Time) {
-	if r.last.IsZero() && r.choice.Before == 0 && r.choice.FetchFrom < 0 && r.choice.Unread > 0 {
-		r.reading.note(r.choice.Unread, now.Sub(r.sent))
+func (att *attempt) event(now time.Time) {
+	if att.lastEvent.IsZero() && att.choice.Backlog == 0 && att.choice.FetchFrom < 0 && att.choice.PrefillTokens > 0 {
+		att.prefillRate.observe(att.choice.PrefillTokens, now.Sub(att.sent))
 	}
-	r.haveRead()
-	if !r.last.IsZero() {
-		r.paused(now, now.Sub(r.last))
+	att.prefillDone()
+	if !att.lastEvent.IsZero() {
+		att.observeGap(now, now.Sub(att.lastEvent))
 	}
-	r.last = now
-	if r.pace.came(now) {
-		r.pool.paced(r.upstream, r.pace)
+	att.lastEvent = now
+	if att.intervals.observe(now) {
+		att.pool.observeIntervals(att.upstream, att.intervals)
 	}
 }
 
-// haveRead notes once that the prompt was read: the first event came, or the end.
-func (r *run) haveRead() {
-	if !r.read {
-		r.read = true
-		r.pool.read(r.upstream, r.choice.Unread)
+// prefillDone records once that the prompt is prefilled: the first event arrived, or the attempt ended.
+func (att *attempt) prefillDone() {
+	if !att.prefilled {
+		att.prefilled = true
+		att.pool.prefillDone(att.upstream, att.choice.PrefillTokens)
 	}
 }
 
-// paused notes a pause between two events.
-func (r *run) paused(now time.Time, pause time.Duration) {
-	if pause > r.pause.For {
-		r.pause = serving.Pause{For: pause, Beside: r.pool.load(r.upstream)}
+// observeGap records the gap between two events.
+func (att *attempt) observeGap(now time.Time, gap time.Duration) {
+	if gap > att.longestGap.Duration {
+		att.longestGap = serving.Gap{Duration: gap, ConcurrentLoad: att.pool.load(att.upstream)}
 	}
-	if r.goal > 0 {
-		r.pauses.note(now, float64(pause)/float64(r.goal)/r.slowness)
+	if att.goal > 0 {
+		att.gaps.observe(now, float64(gap)/float64(att.goal)/att.slowness)
 	}
 }
 
 // done implements serving.Target's Done.
-func (r *run) done(a serving.Attempt) serving.Attempt {
-	r.haveRead()
-	r.pool.done(r.upstream, a)
-	a.Cost, a.Unread, a.Pause = r.choice.Cost, r.choice.Unread, r.pause
+func (att *attempt) done(a serving.Attempt) serving.Attempt {
+	att.prefillDone()
+	att.pool.attemptDone(att.upstream, a)
+	a.Cost, a.PendingPrefill, a.Gap = att.choice.Cost, att.choice.PrefillTokens, att.longestGap
 	return a
 }
