--- a/openai/answer.go
+++ b/openai/answer.go
@@ -5,14 +5,14 @@
 	"encoding/json"
 )
 
-// Usage is what an engine says that an answer cost.
+// Usage is the token usage that an engine reports for an answer.
 type Usage struct {
 	PromptTokens     int64 `json:"prompt_tokens"`
 	CompletionTokens int64 `json:"completion_tokens"`
 	TotalTokens      int64 `json:"total_tokens"`
 }
 
-// Choice is one completion, whole or in part.
+// Choice is one completion, or a part of one in a stream.
 type Choice struct {
 	Index        int      `json:"index"`
 	Text         string   `json:"text,omitempty"`
@@ -21,13 +21,13 @@
 	FinishReason *string  `json:"finish_reason"`
 }
 
-// Message is a text with its role.
+// Message is a chat message with the role of its author.
 type Message struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
 }
 
-// Chunk is one event of a stream, or a whole answer.
+// Chunk is one event of a stream, or a complete answer that is not streamed.
 type Chunk struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -36,23 +36,23 @@
 	Usage   *Usage   `json:"usage,omitempty"`
 }
 
-// Server-sent events.
+// Field prefix of server-sent events, and the data that ends a stream.
 var (
 	DataPrefix = []byte("data: ")
 	doneMark   = []byte("[DONE]")
 )
 
-// Meter counts what passes of an answer.
+// Meter counts the tokens of an answer as it is forwarded.
 type Meter struct {
 	// Outputs counts the pieces of text; each is at least one token.
 	Outputs int64
-	// Usage is the engine's own count, once it came.
+	// Usage is the usage that the engine reported, nil until then.
 	Usage *Usage
-	// Done says that the end of a stream was seen.
+	// Done reports whether the answer is complete.
 	Done bool
 }
 
-// Line takes note of one line of a stream.
+// Line records one line of a stream.
 func (m *Meter) Line(line []byte) {
 	data, ok := bytes.CutPrefix(bytes.TrimSpace(line), bytes.TrimSpace(DataPrefix))
 	if !ok {
@@ -70,7 +70,7 @@
 	m.chunk(c)
 }
 
-// Whole takes note of an answer that is not streamed.
+// Whole records the body of an answer that is not streamed.
 func (m *Meter) Whole(body []byte) {
 	var c Chunk
 	if json.Unmarshal(body, &c) == nil {
@@ -90,8 +90,8 @@
 	}
 }
 
-// Billed returns what the answer costs: the engine's usage where it came, else what
-// was seen to pass.
+// Billed returns the tokens to bill: the engine's usage if it was reported, otherwise
+// the pieces of text counted.
 func (m *Meter) Billed() int64 {
 	if m.Usage == nil {
 		return m.Outputs
--- a/openai/openai_test.go
+++ b/openai/openai_test.go
@@ -20,8 +20,8 @@
 	require.Equal(t, int64(64), r.OutputLimit)
 }
 
-// A stream ends without its last event: the meter must not take it for a whole one,
-// and bills what passed.
+// A stream that ends before its last event must not count as complete, and is billed by
+// the pieces received.
 func TestMeter(t *testing.T) {
 	var m Meter
 	for _, line := range []string{": comment", "", `data: {"choices":[{"delta":{"role":"assistant","content":""}}]}`,
@@ -36,7 +36,7 @@
 	require.Equal(t, int64(7), m.Billed())
 }
 
-// No body may crash the router, and what it lets through must be bounded.
+// No body may crash the parser, and accepted requests must have bounded limits.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"model":"m","messages":[{"role":"user","content":"hi"}]}`))
 	f.Add([]byte(`{"model":"m","n":-1,"max_tokens":99999999999999999999,"messages":[{}]}`))
--- a/openai/request.go
+++ b/openai/request.go
@@ -1,5 +1,5 @@
-// Package openai reads and writes the parts of the published OpenAI API that the
-// system needs: what a request may cost at most, and what an answer says it cost.
+// Package openai parses and writes the parts of the published OpenAI API that the
+// system needs: the maximum cost of a request, and the usage that an answer reports.
 package openai
 
 import (
@@ -17,34 +17,36 @@
 	ModelsPath      = "/v1/models"
 )
 
-// Bounds of what a prompt costs beside its text. A token covers at least one
-// byte, so the body's length bounds the prompt; the chat template adds tokens for
-// each message and around the whole.
+// Bounds on the tokens of a prompt beyond its text. A token covers at least one
+// byte, so the body's length bounds the text; the chat template adds tokens for
+// each message and around the prompt. maxChoices bounds the choices of a request.
 const (
 	tokensPerMessage = 16
 	tokensPerPrompt  = 64
 	maxChoices       = 8
 )
 
-// prefixBytes is how much of a prompt decides which engine probably has it cached.
+// prefixBytes is the length of the prompt prefix that PrefixKey hashes, by which an
+// engine that probably has it cached is chosen.
 const prefixBytes = 1024
 
-// Request is a checked request for a completion.
+// Request is a validated request for a completion.
 type Request struct {
 	Model  string
 	Stream bool
-	// PromptBound is the most tokens that the prompt can be.
+	// PromptBound is an upper bound on the prompt's tokens.
 	PromptBound int64
-	// OutputLimit is the most output tokens, over all choices.
+	// OutputLimit is the maximum number of output tokens: per choice as requested, 0
+	// for none, and after Bind over all choices.
 	OutputLimit int64
-	// PrefixKey names the beginning of the conversation.
+	// PrefixKey is a hash of the beginning of the conversation.
 	PrefixKey uint64
-	// Body is what goes to the engine: the caller's request with the output
-	// limit, the priority and the wish for a usage chunk set.
+	// Body is the body sent to the engine: after Bind, the caller's request with the
+	// output limit, the priority and the option for a usage chunk set.
 	Body []byte
 }
 
-// body is what is read of a request; everything else passes through.
+// body holds the fields of a request that are read; all others are forwarded unchanged.
 type body struct {
 	Model               string          `json:"model"`
 	Stream              bool            `json:"stream"`
@@ -66,12 +68,12 @@
 	Text string `json:"text"`
 }
 
-// streamOptions asks for the usage chunk at the end of a stream.
+// streamOptions requests the usage chunk at the end of a stream.
 type streamOptions struct {
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// Parse checks a request for the path, and returns why it is refused if it is.
+// Parse validates a request to the path, and returns a refusal if it is invalid.
 func Parse(path string, raw []byte) (*Request, *contract.Refusal) {
 	var b body
 	if err := json.Unmarshal(raw, &b); err != nil {
@@ -94,8 +96,8 @@
 	}, b.checkCounts()
 }
 
-// text returns the prompt's text, and refuses what is not text: an image's bytes do
-// not bound its tokens.
+// text returns the prompt's text, and refuses other content: an image's length in
+// bytes does not bound its tokens.
 func (b *body) text(path string) (string, *contract.Refusal) {
 	if path == CompletionsPath {
 		var s string
@@ -160,16 +162,17 @@
 	return nil
 }
 
-// Bind sets the output limit and the priority in the body, and asks for usage. The
-// limit that is set is for one choice; OutputLimit becomes that of all.
-func (r *Request) Bind(most int64, class contract.Class) error {
+// Bind sets the output limit, at most maxOutput tokens, and the priority in the body,
+// and requests a usage report. The limit in the body is for one choice; OutputLimit
+// becomes the sum over all choices.
+func (r *Request) Bind(maxOutput int64, class contract.Class) error {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(r.Body, &fields); err != nil {
 		return err
 	}
 	limit := r.OutputLimit
-	if limit == 0 || limit > most {
-		limit = most
+	if limit == 0 || limit > maxOutput {
+		limit = maxOutput
 	}
 	set := map[string]any{"max_tokens": limit, "priority": int(class)}
 	if r.Stream {
@@ -183,13 +186,13 @@
 		}
 		fields[k] = b
 	}
-	r.OutputLimit = limit * choices(fields["n"])
+	r.OutputLimit = limit * choiceCount(fields["n"])
 	out, err := json.Marshal(fields)
 	r.Body = out
 	return err
 }
 
-func choices(n json.RawMessage) int64 {
+func choiceCount(n json.RawMessage) int64 {
 	var v int64
 	if json.Unmarshal(n, &v) != nil || v < 1 {
 		return 1
