--- a/billing/sender.go
+++ b/billing/sender.go
@@ -1,4 +1,4 @@
-// Package billing takes charges to the routers that own the ledger's shards.
+// Package billing sends charges to the routers that own the ledger's shards.
 package billing
 
 import (
@@ -17,24 +17,25 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("billing")
 
-// avoidTime is how long a router that did not answer is passed over.
-const avoidTime = 3 * time.Second
+// cooldown is how long a router is skipped after a failed call.
+const cooldown = 3 * time.Second
 
-// Sender is a ledger.Sender: it sends a shard's charges to the shard's owner, the
-// first router by rendezvous. Any router may append to any shard, since the log is
-// its own fence; one owner only keeps writers out of each other's way.
+// Sender is a ledger.Sender that sends a shard's charges to the shard's owner, the
+// first router by rendezvous hashing. Any router may safely append to any shard, since
+// the log fences concurrent writers; a single owner only avoids conflicts between them.
 type Sender struct {
-	// Self is this VM's id; Local appends here when it is the owner. Local is
-	// nil in agents.
+	// Self is the id of this VM; Local appends in this process if the VM is the
+	// owner. Local is nil in agents.
 	Self  string
 	Local func(ctx context.Context, shard int, charges []ledger.Charge) (int64, error)
 	Links *link.Pool
 	View  *vm.View
-	// Timeout bounds one send.
+	// Timeout bounds one call to an owner.
 	Timeout time.Duration
 
-	mu    sync.Mutex
-	avoid map[string]time.Time
+	mu sync.Mutex
+	// cooldowns maps a router to the end of its cooldown.
+	cooldowns map[string]time.Time
 }
 
 var _ ledger.Sender = (*Sender)(nil)
@@ -53,13 +54,13 @@
 	var out link.AppendReply
 	err := s.Links.Call(ctx, owner.Link, link.MethodAppend, link.AppendRequest{Shard: shard, Charges: charges}, &out)
 	if err != nil {
-		s.pass(owner.ID)
+		s.startCooldown(owner.ID)
 		return 0, err
 	}
 	return out.Floor, nil
 }
 
-// owner returns the first router that is not passed over; when all are, the first.
+// owner returns the first router that is not in cooldown; if all are, the first.
 func (s *Sender) owner(shard int) (vm.VM, bool) {
 	routers := s.View.Routers()
 	byID := map[string]vm.VM{}
@@ -75,18 +76,18 @@
 	defer s.mu.Unlock()
 	now := time.Now()
 	for _, id := range ranked {
-		if now.After(s.avoid[id]) {
+		if now.After(s.cooldowns[id]) {
 			return byID[id], true
 		}
 	}
 	return byID[ranked[0]], true
 }
 
-func (s *Sender) pass(id string) {
+func (s *Sender) startCooldown(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.avoid == nil {
-		s.avoid = map[string]time.Time{}
+	if s.cooldowns == nil {
+		s.cooldowns = map[string]time.Time{}
 	}
-	s.avoid[id] = time.Now().Add(avoidTime)
+	s.cooldowns[id] = time.Now().Add(cooldown)
 }
