--- a/hop/headers.go
+++ b/hop/headers.go
@@ -1,5 +1,5 @@
-// Package hop has what both hops of a request need: caller to router to agent to
-// upstream.
+// Package hop has the HTTP helpers for forwarding a request from one hop to the next:
+// caller to router to agent to upstream.
 package hop
 
 import (
@@ -9,15 +9,16 @@
 	"github.com/arbutusmill/arbutusmill/contract"
 )
 
-// hopHeaders are meant for one connection only (RFC 9110, 7.6.1), or are the
-// system's own; they are not passed on.
+// hopHeaders apply to one connection only (RFC 9110, 7.6.1) or are internal to the
+// system; they are not forwarded.
 var hopHeaders = map[string]bool{
 	"Connection": true, "Proxy-Connection": true, "Keep-Alive": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Authorization": true, contract.WorkHeader: true, contract.RefusalHeader: true,
 }
 
-// CopyHeaders copies what may be passed on from one hop to the next.
+// CopyHeaders copies the headers that may be forwarded from one hop to the next. It
+// skips those that the Connection header names.
 func CopyHeaders(dst, src http.Header) {
 	named := map[string]bool{}
 	for _, v := range src.Values("Connection") {
--- a/hop/oneshot.go
+++ b/hop/oneshot.go
@@ -2,9 +2,8 @@
 
 import "io"
 
-// OneShot is a body that net/http cannot send a second time by itself. With a body that it
-// can rewind it would repeat requests on its own when a kept connection breaks, also those
-// that must not run twice.
+// OneShot is a request body that net/http cannot rewind. If it could, the transport would
+// retry a request when a keep-alive connection breaks, also one that must not run twice.
 type OneShot struct{ io.Reader }
 
 // Close implements io.Closer.
--- a/hop/sent.go
+++ b/hop/sent.go
@@ -6,11 +6,11 @@
 	"sync/atomic"
 )
 
-// Sent notes whether a request got a connection. Before that nothing can have reached
-// the other side, so "not run" is true; after that it may have.
+// Sent records whether a request got a connection. Until then nothing can have reached
+// the server, so the request was certainly not run; afterwards it may have been.
 type Sent struct{ got atomic.Bool }
 
-// Trace returns a context whose request is watched.
+// Trace returns a context for the request to record.
 func (s *Sent) Trace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { s.got.Store(true) },
