--- a/memnet/memnet.go
+++ b/memnet/memnet.go
@@ -1,5 +1,5 @@
-// Package memnet is a network in memory for tests. Connections are pipes between
-// goroutines, so whole processes can run in virtual time.
+// Package memnet is an in-memory network for tests. Connections are pipes between
+// goroutines, so complete processes can run in virtual time.
 package memnet
 
 import (
@@ -13,18 +13,18 @@
 	"syscall"
 )
 
-// ErrRefused is what a dial gets where nobody listens.
+// ErrRefused is returned by a dial to an address without a listener.
 var ErrRefused = fmt.Errorf("memnet: %w", syscall.ECONNREFUSED)
 
-// ErrReset is what a read gets after the other end was reset.
+// ErrReset is returned by a read after the other end was reset.
 var ErrReset = errors.New("connection reset")
 
-// Network connects listeners and dials by address. The zero value is empty.
+// Network connects dials to listeners by address. The zero value has no listeners.
 type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
-	// dark addresses take connections and answer nothing.
-	dark map[string]bool
+	// blackholed addresses never respond: a dial blocks until its context ends.
+	blackholed map[string]bool
 }
 
 // Listen opens an address, as net.Listen does.
@@ -35,7 +35,7 @@
 		n.listeners = map[string]*listener{}
 	}
 	if n.listeners[address] != nil {
-		return nil, errors.New("address in use: " + address)
+		return nil, errors.New("address already in use: " + address)
 	}
 	l := &listener{network: n, address: addr(address), conns: make(chan net.Conn), closed: make(chan struct{})}
 	n.listeners[address] = l
@@ -45,19 +45,19 @@
 // Dial connects to an address, as net.Dialer.DialContext does.
 func (n *Network) Dial(ctx context.Context, _, address string) (net.Conn, error) {
 	n.mu.Lock()
-	l, dark := n.listeners[address], n.dark[address]
+	l, blackholed := n.listeners[address], n.blackholed[address]
 	n.mu.Unlock()
-	if dark {
+	if blackholed {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	if l == nil {
 		return nil, ErrRefused
 	}
-	near, far := pipe()
+	client, server := pipe()
 	select {
-	case l.conns <- far:
-		return near, nil
+	case l.conns <- server:
+		return client, nil
 	case <-l.closed:
 		return nil, ErrRefused
 	case <-ctx.Done():
@@ -65,14 +65,15 @@
 	}
 }
 
-// SetDark makes an address answer no new connection, or answer again.
-func (n *Network) SetDark(address string, dark bool) {
+// SetDark makes new dials to an address block until their context ends, or connect again.
+// Open connections are not affected.
+func (n *Network) SetDark(address string, blackholed bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.dark == nil {
-		n.dark = map[string]bool{}
+	if n.blackholed == nil {
+		n.blackholed = map[string]bool{}
 	}
-	n.dark[address] = dark
+	n.blackholed[address] = blackholed
 }
 
 type listener struct {
@@ -110,34 +111,34 @@
 // Conn is one end of a connection.
 type Conn struct {
 	net.Conn
-	// broken is shared by both ends.
-	broken *atomic.Bool
+	// reset is shared by both ends; it is set once one of them was reset.
+	reset *atomic.Bool
 }
 
 // pipe returns the two ends of a connection.
-func pipe() (near, far *Conn) {
+func pipe() (client, server *Conn) {
 	a, b := net.Pipe()
-	broken := &atomic.Bool{}
-	return &Conn{a, broken}, &Conn{b, broken}
+	reset := &atomic.Bool{}
+	return &Conn{a, reset}, &Conn{b, reset}
 }
 
-// Reset ends the connection so that the other end's reads fail, where Close would let
-// them end as if all had been sent.
+// Reset closes the connection and makes reads on the other end fail with ErrReset; after
+// Close they return io.EOF.
 func (c *Conn) Reset() {
-	c.broken.Store(true)
-	_ = c.Close() // a pipe's never fails
+	c.reset.Store(true)
+	_ = c.Close() // closing a pipe never fails
 }
 
 // Read implements net.Conn.
 func (c *Conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if errors.Is(err, io.EOF) && c.broken.Load() {
+	if errors.Is(err, io.EOF) && c.reset.Load() {
 		err = ErrReset
 	}
 	return n, err
 }
 
-// addr is an address as net.Addr.
+// addr implements net.Addr.
 type addr string
 
 // Network implements net.Addr.
