--- a/etcd/etcd.go
+++ b/etcd/etcd.go
@@ -1,4 +1,4 @@
-// Package etcd is a store over the published JSON form of the etcd v3 API.
+// Package etcd implements store.Store over the JSON gateway of the etcd v3 API.
 package etcd
 
 import (
@@ -19,16 +19,18 @@
 type Store struct {
 	// URL is the base address, such as http://127.0.0.1:2379.
 	URL string
-	// Client sends the calls. It must have no overall timeout, for watches.
+	// Client sends the calls. It must have no overall timeout, which would end
+	// watches.
 	Client *http.Client
-	// Timeout bounds each call but watches.
+	// Timeout bounds each call except watches.
 	Timeout time.Duration
 }
 
 var _ store.Store = (*Store)(nil)
 
-// call posts a JSON request and decodes the JSON answer. Every failure counts as
-// an unknown outcome: a write may have taken effect before its answer was lost.
+// call posts a JSON request and decodes the JSON response. A transport
+// error or an unmapped status counts as an unknown outcome: a write may have taken
+// effect before its response was lost.
 func (e *Store) call(ctx context.Context, path string, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, e.Timeout)
 	defer cancel()
@@ -38,7 +40,7 @@
 	}
 	defer resp.Body.Close()
 	if err := json.NewDecoder(resp.Body).Decode(out); err != nil {
-		return unknown(path, err)
+		return unknownOutcome(path, err)
 	}
 	return nil
 }
@@ -55,7 +57,7 @@
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := e.Client.Do(req)
 	if err != nil {
-		return nil, unknown(path, err)
+		return nil, unknownOutcome(path, err)
 	}
 	if resp.StatusCode != http.StatusOK {
 		defer resp.Body.Close()
@@ -64,14 +66,15 @@
 	return resp, nil
 }
 
-func unknown(path string, err error) error {
+func unknownOutcome(path string, err error) error {
 	return store.Error.Wrap(fmt.Errorf("%s: %w: %w", path, store.ErrUnknown, err))
 }
 
-// maxErrorBytes bounds what is read of an error's body.
+// maxErrorBytes bounds how much of an error's body is read.
 const maxErrorBytes = 4 << 10
 
-// statusError maps the gRPC messages that mean something definite.
+// statusError maps the gRPC error messages with a definite outcome; the outcome of all
+// others is unknown.
 func statusError(path string, resp *http.Response) error {
 	b, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes))
 	text := string(b)
@@ -81,7 +84,7 @@
 	case strings.Contains(text, "request is too large"):
 		return store.Error.Wrap(store.ErrTooLarge)
 	}
-	return unknown(path, fmt.Errorf("status %d: %.200s", resp.StatusCode, text))
+	return unknownOutcome(path, fmt.Errorf("status %d: %.200s", resp.StatusCode, text))
 }
 
 // Get implements store.Store.
@@ -107,8 +110,8 @@
 	return e.read(ctx, RangeRequest{Key: []byte(prefix), RangeEnd: prefixEnd(prefix)})
 }
 
-// Peek implements store.Store by a serializable read, which one member of the store
-// answers alone.
+// Peek implements store.Store with a serializable read, which a single member of the
+// cluster answers without consensus.
 func (e *Store) Peek(ctx context.Context, prefix string) ([]store.Item, error) {
 	in := RangeRequest{Key: []byte(prefix), RangeEnd: prefixEnd(prefix), Serializable: true}
 	items, _, err := e.read(ctx, in)
@@ -133,16 +136,16 @@
 		return 0, store.Error.Wrap(store.ErrTooLarge)
 	}
 	put := &PutRequest{Key: []byte(key), Value: value, Lease: int64(lease)}
-	return e.swap(ctx, key, expect, RequestOp{Put: put})
+	return e.compareAndApply(ctx, key, expect, RequestOp{Put: put})
 }
 
 // Delete implements store.Store.
 func (e *Store) Delete(ctx context.Context, key string, expect store.Revision) error {
-	_, err := e.swap(ctx, key, expect, RequestOp{DeleteRange: &DeleteRangeRequest{Key: []byte(key)}})
+	_, err := e.compareAndApply(ctx, key, expect, RequestOp{DeleteRange: &DeleteRangeRequest{Key: []byte(key)}})
 	return err
 }
 
-func (e *Store) swap(ctx context.Context, key string, expect store.Revision, op RequestOp) (store.Revision, error) {
+func (e *Store) compareAndApply(ctx context.Context, key string, expect store.Revision, op RequestOp) (store.Revision, error) {
 	in := TxnRequest{
 		Compare: []Compare{{Key: []byte(key), Target: "MOD", Result: "EQUAL", ModRevision: int64(expect)}},
 		Success: []RequestOp{op},
@@ -189,7 +192,7 @@
 	return err
 }
 
-// watchBuffer bounds the events that wait for the reader of a watch.
+// watchBuffer is the number of events buffered for the receiver of a watch.
 const watchBuffer = 64
 
 // Watch implements store.Store.
@@ -225,7 +228,8 @@
 	}
 }
 
-// prefixEnd is the first key after all keys with the prefix, as the API wants it.
+// prefixEnd returns the first key after all keys with the prefix, or a zero byte if
+// there is none, which the API reads as no upper bound.
 func prefixEnd(prefix string) []byte {
 	end := []byte(prefix)
 	for i := len(end) - 1; i >= 0; i-- {
--- a/etcd/json.go
+++ b/etcd/json.go
@@ -4,14 +4,14 @@
 
 // The messages below are those of the etcd v3 API in their published JSON form
 // (etcd documentation, "gRPC gateway"): bytes are base64, 64-bit integers are
-// strings, zero values are left out. The stand-in of the platform uses them too.
+// strings, zero values are omitted. The stand-in of the platform uses them too.
 
-// Header is the common part of answers.
+// Header is the header common to all responses.
 type Header struct {
 	Revision int64 `json:"revision,omitempty,string"`
 }
 
-// KeyValue is one key.
+// KeyValue is a key with its value and revisions.
 type KeyValue struct {
 	Key         []byte `json:"key"`
 	Value       []byte `json:"value,omitempty"`
@@ -25,16 +25,16 @@
 		Created: store.Revision(kv.CreateRevision)}
 }
 
-// RangeRequest reads a key, or the keys from Key up to RangeEnd.
+// RangeRequest reads a key, or the keys from Key up to RangeEnd, exclusive.
 type RangeRequest struct {
 	Key      []byte `json:"key"`
 	RangeEnd []byte `json:"range_end,omitempty"`
 	Limit    int64  `json:"limit,omitempty,string"`
-	// Serializable reads may be out of date.
+	// Serializable allows a stale read.
 	Serializable bool `json:"serializable,omitempty"`
 }
 
-// RangeResponse answers a RangeRequest.
+// RangeResponse is the response to a RangeRequest.
 type RangeResponse struct {
 	Header Header     `json:"header"`
 	KVs    []KeyValue `json:"kvs,omitempty"`
@@ -48,7 +48,7 @@
 	Lease int64  `json:"lease,omitempty,string"`
 }
 
-// DeleteRangeRequest removes a key.
+// DeleteRangeRequest deletes a key.
 type DeleteRangeRequest struct {
 	Key []byte `json:"key"`
 }
@@ -67,24 +67,24 @@
 	ModRevision int64  `json:"mod_revision,string"`
 }
 
-// TxnRequest runs Success if every condition holds.
+// TxnRequest executes Success if every condition holds.
 type TxnRequest struct {
 	Compare []Compare   `json:"compare"`
 	Success []RequestOp `json:"success"`
 }
 
-// TxnResponse answers a TxnRequest.
+// TxnResponse is the response to a TxnRequest.
 type TxnResponse struct {
 	Header    Header `json:"header"`
 	Succeeded bool   `json:"succeeded,omitempty"`
 }
 
-// LeaseGrantRequest makes a lease of TTL seconds.
+// LeaseGrantRequest creates a lease of TTL seconds.
 type LeaseGrantRequest struct {
 	TTL int64 `json:"TTL,string"`
 }
 
-// LeaseGrantResponse answers a LeaseGrantRequest.
+// LeaseGrantResponse is the response to a LeaseGrantRequest.
 type LeaseGrantResponse struct {
 	ID  int64 `json:"ID,string"`
 	TTL int64 `json:"TTL,string"`
@@ -95,13 +95,13 @@
 	ID int64 `json:"ID,string"`
 }
 
-// LeaseKeepAliveResult answers a LeaseKeepAliveRequest; a TTL of 0 says that the
-// lease is gone.
+// LeaseKeepAliveResult is the response to a LeaseKeepAliveRequest; a TTL of 0 means
+// that the lease no longer exists.
 type LeaseKeepAliveResult struct {
 	Result LeaseGrantResponse `json:"result"`
 }
 
-// LeaseRevokeRequest ends a lease.
+// LeaseRevokeRequest revokes a lease.
 type LeaseRevokeRequest struct {
 	ID int64 `json:"ID,string"`
 }
@@ -111,7 +111,7 @@
 	Create WatchCreateRequest `json:"create_request"`
 }
 
-// WatchCreateRequest is what to watch.
+// WatchCreateRequest holds the key range to watch and the first revision.
 type WatchCreateRequest struct {
 	Key            []byte `json:"key"`
 	RangeEnd       []byte `json:"range_end,omitempty"`
@@ -124,7 +124,7 @@
 	Result WatchResponse `json:"result"`
 }
 
-// WatchResponse carries events, or none: then it is a progress mark.
+// WatchResponse holds events; without any it is a progress notification.
 type WatchResponse struct {
 	Header          Header       `json:"header"`
 	Created         bool         `json:"created,omitempty"`
@@ -133,10 +133,10 @@
 	Events          []WatchEvent `json:"events,omitempty"`
 }
 
-// EventDelete is the type of a removal; puts have the zero value.
+// EventDelete is the event type of a deletion; a put has the zero value.
 const EventDelete = "DELETE"
 
-// WatchEvent is one change.
+// WatchEvent is the change of one key.
 type WatchEvent struct {
 	Type string   `json:"type,omitempty"`
 	KV   KeyValue `json:"kv"`
