--- a/standin/engine.go
+++ b/standin/engine.go
@@ -13,39 +13,41 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// EngineOptions are the traits of a stand-in engine.
+// EngineOptions configure a stand-in engine.
 type EngineOptions struct {
-	// Step is the time of one step; each running request gets one token in it.
+	// Step is the duration of one step, in which each running request without
+	// pending prefill generates one token.
 	Step time.Duration
-	// Slots is the most requests that run in one step.
+	// Slots is the maximum number of requests in one batch.
 	Slots int
-	// PrefillTokens is how many prompt tokens one step reads.
+	// PrefillTokens is the number of prompt tokens that a request prefills in one step.
 	PrefillTokens int
-	// CacheBlocks bounds the cached prefix blocks.
+	// CacheBlocks is the maximum number of cached prefix blocks.
 	CacheBlocks int
 	// LoadLag is the age of the load report.
 	LoadLag time.Duration
-	// ChecksFencing makes the engine refuse orders with an old number.
+	// ChecksFencing makes the engine reject orders with an old fencing number.
 	ChecksFencing bool
 	// Overrun adds this many tokens to each usage report.
 	Overrun int64
 }
 
-// DefaultEngineOptions are those of a small engine.
+// DefaultEngineOptions returns the options of a small engine.
 func DefaultEngineOptions() EngineOptions {
 	return EngineOptions{Step: 6 * time.Millisecond, Slots: 8, PrefillTokens: 512, CacheBlocks: 4096,
 		LoadLag: 500 * time.Millisecond, ChecksFencing: true}
 }
 
-// blockBytes is the size of a cached prefix block; bytesPerToken is how the
-// stand-in counts tokens.
+// blockBytes is the size of a cached prefix block; bytesPerToken is the number of
+// bytes that the stand-in counts as one token.
 const (
 	blockBytes    = 64
 	bytesPerToken = 4
 )
 
-// Engine is a stand-in of a model engine: it batches continuously, caches prefixes
-// and honours priorities. What it generates says how long it was.
+// Engine is a stand-in of a model engine with continuous batching, a prefix cache and
+// request priorities. The tokens it generates are numbered, so an answer shows its
+// length.
 type Engine struct {
 	opt EngineOptions
 
@@ -53,14 +55,15 @@
 	waiting []*sequence
 	running []*sequence
 	cache   map[uint64]bool
-	order   []uint64
-	served  Served
-	fencing int64
-	reports []loadReport
-	wake    chan struct{}
+	// cacheOrder lists the cached blocks from oldest to newest, for eviction.
+	cacheOrder []uint64
+	served     Served
+	fencing    int64
+	reports    []loadReport
+	wake       chan struct{}
 }
 
-// Served is the engine's own count of what it did.
+// Served counts the work that the engine has done.
 type Served struct {
 	Requests         int64            `json:"requests"`
 	PromptTokens     int64            `json:"prompt_tokens"`
@@ -69,7 +72,7 @@
 	ByKey            map[string]int64 `json:"runs_by_key"`
 }
 
-// loadReport is the load at a moment.
+// loadReport is the engine's load at one point in time.
 type loadReport struct {
 	at               time.Time
 	Running, Waiting int
@@ -77,20 +80,20 @@
 
 // sequence is one request in the engine.
 type sequence struct {
-	ctx      context.Context
-	priority int
-	prefill  int // prompt tokens still to read
-	left     int64
-	out      chan int64 // numbers of the generated tokens
-	made     int64
+	ctx            context.Context
+	priority       int
+	pendingPrefill int // prompt tokens still to be prefilled
+	remaining      int64
+	tokens         chan int64 // numbers of the generated tokens, from 1
+	generated      int64
 }
 
-// NewEngine returns an engine; Run makes it step.
+// NewEngine returns an engine, which generates tokens while Run executes.
 func NewEngine(opt EngineOptions) *Engine {
 	return &Engine{opt: opt, cache: map[uint64]bool{}, served: Served{ByKey: map[string]int64{}}, wake: make(chan struct{}, 1)}
 }
 
-// Run steps while there is work, until the context ends.
+// Run executes steps while there is work, until the context ends.
 func (e *Engine) Run(ctx context.Context) {
 	t := time.NewTicker(e.opt.Step)
 	defer t.Stop()
@@ -111,23 +114,23 @@
 	}
 }
 
-// step runs one batch; it reports whether anything is left to do.
+// step runs one batch and reports whether any request is left.
 func (e *Engine) step() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.admitLocked()
-	kept := e.running[:0]
+	active := e.running[:0]
 	for _, s := range e.running {
 		if e.advanceLocked(s) {
-			kept = append(kept, s)
+			active = append(active, s)
 		}
 	}
-	e.running = kept
+	e.running = active
 	e.reportLocked()
 	return len(e.running)+len(e.waiting) > 0
 }
 
-// admitLocked fills the batch, the lowest priority number first.
+// admitLocked fills the batch with waiting requests, the lowest priority number first.
 func (e *Engine) admitLocked() {
 	slices.SortStableFunc(e.waiting, func(a, b *sequence) int { return a.priority - b.priority })
 	for len(e.running) < e.opt.Slots && len(e.waiting) > 0 {
@@ -136,30 +139,30 @@
 	}
 }
 
-// advanceLocked gives a sequence its part of a step; it reports whether it goes on.
+// advanceLocked runs one step of a sequence and reports whether it continues.
 func (e *Engine) advanceLocked(s *sequence) bool {
 	if s.ctx.Err() != nil {
-		close(s.out)
+		close(s.tokens)
 		return false
 	}
-	if s.prefill > 0 {
-		n := min(s.prefill, e.opt.PrefillTokens)
-		s.prefill -= n
+	if s.pendingPrefill > 0 {
+		n := min(s.pendingPrefill, e.opt.PrefillTokens)
+		s.pendingPrefill -= n
 		e.served.PrefilledTokens += int64(n)
 		return true
 	}
-	s.made++
-	s.left--
+	s.generated++
+	s.remaining--
 	e.served.CompletionTokens++
-	s.out <- s.made // never blocks: the channel has room for all
-	if s.left <= 0 {
-		close(s.out)
+	s.tokens <- s.generated // never blocks: the channel's buffer holds all tokens
+	if s.remaining <= 0 {
+		close(s.tokens)
 		return false
 	}
 	return true
 }
 
-// reportLocked keeps the load reports as long as they may still be shown.
+// reportLocked adds a load report and drops those that are older than the one to show.
 func (e *Engine) reportLocked() {
 	now := time.Now()
 	e.reports = append(e.reports, loadReport{at: now, Running: len(e.running), Waiting: len(e.waiting)})
@@ -172,15 +175,15 @@
 // /control/served.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+openai.ChatPath, e.complete)
-	mux.HandleFunc("POST "+openai.CompletionsPath, e.complete)
-	mux.HandleFunc("GET /load", e.load)
-	mux.HandleFunc("POST /orders", e.takeOrder)
-	mux.HandleFunc("GET /control/served", func(w http.ResponseWriter, _ *http.Request) { reply(w, e.Served()) })
+	mux.HandleFunc("POST "+openai.ChatPath, e.handleCompletion)
+	mux.HandleFunc("POST "+openai.CompletionsPath, e.handleCompletion)
+	mux.HandleFunc("GET /load", e.handleLoad)
+	mux.HandleFunc("POST /orders", e.handleOrder)
+	mux.HandleFunc("GET /control/served", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Served()) })
 	return mux
 }
 
-// Served returns the engine's own count.
+// Served returns a copy of the engine's counters.
 func (e *Engine) Served() Served {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -192,14 +195,14 @@
 	return s
 }
 
-func (e *Engine) load(w http.ResponseWriter, _ *http.Request) {
+func (e *Engine) handleLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var r loadReport
 	if len(e.reports) > 0 {
 		r = e.reports[0]
 	}
-	reply(w, r)
+	writeJSON(w, r)
 }
 
 // order is an operator's order to an engine.
@@ -209,9 +212,9 @@
 	Name    string `json:"name"`
 }
 
-func (e *Engine) takeOrder(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var o order
-	if !read(w, r, &o) {
+	if !readJSON(w, r, &o) {
 		return
 	}
 	e.mu.Lock()
@@ -221,10 +224,10 @@
 		return
 	}
 	e.fencing = max(e.fencing, o.Fencing)
-	reply(w, o)
+	writeJSON(w, o)
 }
 
-// engineRequest is what the stand-in reads of a request.
+// engineRequest holds the fields of a request that the stand-in reads.
 type engineRequest struct {
 	Model     string           `json:"model"`
 	Stream    bool             `json:"stream"`
@@ -242,44 +245,45 @@
 	return t
 }
 
-func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleCompletion(w http.ResponseWriter, r *http.Request) {
 	var in engineRequest
-	if !read(w, r, &in) {
+	if !readJSON(w, r, &in) {
 		return
 	}
 	text := in.text()
 	prompt := int64(len(text)/bytesPerToken + 1)
 	seq := e.submit(r, in, text, prompt)
-	usage := func(made int64) *openai.Usage {
-		return &openai.Usage{PromptTokens: prompt, CompletionTokens: made + e.opt.Overrun, TotalTokens: prompt + made + e.opt.Overrun}
+	usage := func(generated int64) *openai.Usage {
+		return &openai.Usage{PromptTokens: prompt, CompletionTokens: generated + e.opt.Overrun, TotalTokens: prompt + generated + e.opt.Overrun}
 	}
 	if in.Stream {
-		stream(w, in.Model, seq, usage)
+		writeStream(w, in.Model, seq, usage)
 		return
 	}
 	var out string
-	var made int64
-	for n := range seq.out {
-		made = n
-		out += word(n)
+	var generated int64
+	for n := range seq.tokens {
+		generated = n
+		out += tokenText(n)
 	}
 	stop := "stop"
-	reply(w, openai.Chunk{ID: "standin", Object: "chat.completion", Model: in.Model, Usage: usage(made),
+	writeJSON(w, openai.Chunk{ID: "standin", Object: "chat.completion", Model: in.Model, Usage: usage(generated),
 		Choices: []openai.Choice{{Message: &openai.Message{Role: "assistant", Content: out}, FinishReason: &stop}}})
 }
 
-// submit queues a request; its answer's length depends on its text only.
+// submit queues a request. The length of its answer depends only on its text and
+// max_tokens.
 func (e *Engine) submit(r *http.Request, in engineRequest, text string, prompt int64) *sequence {
-	const shortest, spread = 8, 25
-	want := int64(shortest + xxhash.Sum64String(text)%spread)
+	const minTokens, tokenRange = 8, 25
+	total := int64(minTokens + xxhash.Sum64String(text)%tokenRange)
 	if in.MaxTokens > 0 {
-		want = min(want, in.MaxTokens)
+		total = min(total, in.MaxTokens)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	cached := e.cachedLocked(text)
-	s := &sequence{ctx: r.Context(), priority: in.Priority, left: want, out: make(chan int64, want)}
-	s.prefill = max(0, int(prompt)-cached/bytesPerToken)
+	s := &sequence{ctx: r.Context(), priority: in.Priority, remaining: total, tokens: make(chan int64, total)}
+	s.pendingPrefill = max(0, int(prompt)-cached/bytesPerToken)
 	e.served.Requests++
 	e.served.PromptTokens += prompt
 	e.served.ByKey[r.Header.Get("Idempotency-Key")]++
@@ -291,7 +295,8 @@
 	return s
 }
 
-// cachedLocked returns how many bytes of the prompt were cached, and caches it.
+// cachedLocked returns the length in bytes of the prompt's cached prefix, and caches
+// the prompt.
 func (e *Engine) cachedLocked(text string) int {
 	hit, missed := 0, false
 	for end := blockBytes; end <= len(text); end += blockBytes {
@@ -302,18 +307,18 @@
 		}
 		missed = true
 		e.cache[h] = true
-		e.order = append(e.order, h)
+		e.cacheOrder = append(e.cacheOrder, h)
 	}
-	for len(e.order) > e.opt.CacheBlocks {
-		delete(e.cache, e.order[0])
-		e.order = e.order[1:]
+	for len(e.cacheOrder) > e.opt.CacheBlocks {
+		delete(e.cache, e.cacheOrder[0])
+		e.cacheOrder = e.cacheOrder[1:]
 	}
 	return hit
 }
 
-func word(n int64) string { return fmt.Sprintf("w%d ", n) }
+func tokenText(n int64) string { return fmt.Sprintf("w%d ", n) }
 
-func stream(w http.ResponseWriter, model string, s *sequence, usage func(int64) *openai.Usage) {
+func writeStream(w http.ResponseWriter, model string, s *sequence, usage func(int64) *openai.Usage) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	rc := http.NewResponseController(w)
 	send := func(c openai.Chunk) {
@@ -325,17 +330,17 @@
 		_, _ = fmt.Fprintf(w, "data: %s\n\n", b)
 		_ = rc.Flush()
 	}
-	var made int64
-	for n := range s.out {
-		made = n
-		send(openai.Chunk{Choices: []openai.Choice{{Delta: &openai.Message{Content: word(n)}}}})
+	var generated int64
+	for n := range s.tokens {
+		generated = n
+		send(openai.Chunk{Choices: []openai.Choice{{Delta: &openai.Message{Content: tokenText(n)}}}})
 	}
 	if s.ctx.Err() != nil {
 		return
 	}
 	stop := "stop"
 	send(openai.Chunk{Choices: []openai.Choice{{Delta: &openai.Message{}, FinishReason: &stop}}})
-	send(openai.Chunk{Usage: usage(made)})
+	send(openai.Chunk{Usage: usage(generated)})
 	_, _ = fmt.Fprint(w, "data: [DONE]\n\n")
 	_ = rc.Flush()
 }
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -1,6 +1,6 @@
 // Package standin has small stand-ins for the systems around a fleet: the
 // platform's store and VM list, a model engine, and a plain service. They are for
-// tests, demos and measurements, and can be told over HTTP to fail.
+// tests, demos and measurements; failures can be injected over HTTP.
 package standin
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/arbutusmill/arbutusmill/vm"
 )
 
-// Platform serves a memstore by the etcd v3 JSON API, and a VM list.
+// Platform serves a memstore over the etcd v3 JSON API, and a VM list.
 type Platform struct {
 	Store *memstore.Store
 
@@ -39,7 +39,7 @@
 // Handler returns the HTTP interface:
 //
 //	POST /v3/...          the etcd v3 JSON API
-//	GET  /vms             the list; PUT replaces it
+//	GET  /vms             the VM list; PUT replaces it
 //	PUT  /control/faults  memstore.Faults as JSON
 //	GET  /control/calls   memstore.Calls as JSON
 func (p *Platform) Handler() http.Handler {
@@ -53,16 +53,16 @@
 	mux.HandleFunc("GET /vms", p.getVMs)
 	mux.HandleFunc("PUT /vms", p.putVMs)
 	mux.HandleFunc("PUT /control/faults", p.putFaults)
-	mux.HandleFunc("GET /control/calls", func(w http.ResponseWriter, _ *http.Request) { reply(w, p.Store.Calls()) })
+	mux.HandleFunc("GET /control/calls", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, p.Store.Calls()) })
 	return mux
 }
 
-func reply(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-func read(w http.ResponseWriter, r *http.Request, into any) bool {
+func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
 	if err := json.NewDecoder(r.Body).Decode(into); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return false
@@ -70,8 +70,8 @@
 	return true
 }
 
-// fail answers a store error as the API does.
-func fail(w http.ResponseWriter, err error) {
+// writeError answers a store error as the API does.
+func writeError(w http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, store.ErrNoLease):
 		http.Error(w, `{"error":"etcdserver: requested lease not found","code":5}`, http.StatusNotFound)
@@ -89,23 +89,23 @@
 
 func (p *Platform) kvRange(w http.ResponseWriter, r *http.Request) {
 	var in etcd.RangeRequest
-	if !read(w, r, &in) {
+	if !readJSON(w, r, &in) {
 		return
 	}
 	revision := int64(p.Store.Revision())
 	items, err := p.items(r, in)
 	if err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
 	out := etcd.RangeResponse{Header: etcd.Header{Revision: revision}, Count: int64(len(items))}
 	for _, it := range items {
 		out.KVs = append(out.KVs, keyValue(it))
 	}
-	reply(w, out)
+	writeJSON(w, out)
 }
 
-// items reads one key, or a range. A range's common prefix is that of its ends.
+// items reads one key, or a range whose end is that of a prefix.
 func (p *Platform) items(r *http.Request, in etcd.RangeRequest) ([]store.Item, error) {
 	if len(in.RangeEnd) == 0 {
 		it, err := p.Store.Get(r.Context(), string(in.Key))
@@ -119,11 +119,12 @@
 		limit = int(^uint(0) >> 1)
 	}
 	end := string(in.RangeEnd)
-	return p.Store.List(r.Context(), prefixOf(end), string(in.Key), limit)
+	return p.Store.List(r.Context(), prefixFromEnd(end), string(in.Key), limit)
 }
 
-// prefixOf undoes the API's way to write the end of a prefix.
-func prefixOf(end string) string {
+// prefixFromEnd returns the prefix whose range ends at the key, the inverse of the
+// client's encoding.
+func prefixFromEnd(end string) string {
 	b := []byte(end)
 	b[len(b)-1]--
 	return string(b)
@@ -131,19 +132,19 @@
 
 func (p *Platform) kvTxn(w http.ResponseWriter, r *http.Request) {
 	var in etcd.TxnRequest
-	if !read(w, r, &in) {
+	if !readJSON(w, r, &in) {
 		return
 	}
 	if len(in.Compare) != 1 || len(in.Success) != 1 {
-		http.Error(w, "the stand-in takes one compare and one operation", http.StatusBadRequest)
+		http.Error(w, "the stand-in supports exactly one compare and one operation", http.StatusBadRequest)
 		return
 	}
 	rev, err := p.apply(r, in.Compare[0], in.Success[0])
 	if err != nil && !errors.Is(err, store.ErrConflict) {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
-	reply(w, etcd.TxnResponse{Header: etcd.Header{Revision: int64(rev)}, Succeeded: err == nil})
+	writeJSON(w, etcd.TxnResponse{Header: etcd.Header{Revision: int64(rev)}, Succeeded: err == nil})
 }
 
 func (p *Platform) apply(r *http.Request, c etcd.Compare, op etcd.RequestOp) (store.Revision, error) {
@@ -156,20 +157,20 @@
 
 func (p *Platform) watch(w http.ResponseWriter, r *http.Request) {
 	var in etcd.WatchRequest
-	if !read(w, r, &in) {
+	if !readJSON(w, r, &in) {
 		return
 	}
 	prefix := string(in.Create.Key)
 	events, err := p.Store.Watch(r.Context(), prefix, store.Revision(in.Create.StartRevision-1))
 	if err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
 	rc := http.NewResponseController(w)
-	reply(w, etcd.WatchResult{Result: etcd.WatchResponse{Created: true}})
+	writeJSON(w, etcd.WatchResult{Result: etcd.WatchResponse{Created: true}})
 	_ = rc.Flush()
 	for ev := range events {
-		reply(w, etcd.WatchResult{Result: watchResponse(ev)})
+		writeJSON(w, etcd.WatchResult{Result: watchResponse(ev)})
 		_ = rc.Flush()
 	}
 }
@@ -189,61 +190,61 @@
 
 func (p *Platform) leaseGrant(w http.ResponseWriter, r *http.Request) {
 	var in etcd.LeaseGrantRequest
-	if !read(w, r, &in) {
+	if !readJSON(w, r, &in) {
 		return
 	}
 	id, err := p.Store.GrantLease(r.Context(), time.Duration(in.TTL)*time.Second)
 	if err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
-	reply(w, etcd.LeaseGrantResponse{ID: int64(id), TTL: in.TTL})
+	writeJSON(w, etcd.LeaseGrantResponse{ID: int64(id), TTL: in.TTL})
 }
 
 func (p *Platform) leaseKeepAlive(w http.ResponseWriter, r *http.Request) {
 	var in etcd.LeaseKeepAliveRequest
-	if !read(w, r, &in) {
+	if !readJSON(w, r, &in) {
 		return
 	}
 	out := etcd.LeaseKeepAliveResult{Result: etcd.LeaseGrantResponse{ID: in.ID, TTL: 1}}
 	if err := p.Store.KeepAlive(r.Context(), store.LeaseID(in.ID)); err != nil {
 		if !errors.Is(err, store.ErrNoLease) {
-			fail(w, err)
+			writeError(w, err)
 			return
 		}
 		out.Result.TTL = 0
 	}
-	reply(w, out)
+	writeJSON(w, out)
 }
 
 func (p *Platform) leaseRevoke(w http.ResponseWriter, r *http.Request) {
 	var in etcd.LeaseRevokeRequest
-	if !read(w, r, &in) {
+	if !readJSON(w, r, &in) {
 		return
 	}
 	if err := p.Store.EndLease(r.Context(), store.LeaseID(in.ID)); err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
-	reply(w, struct{}{})
+	writeJSON(w, struct{}{})
 }
 
 func (p *Platform) getVMs(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	reply(w, p.vms)
+	writeJSON(w, p.vms)
 }
 
 func (p *Platform) putVMs(w http.ResponseWriter, r *http.Request) {
 	var list []vm.VM
-	if read(w, r, &list) {
+	if readJSON(w, r, &list) {
 		p.SetVMs(list)
 	}
 }
 
 func (p *Platform) putFaults(w http.ResponseWriter, r *http.Request) {
 	var f memstore.Faults
-	if read(w, r, &f) {
+	if readJSON(w, r, &f) {
 		p.Store.SetFaults(f)
 	}
 }
--- a/standin/service.go
+++ b/standin/service.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Service is a stand-in of a plain service. It counts the effects that each
-// idempotency key had, so that a test sees what ran twice.
+// Service is a stand-in of a plain service. It counts the calls executed for each
+// idempotency key, so that a test detects calls that ran twice.
 type Service struct {
-	// Delay is the time that a call takes.
+	// Delay is the duration of a call.
 	Delay time.Duration
 
 	mu      sync.Mutex
@@ -18,27 +18,27 @@
 	fault   ServiceFault
 }
 
-// ServiceFault is a failure to play.
+// ServiceFault is a failure to inject.
 type ServiceFault struct {
-	// BreakAfterEffect makes that many next calls have their effect and then
+	// BreakAfterEffect is the number of next calls that take effect and then
 	// break the connection without an answer.
 	BreakAfterEffect int `json:"break_after_effect"`
-	// ErrorAfterEffect makes that many next calls have their effect and then
+	// ErrorAfterEffect is the number of next calls that take effect and then
 	// answer 500.
 	ErrorAfterEffect int `json:"error_after_effect"`
 }
 
-// NewService returns a service that had no effect yet.
+// NewService returns a service that has executed no calls.
 func NewService() *Service { return &Service{effects: map[string]int64{}} }
 
-// SetFault replaces the failure to play.
+// SetFault replaces the failure to inject.
 func (s *Service) SetFault(f ServiceFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
 }
 
-// Effects returns how often each key had its effect.
+// Effects returns the number of executed calls for each idempotency key.
 func (s *Service) Effects() map[string]int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,14 +49,14 @@
 	return out
 }
 
-// Handler returns the HTTP interface: any path echoes; /control/effects and
-// /control/fault are for tests.
+// Handler returns the HTTP interface: any path echoes the request; /control/effects
+// and /control/fault are for tests.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /control/effects", func(w http.ResponseWriter, _ *http.Request) { reply(w, s.Effects()) })
+	mux.HandleFunc("GET /control/effects", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Effects()) })
 	mux.HandleFunc("PUT /control/fault", func(w http.ResponseWriter, r *http.Request) {
 		var f ServiceFault
-		if read(w, r, &f) {
+		if readJSON(w, r, &f) {
 			s.SetFault(f)
 		}
 	})
@@ -79,18 +79,18 @@
 	}
 	time.Sleep(s.Delay)
 	key := r.Header.Get("Idempotency-Key")
-	breaks, fails := s.effect(key)
+	breaks, fails := s.recordEffect(key)
 	switch {
 	case breaks:
 		panic(http.ErrAbortHandler)
 	case fails:
 		http.Error(w, "failed after its effect", http.StatusInternalServerError)
 	default:
-		reply(w, echo{Method: r.Method, Path: r.URL.RequestURI(), Key: key, Body: string(b)})
+		writeJSON(w, echo{Method: r.Method, Path: r.URL.RequestURI(), Key: key, Body: string(b)})
 	}
 }
 
-func (s *Service) effect(key string) (breaks, fails bool) {
+func (s *Service) recordEffect(key string) (breaks, fails bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.effects[key]++
