--- a/demo/configured_test.go
+++ b/demo/configured_test.go
@@ -23,24 +23,25 @@
 	orderPrice   = 5
 )
 
-// ledgerWait bounds the wait for the last charges.
+// ledgerWait bounds the wait for charges to reach the ledger.
 const ledgerWait = 5 * time.Second
 
-// demo is a local fleet with a configuration of two teams.
+// demo is a local fleet that is configured with two teams.
 type demo struct {
 	f    *Fleet
 	keys map[string]string
 }
 
-// configure creates the budgets and applies the first configuration.
+// configure creates the budgets, applies the first configuration and waits until all
+// routers have loaded it.
 func (d *demo) configure(ctx context.Context) error {
 	d.keys = map[string]string{pilots: team.NewKey(), conventions: team.NewKey()}
-	book := d.f.Book()
+	accounts := d.f.Book()
 	for budget, owner := range map[string]string{pilotsBudget: pilots, badgeBudget: conventions} {
-		if err := book.Create(ctx, budget, owner); err != nil {
+		if err := accounts.Create(ctx, budget, owner); err != nil {
 			return err
 		}
-		if err := book.TopUp(ctx, budget, "first", credit); err != nil {
+		if err := accounts.TopUp(ctx, budget, "first", credit); err != nil {
 			return err
 		}
 	}
@@ -63,7 +64,7 @@
 	return d.waitConfigured(ctx, generation)
 }
 
-// waitConfigured waits until each router has the configuration in force.
+// waitConfigured waits until each router has loaded the configuration.
 func (d *demo) waitConfigured(ctx context.Context, generation int64) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -75,7 +76,7 @@
 			}
 			select {
 			case <-ctx.Done():
-				return Error.New("%s has not taken the configuration", id)
+				return Error.New("%s has not loaded the configuration", id)
 			case <-time.After(20 * time.Millisecond):
 			}
 		}
@@ -83,12 +84,12 @@
 	return nil
 }
 
-// Dumped is what the demo reads of a process's dump.
+// Dumped holds the fields of a process's debug dump that the tests read.
 type Dumped struct {
 	Generation int64 `json:"configuration_generation"`
 }
 
-// Dump reads a process's dump.
+// Dump fetches a process's debug dump from its admin address.
 func Dump(ctx context.Context, admin string) (Dumped, error) {
 	var out Dumped
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+admin+"/debug/dump", nil)
@@ -126,22 +127,23 @@
 	return resp, nil
 }
 
-// settledBill reads the ledger until it holds what is wanted, or the wait is over.
-func (d *demo) settledBill(ctx context.Context, want map[string]int64) (map[string]int64, error) {
+// waitForCharges reads the ledger until its totals reach those wanted, or ledgerWait is
+// over, and returns the totals.
+func (d *demo) waitForCharges(ctx context.Context, want map[string]int64) (map[string]int64, error) {
 	deadline := time.Now().Add(ledgerWait)
 	for {
 		got, err := d.f.Ledger().Totals(ctx, "")
 		if err != nil {
 			return nil, err
 		}
-		if covers(got, want) || time.Now().After(deadline) {
+		if reached(got, want) || time.Now().After(deadline) {
 			return got, nil
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-func covers(got, want map[string]int64) bool {
+func reached(got, want map[string]int64) bool {
 	for k, n := range want {
 		if got[k] < n {
 			return false
--- a/demo/fleet.go
+++ b/demo/fleet.go
@@ -1,6 +1,6 @@
-// Package demo runs a fleet of the form with agents in one process, on loopback addresses: the
-// platform's stand-in, engines, a plain service, and a router and agents in each
-// data centre. Each part is what the daemons run, and they talk over TCP.
+// Package demo runs a fleet with agents in one process, on loopback addresses: the
+// platform's stand-in, engines, a plain service, and routers and agents in each data
+// centre. Each component is the one that the daemons run; they communicate over TCP.
 package demo
 
 import (
@@ -29,18 +29,18 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("demo")
 
-// Options are the sizes of a local fleet.
+// Options configure a local fleet.
 type Options struct {
 	Datacentres []string
-	// Routers and Engines are per data centre; there is one plain service in
-	// the first one.
+	// Routers and Engines are counts per data centre. The first data centre also
+	// has one plain service.
 	Routers, Engines int
 	Engine           standin.EngineOptions
-	// Upstream, if not nil, takes the engines' place.
+	// Upstream, if not nil, replaces the stand-in engines.
 	Upstream http.Handler
-	// Log takes the processes' logs.
+	// Log receives the logs of all processes.
 	Log io.Writer
-	// Tune changes a process's settings before it starts; it may be nil.
+	// Tune, if not nil, modifies a process's settings before it starts.
 	Tune func(*settings.Settings)
 }
 
@@ -55,13 +55,13 @@
 	Platform *standin.Platform
 	Engines  []*standin.Engine
 	Service  *standin.Service
-	// Callers are the routers' addresses for callers, Admins those of all
-	// processes for operators, by VM.
+	// Callers maps a router's VM to its address for callers, Admins the VM of each
+	// process to its admin address.
 	Callers map[string]string
 	Admins  map[string]string
 	// StoreURL is the address of the platform's stand-in.
 	StoreURL string
-	// VMs is the platform's list.
+	// VMs is the platform's VM list.
 	VMs []vm.VM
 
 	opt   Options
@@ -71,27 +71,27 @@
 	procs map[string]*proc
 	mu    sync.Mutex
 	errs  errs.Group
-	// reserved are ports that no process has taken yet.
-	reserved map[string]net.Listener
+	// reservedPorts are open listeners that no process uses yet, by address.
+	reservedPorts map[string]net.Listener
 }
 
-// proc is one router or agent.
+// proc is a running router or agent.
 type proc struct {
 	settings *settings.Settings
 	stop     context.CancelFunc
 	done     chan struct{}
 }
 
-// secret is known to the processes of one local fleet only.
+// secret is the shared secret of the processes; the fleet listens on loopback only.
 const secret = "loopback-only"
 
-// Start starts the stand-ins and all processes and waits until they are ready.
+// Start starts the stand-ins and all processes and waits until all are ready.
 func Start(ctx context.Context, opt Options) (*Fleet, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	f := &Fleet{opt: opt, ctx: ctx, stop: cancel, Callers: map[string]string{}, Admins: map[string]string{}, procs: map[string]*proc{}, reserved: map[string]net.Listener{}}
+	f := &Fleet{opt: opt, ctx: ctx, stop: cancel, Callers: map[string]string{}, Admins: map[string]string{}, procs: map[string]*proc{}, reservedPorts: map[string]net.Listener{}}
 	f.Platform = standin.NewPlatform(nil)
 	var err error
-	if f.StoreURL, err = f.serve(f.Platform.Handler()); err != nil {
+	if f.StoreURL, err = f.startServer(f.Platform.Handler()); err != nil {
 		cancel()
 		return nil, err
 	}
@@ -122,7 +122,7 @@
 	}
 	all = append(all, s)
 	for _, s := range all {
-		f.VMs = append(f.VMs, vmOf(s))
+		f.VMs = append(f.VMs, vmFromSettings(s))
 	}
 	f.Platform.SetVMs(f.VMs)
 	for _, s := range all {
@@ -133,8 +133,8 @@
 	return f.waitReady()
 }
 
-// serve runs an HTTP server on a free loopback port until the fleet stops.
-func (f *Fleet) serve(h http.Handler) (string, error) {
+// startServer runs an HTTP server on a free loopback port until the fleet stops.
+func (f *Fleet) startServer(h http.Handler) (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", Error.Wrap(err)
@@ -145,12 +145,12 @@
 	return "http://" + ln.Addr().String(), nil
 }
 
-func (f *Fleet) base(id, dc, role string) *settings.Settings {
+func (f *Fleet) baseSettings(id, dc, role string) *settings.Settings {
 	s := settings.Default()
 	s.Role, s.VM, s.Datacentre = role, id, dc
 	s.Platform.Store, s.Platform.VMs = f.StoreURL, f.StoreURL+"/vms"
 	s.Security.SharedSecret = secret
-	s.Listen.Link, s.Listen.Admin = f.reserve(), f.reserve()
+	s.Listen.Link, s.Listen.Admin = f.reservePort(), f.reservePort()
 	s.Ledger.Flush = fleet.Duration(50 * time.Millisecond)
 	s.Budgets.LotIdle = fleet.Duration(500 * time.Millisecond)
 	s.StopNotice = 0
@@ -159,8 +159,8 @@
 }
 
 func (f *Fleet) routerSettings(dc string, i int) *settings.Settings {
-	s := f.base(fmt.Sprintf("%s-router-%d", dc, i+1), dc, settings.RoleRouter)
-	s.Listen.Callers = f.reserve()
+	s := f.baseSettings(fmt.Sprintf("%s-router-%d", dc, i+1), dc, settings.RoleRouter)
+	s.Listen.Callers = f.reservePort()
 	return s
 }
 
@@ -172,53 +172,53 @@
 	if f.opt.Upstream != nil {
 		h = f.opt.Upstream
 	}
-	url, err := f.serve(h)
+	url, err := f.startServer(h)
 	if err != nil {
 		return nil, err
 	}
-	s := f.base(fmt.Sprintf("%s-engine-%d", dc, i+1), dc, settings.RoleAgent)
-	s.Listen.Work = f.reserve()
+	s := f.baseSettings(fmt.Sprintf("%s-engine-%d", dc, i+1), dc, settings.RoleAgent)
+	s.Listen.Work = f.reservePort()
 	s.Upstream = settings.Upstream{Service: Assistant, URL: url, Slots: f.opt.Engine.Slots, Queue: 64}
 	return s, nil
 }
 
 func (f *Fleet) serviceSettings(dc string) (*settings.Settings, error) {
 	f.Service = standin.NewService()
-	url, err := f.serve(f.Service.Handler())
+	url, err := f.startServer(f.Service.Handler())
 	if err != nil {
 		return nil, err
 	}
-	s := f.base(dc+"-orders-1", dc, settings.RoleAgent)
-	s.Listen.Work = f.reserve()
+	s := f.baseSettings(dc+"-orders-1", dc, settings.RoleAgent)
+	s.Listen.Work = f.reservePort()
 	s.Upstream = settings.Upstream{Service: Orders, URL: url, Slots: 8, Queue: 64}
 	return s, nil
 }
 
-func vmOf(s *settings.Settings) vm.VM {
+func vmFromSettings(s *settings.Settings) vm.VM {
 	m := vm.VM{ID: s.VM, Datacentre: s.Datacentre, Role: vm.Role(s.Role), State: vm.Live, Link: s.Listen.Link}
 	m.Work, m.Service = s.Listen.Work, s.Upstream.Service
 	return m
 }
 
-// reserve opens a free loopback port and keeps it open for the process that will
-// have it: a port that were only looked up could be taken by another one meanwhile.
-func (f *Fleet) reserve() string {
+// reservePort listens on a free loopback port and keeps the listener for the process that
+// will use it: if it were closed, another process could take the port in the meantime.
+func (f *Fleet) reservePort() string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "127.0.0.1:0"
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.reserved[ln.Addr().String()] = ln
+	f.reservedPorts[ln.Addr().String()] = ln
 	return ln.Addr().String()
 }
 
-// open hands a reserved port over.
-func (f *Fleet) open(network, address string) (net.Listener, error) {
+// listen returns the listener of a reserved port, or opens a new one.
+func (f *Fleet) listen(network, address string) (net.Listener, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if ln := f.reserved[address]; ln != nil {
-		delete(f.reserved, address)
+	if ln := f.reservedPorts[address]; ln != nil {
+		delete(f.reservedPorts, address)
 		return ln, nil
 	}
 	return net.Listen(network, address)
@@ -227,11 +227,11 @@
 // runner is a router or an agent.
 type runner interface{ Run(context.Context) error }
 
-func (f *Fleet) make(s *settings.Settings) (runner, error) {
+func (f *Fleet) newRunner(s *settings.Settings) (runner, error) {
 	if s.Role == settings.RoleRouter {
-		return router.New(s, f.opt.Log, f.open)
+		return router.New(s, f.opt.Log, f.listen)
 	}
-	return agent.New(s, f.opt.Log, f.open)
+	return agent.New(s, f.opt.Log, f.listen)
 }
 
 func (f *Fleet) start(s *settings.Settings) error {
@@ -241,7 +241,7 @@
 	if err := s.Check(); err != nil {
 		return err
 	}
-	run, err := f.make(s)
+	run, err := f.newRunner(s)
 	if err != nil {
 		return err
 	}
@@ -263,17 +263,18 @@
 	return nil
 }
 
-// StopOne makes a planned stop of one process and waits for its end.
+// StopOne stops one process gracefully and waits until it has exited.
 func (f *Fleet) StopOne(id string) {
 	p := f.procs[id]
 	p.stop()
 	<-p.done
 }
 
-// Restart starts a stopped process again, as its next life.
+// Restart starts a stopped process again, as a new incarnation.
 func (f *Fleet) Restart(id string) error { return f.start(f.procs[id].settings) }
 
-// readyTimeout bounds the start of a local fleet.
+// readyTimeout bounds the wait until the processes are ready, and until the routers have
+// loaded a configuration.
 const readyTimeout = 10 * time.Second
 
 func (f *Fleet) waitReady() error {
@@ -304,8 +305,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// Stop makes a planned stop of all processes, routers last so that agents can hand
-// over their charges, and then of the stand-ins.
+// Stop gracefully stops all processes, agents first so that they can deliver their charges
+// to the routers, and then the stand-ins. It returns the errors of all processes.
 func (f *Fleet) Stop() error {
 	for _, role := range []string{settings.RoleAgent, settings.RoleRouter} {
 		var wg sync.WaitGroup
@@ -323,17 +324,17 @@
 	return f.errs.Err()
 }
 
-// Store is an operator's access to the platform's stand-in.
+// Store returns a client of the platform's stand-in.
 func (f *Fleet) Store() *etcd.Store {
 	return &etcd.Store{URL: f.StoreURL, Client: http.DefaultClient, Timeout: 5 * time.Second}
 }
 
-// Book is an operator's access to the accounts.
+// Book returns an operator's client of the accounts.
 func (f *Fleet) Book() account.Book {
 	return account.Book{Store: f.Store(), Layout: account.Layout{Prefix: process.PagePrefix, Pages: settings.Default().Budgets.Pages}}
 }
 
-// Ledger is an operator's access to the ledger.
+// Ledger returns an operator's reader of the ledger.
 func (f *Fleet) Ledger() ledger.Reader {
 	return ledger.Reader{Store: f.Store(), Layout: ledger.Layout{Prefix: process.LedgerPrefix, Shards: settings.Default().Ledger.Shards}}
 }
--- a/demo/fleet_test.go
+++ b/demo/fleet_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// testFleet is a local fleet with the demo's configuration.
+// testFleet is a configured local fleet for tests.
 type testFleet struct {
 	*demo
 	t *testing.T
@@ -27,7 +27,7 @@
 		opt.Datacentres = []string{"bergen", "alesund"}
 	}
 	opt.Log = io.Discard
-	f, err := Start(context.Background(), opt) // t.Context ends before the planned stop
+	f, err := Start(context.Background(), opt) // t.Context ends before the graceful stop
 	require.NoError(t, err)
 	d := &testFleet{t: t, demo: &demo{f: f}}
 	t.Cleanup(func() { require.NoError(t, f.Stop()) })
@@ -35,53 +35,53 @@
 	return d
 }
 
-// answer is what a caller got.
-type answer struct {
+// response is the response that a caller received.
+type response struct {
 	status int
 	header http.Header
 	body   string
-	err    error // the body ended early
+	err    error // the request failed or the body is truncated
 }
 
-func (a answer) whole() bool {
+func (a response) complete() bool {
 	return a.err == nil && strings.Contains(a.body, "data: [DONE]")
 }
 
-func (d *testFleet) question(router, key string, client *http.Client) answer {
+func (d *testFleet) chat(router, key string, client *http.Client) response {
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":30,"messages":[{"role":"user","content":"low water %s?"}]}`, model, key)
-	return d.send(router, pilots, key, openai.ChatPath, body, client)
+	return d.post(router, pilots, key, openai.ChatPath, body, client)
 }
 
-func (d *testFleet) send(router, teamName, key, path, body string, client *http.Client) answer {
+func (d *testFleet) post(router, teamName, key, path, body string, client *http.Client) response {
 	req, err := http.NewRequest(http.MethodPost, "http://"+d.f.Callers[router]+path, strings.NewReader(body))
 	require.NoError(d.t, err)
 	req.Header.Set("Authorization", "Bearer "+d.keys[teamName])
 	req.Header.Set("Idempotency-Key", key)
 	resp, err := client.Do(req)
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	defer resp.Body.Close()
 	b, err := io.ReadAll(resp.Body)
-	return answer{status: resp.StatusCode, header: resp.Header, body: string(b), err: err}
+	return response{status: resp.StatusCode, header: resp.Header, body: string(b), err: err}
 }
 
-// billed waits until all processes have stopped and returns the bill.
-func (d *testFleet) billed() map[string]int64 {
+// ledgerTotals returns the ledger's totals without waiting for charges.
+func (d *testFleet) ledgerTotals() map[string]int64 {
 	totals, err := d.f.Ledger().Totals(context.Background(), "")
 	require.NoError(d.t, err)
 	return totals
 }
 
-// An engine reports more tokens than the request had reserved. The bill must end at
-// the reservation: what lies beyond it may be spent by somebody else already.
+// An engine reports more tokens than the request had reserved. The charge must not exceed
+// the reservation: tokens beyond it may already be spent by another request.
 func TestEngineReportsMoreThanReserved(t *testing.T) {
 	opt := standin.DefaultEngineOptions()
 	opt.Overrun = 1_000_000
 	d := startFleet(t, Options{Routers: 1, Engines: 1, Engine: opt})
-	got := d.question("bergen-router-1", "over", http.DefaultClient)
-	require.True(t, got.whole(), got.body)
-	total, err := d.settledBill(t.Context(), map[string]int64{pilotsBudget: 1})
+	got := d.chat("bergen-router-1", "over", http.DefaultClient)
+	require.True(t, got.complete(), got.body)
+	total, err := d.waitForCharges(t.Context(), map[string]int64{pilotsBudget: 1})
 	require.NoError(t, err)
 	require.Positive(t, total[pilotsBudget])
 	require.Less(t, total[pilotsBudget], int64(1000))
@@ -90,111 +90,111 @@
 	require.LessOrEqual(t, total[pilotsBudget], a.Settled()+a.Outstanding())
 }
 
-// A router and then an agent are stopped as planned while they stream. No caller may
-// find its answer cut, and what is asked afterwards goes to others at once.
-func TestPlannedStopCutsNothing(t *testing.T) {
+// An agent and then a router are stopped gracefully while they stream. No response may be
+// truncated, and later requests must go to other processes at once.
+func TestPlannedStopInterruptsNoStream(t *testing.T) {
 	opt := standin.DefaultEngineOptions()
 	opt.Step = 2 * time.Millisecond
 	d := startFleet(t, Options{Routers: 1, Engines: 2, Engine: opt})
-	for _, leaving := range []string{"alesund-engine-1", "alesund-router-1"} {
+	for _, stopped := range []string{"alesund-engine-1", "alesund-router-1"} {
 		var wg sync.WaitGroup
-		answers := make([]answer, 24)
-		started := make(chan struct{}, len(answers))
-		for i := range answers {
+		responses := make([]response, 24)
+		started := make(chan struct{}, len(responses))
+		for i := range responses {
 			wg.Go(func() {
-				client := &http.Client{Transport: &announce{started: started}}
-				answers[i] = d.question([]string{"bergen-router-1", "alesund-router-1"}[i%2], fmt.Sprint(leaving, i), client)
+				client := &http.Client{Transport: &notifyTransport{started: started}}
+				responses[i] = d.chat([]string{"bergen-router-1", "alesund-router-1"}[i%2], fmt.Sprint(stopped, i), client)
 			})
 		}
-		for range answers {
-			<-started // the head of each answer, or a refusal, is there
+		for range responses {
+			<-started // the response headers, or a refusal, have arrived
 		}
-		d.f.StopOne(leaving)
+		d.f.StopOne(stopped)
 		wg.Wait()
-		for i, a := range answers {
-			require.True(t, a.whole(), "%s: answer %d: %d %v %s", leaving, i, a.status, a.err, a.body)
+		for i, a := range responses {
+			require.True(t, a.complete(), "%s: response %d: %d %v %s", stopped, i, a.status, a.err, a.body)
 		}
-		after := d.question("bergen-router-1", leaving+"after", http.DefaultClient)
-		require.True(t, after.whole(), "%d %s", after.status, after.body)
+		after := d.chat("bergen-router-1", stopped+"after", http.DefaultClient)
+		require.True(t, after.complete(), "%d %s", after.status, after.body)
 	}
 }
 
-// announce says when an answer has begun.
-type announce struct{ started chan<- struct{} }
+// notifyTransport signals when the response headers have arrived or the request failed.
+type notifyTransport struct{ started chan<- struct{} }
 
 // RoundTrip implements http.RoundTripper.
-func (a *announce) RoundTrip(r *http.Request) (*http.Response, error) {
+func (a *notifyTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	resp, err := http.DefaultTransport.RoundTrip(r)
 	a.started <- struct{}{}
 	return resp, err
 }
 
-// An agent is leaving while the platform's list still calls it live. It refuses by
-// itself, and callers notice nothing.
-func TestLeavingAgentIsLeftAtOnce(t *testing.T) {
+// An agent is stopped while the platform's list still shows it as live. It refuses
+// requests itself, and callers must see no errors.
+func TestStoppedAgentGetsNoRequests(t *testing.T) {
 	d := startFleet(t, Options{Datacentres: []string{"bergen"}, Routers: 1, Engines: 2, Engine: standin.DefaultEngineOptions()})
 	d.f.StopOne("bergen-engine-1")
 	before := d.f.Engines[0].Served().Requests
 	for i := range 10 {
-		a := d.question("bergen-router-1", fmt.Sprint(i), http.DefaultClient)
-		require.True(t, a.whole(), "%d %s", a.status, a.body)
+		a := d.chat("bergen-router-1", fmt.Sprint(i), http.DefaultClient)
+		require.True(t, a.complete(), "%d %s", a.status, a.body)
 	}
 	require.Equal(t, before, d.f.Engines[0].Served().Requests)
 }
 
-// The list names agents that are gone: nothing listens there. A request that reached
-// none of them was not run, and its caller must be told so, at once.
-func TestAgentsThatAreGone(t *testing.T) {
+// The list contains only an agent without a listener. A request that reached no agent was
+// not run, and the response must say so at once.
+func TestUnreachableAgents(t *testing.T) {
 	d := startFleet(t, Options{Datacentres: []string{"bergen"}, Routers: 1, Engines: 1, Engine: standin.DefaultEngineOptions()})
 	d.f.StopOne("bergen-engine-1")
-	a := d.question("bergen-router-1", "none", http.DefaultClient)
+	a := d.chat("bergen-router-1", "none", http.DefaultClient)
 	require.Equal(t, http.StatusServiceUnavailable, a.status)
 	require.Contains(t, a.body, `"kind":"no_upstream"`)
 	require.Contains(t, a.body, `"not_run":true`)
 	require.NotEmpty(t, a.header.Get("Retry-After"))
 }
 
-// The upstream has its effect and breaks the connection, which it had kept open from
-// an earlier call. net/http would send a request that carries an idempotency key
-// again by itself; the order would be placed twice.
-func TestBrokenKeptConnectionRunsNothingTwice(t *testing.T) {
+// The upstream executes a call and then breaks the keep-alive connection of an earlier
+// call. net/http by default retries a request with an idempotency key on such a failure,
+// and the call would be executed twice.
+func TestBrokenKeepAliveConnectionIsNotRetried(t *testing.T) {
 	d := startFleet(t, Options{Datacentres: []string{"bergen"}, Routers: 1, Engines: 1, Engine: standin.DefaultEngineOptions()})
 	path := "/services/" + Orders + "/refund"
 	for _, body := range []string{"", `{"refund":1}`} {
-		require.Equal(t, http.StatusOK, d.send("bergen-router-1", conventions, "warm"+body[:0]+fmt.Sprint(len(body)), path, body, http.DefaultClient).status)
+		require.Equal(t, http.StatusOK, d.post("bergen-router-1", conventions, "warm"+body[:0]+fmt.Sprint(len(body)), path, body, http.DefaultClient).status)
 		d.f.Service.SetFault(standin.ServiceFault{BreakAfterEffect: 1})
 		key := fmt.Sprint("refund-", len(body))
-		first := d.send("bergen-router-1", conventions, key, path, body, http.DefaultClient)
+		first := d.post("bergen-router-1", conventions, key, path, body, http.DefaultClient)
 		require.Equal(t, http.StatusBadGateway, first.status)
 		require.Contains(t, first.body, `"not_run":false`)
-		second := d.send("bergen-router-1", conventions, key, path, body, http.DefaultClient)
+		second := d.post("bergen-router-1", conventions, key, path, body, http.DefaultClient)
 		require.Contains(t, second.body, `"kind":"outcome_unknown"`)
 		require.Equal(t, int64(1), d.f.Service.Effects()[key])
 	}
 }
 
-// An upstream answers an error after its effect. The retry must get that same error
-// and not a second run.
+// An upstream returns an error after it has executed a call. The retry must get the same
+// error without a second execution.
 func TestErrorAfterEffectIsReplayed(t *testing.T) {
 	d := startFleet(t, Options{Datacentres: []string{"bergen"}, Routers: 1, Engines: 1, Engine: standin.DefaultEngineOptions()})
 	d.f.Service.SetFault(standin.ServiceFault{ErrorAfterEffect: 1})
 	for range 2 {
-		a := d.send("bergen-router-1", conventions, "ruling-1", "/services/"+Orders+"/ruling", "{}", http.DefaultClient)
+		a := d.post("bergen-router-1", conventions, "ruling-1", "/services/"+Orders+"/ruling", "{}", http.DefaultClient)
 		require.Equal(t, http.StatusInternalServerError, a.status)
 		require.Contains(t, a.body, "failed after its effect")
 	}
 	require.Equal(t, int64(1), d.f.Service.Effects()["ruling-1"])
 }
 
-// Two clients send one key at the same moment through two routers. The call must run
-// once; the other client learns that it was started.
+// Two clients send the same idempotency key concurrently through two routers. The call must
+// run once; the other client is informed that it has already started.
 func TestSameKeyThroughTwoRouters(t *testing.T) {
 	d := startFleet(t, Options{Routers: 1, Engines: 1, Engine: standin.DefaultEngineOptions()})
 	var wg sync.WaitGroup
 	for i := range 10 {
 		for _, router := range []string{"bergen-router-1", "alesund-router-1"} {
 			wg.Go(func() {
-				d.send(router, conventions, fmt.Sprint("key-", i), "/services/"+Orders+"/x", "{}", http.DefaultClient)
+				d.post(router, conventions, fmt.Sprint("key-", i), "/services/"+Orders+"/x", "{}", http.DefaultClient)
 			})
 		}
 	}
@@ -204,9 +204,9 @@
 	}
 }
 
-// The caller goes away in the middle of a stream. What it got is billed once, and the
-// rest of its reservation is available again.
-func TestCallerGoesAway(t *testing.T) {
+// The caller disconnects in the middle of a stream. The tokens it received must be billed
+// once, and the rest of its reservation must be released.
+func TestCallerDisconnects(t *testing.T) {
 	opt := standin.DefaultEngineOptions()
 	d := startFleet(t, Options{Datacentres: []string{"bergen"}, Routers: 1, Engines: 1, Engine: opt,
 		Tune: func(s *settings.Settings) { s.Log.Level = "error" }})
@@ -218,10 +218,10 @@
 	require.NoError(t, err)
 	cancel()
 	_ = resp.Body.Close()
-	d.f.StopOne("bergen-engine-1") // waits until the router has the outcome
+	d.f.StopOne("bergen-engine-1") // waits until the router has received the outcome
 	d.f.StopOne("bergen-router-1")
 	a, err := d.f.Book().Get(context.Background(), pilotsBudget)
 	require.NoError(t, err)
 	require.Zero(t, a.Outstanding())
-	require.Equal(t, d.billed()[pilotsBudget], a.Settled())
+	require.Equal(t, d.ledgerTotals()[pilotsBudget], a.Settled())
 }
--- a/demo/path_bench_test.go
+++ b/demo/path_bench_test.go
@@ -16,9 +16,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// instant answers with a number of streamed tokens at once; the path's own cost is
-// all that is left.
-func instant(tokens int) http.Handler {
+// instantUpstream streams a number of tokens without delay, so that a benchmark measures
+// only the cost of the path.
+func instantUpstream(tokens int) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		w.Header().Set("Content-Type", "text/event-stream")
@@ -32,27 +32,27 @@
 }
 
 // BenchmarkPath compares a streamed request through router and agent with the same
-// request straight to the same upstream. cpu-ns/op is the processor time of all
-// parties in this process: client, router, agent, upstream and the platform's stand-in.
+// request directly to the upstream. cpu-ns/op is the CPU time of all components in this
+// process: client, router, agent, upstream and the platform's stand-in.
 func BenchmarkPath(b *testing.B) {
 	for _, tokens := range []int{1, 8, 32, 64} {
-		direct := httptest.NewServer(instant(tokens))
-		b.Run(fmt.Sprintf("direct/tokens=%d", tokens), func(b *testing.B) { ask(b, direct.URL, "", tokens) })
+		direct := httptest.NewServer(instantUpstream(tokens))
+		b.Run(fmt.Sprintf("direct/tokens=%d", tokens), func(b *testing.B) { benchmarkRequests(b, direct.URL, "", tokens) })
 		direct.Close()
 		f, err := Start(context.Background(), Options{Datacentres: []string{"bergen"}, Routers: 1, Engines: 1,
-			Engine: standin.DefaultEngineOptions(), Upstream: instant(tokens), Log: io.Discard, Tune: func(s *settings.Settings) { s.Log.Level = "error" }})
+			Engine: standin.DefaultEngineOptions(), Upstream: instantUpstream(tokens), Log: io.Discard, Tune: func(s *settings.Settings) { s.Log.Level = "error" }})
 		require.NoError(b, err)
 		d := &demo{f: f}
 		require.NoError(b, d.configure(context.Background()))
 		require.NoError(b, f.Book().TopUp(context.Background(), pilotsBudget, "much", 1<<50))
 		b.Run(fmt.Sprintf("path/tokens=%d", tokens), func(b *testing.B) {
-			ask(b, "http://"+f.Callers["bergen-router-1"], d.keys[pilots], tokens)
+			benchmarkRequests(b, "http://"+f.Callers["bergen-router-1"], d.keys[pilots], tokens)
 		})
 		require.NoError(b, f.Stop())
 	}
 }
 
-func ask(b *testing.B, url, key string, tokens int) {
+func benchmarkRequests(b *testing.B, url, key string, tokens int) {
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"messages":[{"role":"user","content":"low water?"}]}`, model)
 	b.ReportAllocs()
 	before := cpuTime(b)
--- a/demo/tls_test.go
+++ b/demo/tls_test.go
@@ -21,7 +21,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// writeCertificates makes an authority and one certificate for all processes.
+// writeCertificates creates a certificate authority and one certificate for all processes.
 func writeCertificates(t *testing.T) settings.MutualTLS {
 	dir := t.TempDir()
 	caKey, ca := certificate(t, nil, nil, true)
@@ -39,12 +39,12 @@
 	require.NoError(t, os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600))
 }
 
-func certificate(t *testing.T, parent *x509.Certificate, parentKey *ecdsa.PrivateKey, authority bool) (*ecdsa.PrivateKey, *x509.Certificate) {
+func certificate(t *testing.T, parent *x509.Certificate, parentKey *ecdsa.PrivateKey, isCA bool) (*ecdsa.PrivateKey, *x509.Certificate) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
 	template := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "test"},
 		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
-		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, IsCA: authority, BasicConstraintsValid: authority,
+		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, IsCA: isCA, BasicConstraintsValid: isCA,
 		KeyUsage:    x509.KeyUsageDigitalSignature | x509.KeyUsageCertSign,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}
 	if parent == nil {
@@ -57,16 +57,16 @@
 	return key, c
 }
 
-// With mutual TLS, requests, charges and control messages pass between processes, and
-// somebody without a certificate reaches neither an agent's upstream nor a link.
+// With mutual TLS, processes must exchange requests, charges and control messages, and a
+// client without a certificate must reach neither an agent's upstream nor a link.
 func TestMutualTLS(t *testing.T) {
 	m := writeCertificates(t)
 	d := startFleet(t, Options{Routers: 1, Engines: 1, Engine: standin.DefaultEngineOptions(), Tune: func(s *settings.Settings) {
 		s.Security = settings.Security{Processes: m}
 	}})
-	a := d.question("bergen-router-1", "tls", http.DefaultClient)
-	require.True(t, a.whole(), "%d %s", a.status, a.body)
-	total, err := d.settledBill(t.Context(), map[string]int64{pilotsBudget: 1})
+	a := d.chat("bergen-router-1", "tls", http.DefaultClient)
+	require.True(t, a.complete(), "%d %s", a.status, a.body)
+	total, err := d.waitForCharges(t.Context(), map[string]int64{pilotsBudget: 1})
 	require.NoError(t, err)
 	require.Positive(t, total[pilotsBudget])
 	for _, m := range d.f.VMs {
@@ -75,7 +75,7 @@
 				continue
 			}
 			conn, err := tls.Dial("tcp", addr, &tls.Config{InsecureSkipVerify: true})
-			if err == nil { // TLS 1.3 tells a client only when it reads
+			if err == nil { // in TLS 1.3 a client gets the error only when it reads
 				_, err = conn.Read(make([]byte, 1))
 				_ = conn.Close()
 			}
@@ -84,7 +84,8 @@
 	}
 }
 
-// With a certificate for callers, keys and answers pass only inside TLS.
+// With a certificate for callers, a router must reject plain HTTP, so that API keys and
+// responses are only sent over TLS.
 func TestCallersTLS(t *testing.T) {
 	m := writeCertificates(t)
 	d := startFleet(t, Options{Datacentres: []string{"bergen"}, Routers: 1, Engines: 1, Engine: standin.DefaultEngineOptions(),
