--- a/coord/internal/lab/experiment.go
+++ b/coord/internal/lab/experiment.go
@@ -11,21 +11,21 @@
 	"github.com/arbutusmill/arbutusmill/coord/grant"
 )
 
-// Deployment is the load of one of the two deployments that the policies are
-// measured on: three data centres, two routers each, ten teams, three of them large.
+// Deployment describes the load of a deployment: three data centres, two routers each,
+// ten teams, three of them large.
 type Deployment struct {
 	Name string
 	DCs  [3]string
-	// Rate is requests a second over all teams.
+	// Rate is the requests per second over all teams.
 	Rate float64
-	// WorstMin and WorstMax bound the reserved tokens of a request, UsedMin and
+	// WorstMin and WorstMax bound the tokens that a request reserves, UsedMin and
 	// UsedMax the share of them that it uses.
 	WorstMin, WorstMax int64
 	UsedMin, UsedMax   float64
 	Favour             grant.DemandPolicy
 }
 
-// Deployments are the two of the brief.
+// Deployments returns the two deployments that the policies are compared on.
 func Deployments() []Deployment {
 	return []Deployment{
 		{Name: "brekke", DCs: [3]string{"bergen", "alesund", "floro"}, Rate: 10,
@@ -35,38 +35,40 @@
 	}
 }
 
-// PolicyUnderTest is one way to hold tokens.
+// PolicyUnderTest is a policy to compare, with or without transfers between holders.
 type PolicyUnderTest struct {
 	Name      string
 	Transfers bool
 	Policy    func(Deployment) grant.Policy
 }
 
-// routersPerDC and the numbers below are those of the experiment.
+// Parameters of the experiment. A crashed router restarts after restartAfter; recovery
+// begins listLag after the crash, as the VM list shows it late. Lots idle for lotIdle are
+// returned.
 const (
 	routersPerDC = 2
 	holders      = 3 * routersPerDC
 	teams        = 10
-	rebirthAfter = 30 * time.Second
+	restartAfter = 30 * time.Second
 	listLag      = 30 * time.Second
 	lotIdle      = 5 * time.Second
 )
 
-// Horizon is the length of a cell of the table. The cut begins after a third of it,
-// and the router dies a twenty-fourth later.
+// Horizon is the simulated duration of a cell. The partition begins after a third of it,
+// and the router crashes a twenty-fourth later.
 const Horizon = 2 * time.Hour
 
-func (c Cell) cutAt() time.Duration { return c.Horizon / 3 }
+func (c Cell) partitionAt() time.Duration { return c.Horizon / 3 }
 
-func (c Cell) deathAt() time.Duration { return c.cutAt() + c.Horizon/24 }
+func (c Cell) crashAt() time.Duration { return c.partitionAt() + c.Horizon/24 }
 
-// teamShare is each team's share of the requests: three large ones.
+// teamShare is each team's share of the requests; the first three teams are large.
 var teamShare = [teams]float64{0.25, 0.20, 0.15, 0.10, 0.08, 0.07, 0.05, 0.04, 0.03, 0.03}
 
-// homeShare is the share of a team's requests that come in at its home data centre.
-const homeShare = 0.6
+// localShare is the share of a team's requests that arrive at its primary data centre.
+const localShare = 0.6
 
-// PoliciesUnderTest are the baselines and the full policy.
+// PoliciesUnderTest returns the baselines and the full policy, which is last.
 func PoliciesUnderTest() []PolicyUnderTest {
 	return []PolicyUnderTest{
 		{Name: "store write a request", Policy: func(Deployment) grant.Policy { return grant.RequestPolicy{} }},
@@ -76,108 +78,109 @@
 	}
 }
 
-// Cell is one setting of the experiment.
+// Cell is one combination of parameters of the experiment.
 type Cell struct {
 	Deployment Deployment
 	Policy     PolicyUnderTest
 	Horizon    time.Duration
 	Partition  time.Duration
-	// Budget is the credit as a share of the demand.
+	// Budget is the ratio of credit to demand.
 	Budget float64
-	// Death kills one router during the cut.
+	// Death makes one router crash during the partition.
 	Death bool
 	Seed  uint64
 }
 
-// Result is what came out of one cell. Tokens are summed over all teams.
+// Result is the result of one cell. Tokens are summed over all teams.
 type Result struct {
 	Requests int
 	Served   int
-	// Overspend is the tokens served beyond the credits.
+	// Overspend is the tokens served in excess of the credits.
 	Overspend int64
-	// False counts the refusals although the budget had the worst case left,
-	// with what is reserved at work counted as gone. Far are those of them where the
-	// caller's side of the cut did not have it.
+	// False counts the refusals although the budget covered the reservation, with
+	// the reservations of running requests counted as spent. Far counts those of them
+	// where the caller's side of the partition did not have enough tokens.
 	False, Far int
-	// Lost bounds the requests that the best placement would have served instead:
-	// false refusals, but no more than what was left unspent could have paid for.
+	// Lost is an upper bound on the requests that an optimal placement of tokens would
+	// have served in addition: the false refusals, but no more than the unspent
+	// tokens would have covered.
 	Lost int
-	// Stranded is what dead holders still hold at the end, Forfeited what
-	// recovery gave up.
+	// Stranded is the tokens that dead holders still hold at the end, Forfeited those
+	// that recovery forfeited.
 	Stranded, Forfeited int64
 	Reads, Writes       int64
 }
 
-// FalsePer10k is the false refusals for 10,000 requests.
+// FalsePer10k returns the false refusals per 10,000 requests.
 func (r Result) FalsePer10k() float64 { return 1e4 * float64(r.False) / float64(r.Requests) }
 
-// WritesPer100 is the store writes for 100 requests.
+// WritesPer100 returns the store writes per 100 requests.
 func (r Result) WritesPer100() float64 { return 100 * float64(r.Writes) / float64(r.Requests) }
 
-// experiment is one cell at work.
+// experiment is the state of a running cell.
 type experiment struct {
-	cell  Cell
-	ctx   context.Context
-	f     *Fleet
-	rng   *rand.Rand
-	start time.Time
-	ends  endings
-	res   Result
-
-	credit   [teams]int64
-	used     [teams]int64
-	reserved [teams]int64
-	refusals [teams]int // false ones that Lost has not looked at
-	dead     []string
-	next     int
+	cell        Cell
+	ctx         context.Context
+	f           *Fleet
+	rng         *rand.Rand
+	start       time.Time
+	completions completionQueue
+	res         Result
+
+	credit        [teams]int64
+	used          [teams]int64
+	reserved      [teams]int64
+	falseRefusals [teams]int // false refusals since the last countLost
+	dead          []string
+	requestSeq    int
 }
 
-// ending is a request that ends at a moment.
-type ending struct {
-	at    time.Time
-	order int
-	team  int
-	worst int64
-	used  int64
-	req   *Request
+// completion is the scheduled end of a request.
+type completion struct {
+	at       time.Time
+	seq      int
+	team     int
+	reserved int64
+	used     int64
+	req      *Request
 }
 
-type endings []ending
+type completionQueue []completion
 
 // Len implements heap.Interface.
-func (e endings) Len() int { return len(e) }
+func (q completionQueue) Len() int { return len(q) }
 
 // Less implements heap.Interface.
-func (e endings) Less(i, j int) bool {
-	if e[i].at.Equal(e[j].at) {
-		return e[i].order < e[j].order
+func (q completionQueue) Less(i, j int) bool {
+	if q[i].at.Equal(q[j].at) {
+		return q[i].seq < q[j].seq
 	}
-	return e[i].at.Before(e[j].at)
+	return q[i].at.Before(q[j].at)
 }
 
 // Swap implements heap.Interface.
-func (e endings) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (q completionQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push implements heap.Interface.
-func (e *endings) Push(x any) { *e = append(*e, x.(ending)) }
+func (q *completionQueue) Push(x any) { *q = append(*q, x.(completion)) }
 
 // Pop implements heap.Interface.
-func (e *endings) Pop() any {
-	old := *e
+func (q *completionQueue) Pop() any {
+	old := *q
 	last := old[len(old)-1]
-	*e = old[:len(old)-1]
+	*q = old[:len(old)-1]
 	return last
 }
 
-func budgetOf(team int) string { return fmt.Sprintf("team-%d/2026", team) }
+func budgetName(team int) string { return fmt.Sprintf("team-%d/2026", team) }
 
-// Run runs one cell. It must run in a bubble of virtual time.
+// Run runs one cell. It must be called in a synctest bubble (virtual time).
 func Run(ctx context.Context, c Cell) (Result, error) {
 	x := &experiment{cell: c, ctx: ctx, rng: rand.New(rand.NewPCG(c.Seed, 1))}
 	if err := x.setUp(); err != nil {
 		return Result{}, err
 	}
-	if err := x.loop(); err != nil {
+	if err := x.runEvents(); err != nil {
 		return Result{}, err
 	}
 	return x.finish()
@@ -191,10 +194,10 @@
 	perRequest := float64(d.WorstMin+d.WorstMax) / 2 * (d.UsedMin + d.UsedMax) / 2
 	for t := range teams {
 		x.credit[t] = int64(x.cell.Budget * teamShare[t] * d.Rate * x.cell.Horizon.Seconds() * perRequest)
-		if err := x.f.Book().Create(x.ctx, budgetOf(t), fmt.Sprint("team-", t)); err != nil {
+		if err := x.f.Book().Create(x.ctx, budgetName(t), fmt.Sprint("team-", t)); err != nil {
 			return err
 		}
-		if err := x.f.Book().TopUp(x.ctx, budgetOf(t), "first", x.credit[t]); err != nil {
+		if err := x.f.Book().TopUp(x.ctx, budgetName(t), "first", x.credit[t]); err != nil {
 			return err
 		}
 	}
@@ -213,52 +216,52 @@
 	return nil
 }
 
-// loop moves the time from arrival to arrival, with the duties of each second.
-func (x *experiment) loop() error {
+// runEvents advances the time from arrival to arrival, with a tick at each full second.
+func (x *experiment) runEvents() error {
 	second := 0
 	for {
 		gap := time.Duration(x.rng.ExpFloat64() / x.cell.Deployment.Rate * float64(time.Second))
 		at := x.f.Now.Add(gap)
 		for next := x.start.Add(time.Duration(second+1) * time.Second); !at.Before(next); next = next.Add(time.Second) {
 			second++
-			x.end(next)
+			x.completeUntil(next)
 			x.f.Now = next
-			if err := x.duties(second); err != nil {
+			if err := x.tick(second); err != nil {
 				return err
 			}
 		}
-		x.end(at)
+		x.completeUntil(at)
 		x.f.Now = at
 		if at.Sub(x.start) > x.cell.Horizon {
 			return nil
 		}
-		x.arrive()
+		x.handleArrival()
 	}
 }
 
-// end ends the requests that are due.
-func (x *experiment) end(until time.Time) {
-	for len(x.ends) > 0 && !x.ends[0].at.After(until) {
-		e := heap.Pop(&x.ends).(ending)
+// completeUntil ends the requests that are due at the given time.
+func (x *experiment) completeUntil(until time.Time) {
+	for len(x.completions) > 0 && !x.completions[0].at.After(until) {
+		e := heap.Pop(&x.completions).(completion)
 		x.f.Now = e.at
-		x.reserved[e.team] -= e.worst
+		x.reserved[e.team] -= e.reserved
 		x.used[e.team] += e.used
 		e.req.Finish(e.used)
 	}
 }
 
-func (x *experiment) duties(second int) error {
+func (x *experiment) tick(second int) error {
 	since := time.Duration(second) * time.Second
 	switch {
-	case x.cell.Partition > 0 && since == x.cell.cutAt():
+	case x.cell.Partition > 0 && since == x.cell.partitionAt():
 		x.f.Cut(x.cell.Deployment.DCs[2])
-	case x.cell.Partition > 0 && since == x.cell.cutAt()+x.cell.Partition:
+	case x.cell.Partition > 0 && since == x.cell.partitionAt()+x.cell.Partition:
 		x.f.Heal()
 		x.countLost()
-	case x.cell.Death && since == x.cell.deathAt():
-		x.kill()
-	case x.cell.Death && since == x.cell.deathAt()+rebirthAfter:
-		if err := x.rebirth(); err != nil {
+	case x.cell.Death && since == x.cell.crashAt():
+		x.crashRouter()
+	case x.cell.Death && since == x.cell.crashAt()+restartAfter:
+		if err := x.restartRouter(); err != nil {
 			return err
 		}
 	}
@@ -272,20 +275,20 @@
 			n.Place(x.ctx)
 		}
 	}
-	if second%10 == 0 && since > x.cell.deathAt()+listLag {
+	if second%10 == 0 && since > x.cell.crashAt()+listLag {
 		x.recover()
 	}
 	return nil
 }
 
-// kill ends the life of a router of the first data centre.
-func (x *experiment) kill() {
+// crashRouter crashes a router in the first data centre.
+func (x *experiment) crashRouter() {
 	n := x.f.Nodes[0]
 	n.Dead = true
 	x.dead = append(x.dead, n.Holder.ID())
 }
 
-func (x *experiment) rebirth() error {
+func (x *experiment) restartRouter() error {
 	old := x.f.Nodes[0]
 	n, err := x.f.AddNode(x.ctx, old.VM, old.DC)
 	if err == nil {
@@ -295,34 +298,34 @@
 }
 
 func (x *experiment) recover() {
-	kept := x.dead[:0]
+	unrecovered := x.dead[:0]
 	for _, holder := range x.dead {
 		if _, err := x.f.Recover(x.ctx, x.cell.Deployment.DCs[1], holder, false); err != nil {
-			kept = append(kept, holder)
+			unrecovered = append(unrecovered, holder)
 		}
 	}
-	x.dead = kept
+	x.dead = unrecovered
 }
 
-// arrive is one request of a caller.
-func (x *experiment) arrive() {
+// handleArrival generates and serves one request.
+func (x *experiment) handleArrival() {
 	d := x.cell.Deployment
 	team := x.pickTeam()
-	worst := d.WorstMin + x.rng.Int64N(d.WorstMax-d.WorstMin+1)
+	tokens := d.WorstMin + x.rng.Int64N(d.WorstMax-d.WorstMin+1)
 	share := d.UsedMin + x.rng.Float64()*(d.UsedMax-d.UsedMin)
-	last := time.Second + time.Duration(x.rng.Int64N(int64(3*time.Second)))
+	duration := time.Second + time.Duration(x.rng.Int64N(int64(3*time.Second)))
 	n := x.pickNode(team)
 	x.res.Requests++
-	x.next++
-	req, err := n.Serve(x.ctx, fmt.Sprint(x.next), budgetOf(team), worst)
+	x.requestSeq++
+	req, err := n.Serve(x.ctx, fmt.Sprint(x.requestSeq), budgetName(team), tokens)
 	if err != nil {
-		x.refused(n, team, worst)
+		x.recordRefusal(n, team, tokens)
 		return
 	}
 	x.res.Served++
-	x.reserved[team] += worst
-	heap.Push(&x.ends, ending{at: x.f.Now.Add(last), order: x.next, team: team, worst: worst,
-		used: int64(share * float64(worst)), req: req})
+	x.reserved[team] += tokens
+	heap.Push(&x.completions, completion{at: x.f.Now.Add(duration), seq: x.requestSeq, team: team, reserved: tokens,
+		used: int64(share * float64(tokens)), req: req})
 }
 
 func (x *experiment) pickTeam() int {
@@ -335,10 +338,11 @@
 	return teams - 1
 }
 
-// pickNode is the balancer: a live router of the caller's data centre.
+// pickNode picks a random live router in the caller's data centre, as a load balancer
+// does.
 func (x *experiment) pickNode(team int) *Node {
 	dc := team % 3
-	if x.rng.Float64() >= homeShare {
+	if x.rng.Float64() >= localShare {
 		dc = (dc + 1 + x.rng.IntN(2)) % 3
 	}
 	var live []*Node
@@ -350,49 +354,50 @@
 	return live[x.rng.IntN(len(live))]
 }
 
-// refused judges a refusal by what the whole budget had left.
-func (x *experiment) refused(n *Node, team int, worst int64) {
+// recordRefusal counts a refusal as false if the whole budget covered the request.
+func (x *experiment) recordRefusal(n *Node, team int, tokens int64) {
 	left := x.credit[team] - x.used[team] - x.reserved[team]
-	if left < worst {
+	if left < tokens {
 		return
 	}
 	x.res.False++
-	x.refusals[team]++
-	if x.within(n, team) < worst {
+	x.falseRefusals[team]++
+	if x.availableFrom(n, team) < tokens {
 		x.res.Far++
 	}
 }
 
-// within is what the node's side of the cut has of a budget: what live holders of
-// that side have at hand, and the free pool where the store is.
-func (x *experiment) within(n *Node, team int) int64 {
-	var have int64
+// availableFrom returns the tokens of a budget on the node's side of the partition: those
+// spendable by live holders there, and the free pool if the store is on that side.
+func (x *experiment) availableFrom(n *Node, team int) int64 {
+	var available int64
 	for _, m := range x.f.Nodes {
 		if m.Dead || x.f.Side(m.DC) != x.f.Side(n.DC) {
 			continue
 		}
 		for _, b := range m.Holder.State(x.f.Now) {
-			if b.Budget == budgetOf(team) {
-				have += b.AtHand
+			if b.Budget == budgetName(team) {
+				available += b.AtHand
 			}
 		}
 	}
 	if x.f.Side(n.DC) == 0 {
-		if a, err := x.f.Book().Get(x.ctx, budgetOf(team)); err == nil {
-			have += a.Free()
+		if a, err := x.f.Book().Get(x.ctx, budgetName(team)); err == nil {
+			available += a.Free()
 		}
 	}
-	return have
+	return available
 }
 
-// countLost looks at what is left now, after refusals.
+// countLost adds to Lost the false refusals since the last call that the tokens left now
+// would have covered.
 func (x *experiment) countLost() {
 	d := x.cell.Deployment
 	mean := float64(d.WorstMin+d.WorstMax) / 2 * (d.UsedMin + d.UsedMax) / 2
 	for t := range teams {
 		left := float64(x.credit[t] - x.used[t] - x.reserved[t])
-		x.res.Lost += min(x.refusals[t], int(left/mean))
-		x.refusals[t] = 0
+		x.res.Lost += min(x.falseRefusals[t], int(left/mean))
+		x.falseRefusals[t] = 0
 	}
 }
 
@@ -401,14 +406,14 @@
 	calls := x.f.Store.Calls()
 	x.res.Reads, x.res.Writes = calls.Reads, calls.Writes
 	for t := range teams {
-		a, err := x.f.Book().Get(x.ctx, budgetOf(t))
+		a, err := x.f.Book().Get(x.ctx, budgetName(t))
 		if err != nil {
 			return x.res, err
 		}
 		if err := a.Check(); err != nil {
-			return x.res, errors.Join(err, fmt.Errorf("budget %s", budgetOf(t)))
+			return x.res, errors.Join(err, fmt.Errorf("budget %s", budgetName(t)))
 		}
-		x.res.Overspend += max(0, x.f.Served(budgetOf(t))-x.credit[t])
+		x.res.Overspend += max(0, x.f.Served(budgetName(t))-x.credit[t])
 		x.res.Forfeited += a.Forfeited
 		for _, h := range x.dead {
 			if r := a.Rows[h]; r != nil {
--- a/coord/internal/lab/experiment_test.go
+++ b/coord/internal/lab/experiment_test.go
@@ -28,31 +28,33 @@
 	return res
 }
 
-// The targets of the policies, on the cells that say most: a long partition with a
-// router's death in it, budgets just above and below the demand.
+// The full policy must not overspend, must have at most a tenth of the false refusals of
+// the even split, and less than one store write per 100 requests without faults. The cells
+// are those where policies differ most: a long partition with a router crash, budgets just
+// above and below the demand.
 func TestPolicyTargets(t *testing.T) {
 	for _, d := range lab.Deployments() {
 		policies := lab.PoliciesUnderTest()
-		even, whole := policies[1], policies[3]
+		evenSplit, fullPolicy := policies[1], policies[3]
 		var evenFalse, fullFalse int
 		for _, budget := range []float64{0.95, 1.05} {
-			cell := lab.Cell{Deployment: d, Policy: even, Horizon: lab.Horizon,
+			cell := lab.Cell{Deployment: d, Policy: evenSplit, Horizon: lab.Horizon,
 				Partition: lab.Horizon / 2, Budget: budget, Death: true, Seed: *seed}
-			e := run(t, cell)
-			cell.Policy = whole
-			f := run(t, cell)
-			require.Zero(t, e.Overspend)
-			require.Zero(t, f.Overspend)
-			evenFalse += e.False
-			fullFalse += f.False
+			evenResult := run(t, cell)
+			cell.Policy = fullPolicy
+			fullResult := run(t, cell)
+			require.Zero(t, evenResult.Overspend)
+			require.Zero(t, fullResult.Overspend)
+			evenFalse += evenResult.False
+			fullFalse += fullResult.False
 		}
 		require.LessOrEqual(t, 10*fullFalse, evenFalse, "%s: false refusals", d.Name)
-		steady := run(t, lab.Cell{Deployment: d, Policy: whole, Horizon: lab.Horizon, Budget: 1.05, Seed: *seed})
-		require.Less(t, steady.WritesPer100(), 1.0, "%s: store writes for 100 requests", d.Name)
+		steady := run(t, lab.Cell{Deployment: d, Policy: fullPolicy, Horizon: lab.Horizon, Budget: 1.05, Seed: *seed})
+		require.Less(t, steady.WritesPer100(), 1.0, "%s: store writes per 100 requests", d.Name)
 	}
 }
 
-// TestPolicyTable prints the whole table when asked to.
+// TestPolicyTable runs all cells and prints the table if -lab.full is set.
 func TestPolicyTable(t *testing.T) {
 	if !*full {
 		return
--- a/coord/internal/lab/lab.go
+++ b/coord/internal/lab/lab.go
@@ -1,6 +1,6 @@
-// Package lab is a small set of fakes around the real holders, granters, witnesses
-// and recovery: routers and agents in data centres, with links that can be cut. It
-// has no network and no clock of its own; tests move the time.
+// Package lab simulates routers and agents in data centres around the real holders,
+// granters, witnesses and recovery, with network partitions. It has no network and no
+// clock of its own; tests advance the time.
 package lab
 
 import (
@@ -17,24 +17,24 @@
 	"github.com/arbutusmill/arbutusmill/coord/witness"
 )
 
-// CallTimeout bounds each store call and lot request of a node.
+// CallTimeout bounds each acquisition, page sync, lot request and recovery.
 const CallTimeout = 500 * time.Millisecond
 
-// witnessRuns is room enough for every experiment.
+// witnessRuns exceeds the number of runs that a witness has in any experiment.
 const witnessRuns = 1 << 20
 
-// Options describe a fleet.
+// Options configure a fleet.
 type Options struct {
 	Pages  int
 	Policy func() grant.Policy
 	Timing grant.Timing
-	// Transfers lets nodes borrow from each other.
+	// Transfers allows nodes to borrow from each other.
 	Transfers bool
-	// Expect is the number of holders that policies reckon with.
+	// Expect is the number of holders that policies assume.
 	Expect int
 }
 
-// Fleet is a set of nodes and agents around one store.
+// Fleet is a set of nodes and agents that share one store.
 type Fleet struct {
 	Opt    Options
 	Store  *memstore.Store
@@ -44,10 +44,11 @@
 	Now    time.Time
 	Nodes  []*Node
 	Agents []*Agent
-	// DropLots makes that many next answers to lot requests get lost.
+	// DropLots is the number of next replies to lot requests that are lost.
 	DropLots int
 
-	// side of the cut on which a data centre is; the store is on side 0.
+	// side is the side of the partition that a data centre is on; the store is on
+	// side 0.
 	side map[string]int
 }
 
@@ -55,18 +56,18 @@
 type Agent struct {
 	VM, DC, Life string
 	Witness      *witness.Witness
-	// Served counts the tokens that were really used here.
+	// Served is the number of tokens used on this agent, by budget.
 	Served map[string]int64
 	Dead   bool
 }
 
-// Node is one life of a router.
+// Node is one incarnation of a router.
 type Node struct {
 	VM, DC string
 	Holder *grant.Holder
 	Pages  *grant.StoreGranter
 	Acq    *grant.Acquirer
-	// Dead nodes do nothing; Frozen ones come back.
+	// Dead nodes do nothing; Frozen ones are paused and may resume.
 	Dead, Frozen bool
 
 	fleet *Fleet
@@ -84,18 +85,18 @@
 	}
 }
 
-// Book is the operator's access to the accounts.
+// Book returns an operator's client of the accounts.
 func (f *Fleet) Book() account.Book { return account.Book{Store: f.Store, Layout: f.Layout} }
 
-// Quiesce waits for the calls of the store that are on their way, so that nothing of one
-// step goes on in the next. No request may be beginning meanwhile.
+// Quiesce waits for outstanding store calls, so that no call of one step continues in the
+// next. No request may begin in the meantime.
 func (f *Fleet) Quiesce() {
 	for _, n := range f.Nodes {
 		n.Pages.Wait()
 	}
 }
 
-// Cut puts data centres on the side away from the store.
+// Cut partitions data centres from the store.
 func (f *Fleet) Cut(dcs ...string) {
 	f.Quiesce()
 	for _, dc := range dcs {
@@ -103,58 +104,59 @@
 	}
 }
 
-// Heal joins all sides.
+// Heal ends the partition.
 func (f *Fleet) Heal() {
 	f.Quiesce()
 	f.side = map[string]int{}
 }
 
-// Side returns the side of the cut on which a data centre is.
+// Side returns the side of the partition that a data centre is on; the store is on side 0.
 func (f *Fleet) Side(dc string) int { return f.side[dc] }
 
-func (f *Fleet) reach(a, b string) bool { return f.side[a] == f.side[b] }
+func (f *Fleet) connected(a, b string) bool { return f.side[a] == f.side[b] }
 
-// gate is the store as one data centre reaches it.
-type gate struct {
+// partitionedStore is the store as seen from one data centre: its calls fail while the
+// data centre is partitioned from it.
+type partitionedStore struct {
 	*memstore.Store
-	open func() bool
+	reachable func() bool
 }
 
 // Get implements store.Store.
-func (g gate) Get(ctx context.Context, key string) (store.Item, error) {
-	if !g.open() {
+func (p partitionedStore) Get(ctx context.Context, key string) (store.Item, error) {
+	if !p.reachable() {
 		return store.Item{}, store.Error.Wrap(store.ErrUnknown)
 	}
-	return g.Store.Get(ctx, key)
+	return p.Store.Get(ctx, key)
 }
 
 // List implements store.Store.
-func (g gate) List(ctx context.Context, prefix, from string, limit int) ([]store.Item, error) {
-	if !g.open() {
+func (p partitionedStore) List(ctx context.Context, prefix, from string, limit int) ([]store.Item, error) {
+	if !p.reachable() {
 		return nil, store.Error.Wrap(store.ErrUnknown)
 	}
-	return g.Store.List(ctx, prefix, from, limit)
+	return p.Store.List(ctx, prefix, from, limit)
 }
 
 // CompareAndSwap implements store.Store.
-func (g gate) CompareAndSwap(ctx context.Context, key string, expect store.Revision, value []byte, id store.LeaseID) (store.Revision, error) {
-	if !g.open() {
+func (p partitionedStore) CompareAndSwap(ctx context.Context, key string, expect store.Revision, value []byte, id store.LeaseID) (store.Revision, error) {
+	if !p.reachable() {
 		return 0, store.Error.Wrap(store.ErrUnknown)
 	}
-	return g.Store.CompareAndSwap(ctx, key, expect, value, id)
+	return p.Store.CompareAndSwap(ctx, key, expect, value, id)
 }
 
-func (f *Fleet) gate(dc string) store.Store {
-	return gate{Store: f.Store, open: func() bool { return f.side[dc] == 0 }}
+func (f *Fleet) storeFrom(dc string) store.Store {
+	return partitionedStore{Store: f.Store, reachable: func() bool { return f.side[dc] == 0 }}
 }
 
-// AddAgent starts a life of an agent.
+// AddAgent starts an incarnation of an agent.
 func (f *Fleet) AddAgent(ctx context.Context, vm, dc string) (*Agent, error) {
-	life, err := f.Lives.Begin(ctx, vm, recovery.AgentRole)
+	incarnationID, err := f.Lives.Begin(ctx, vm, recovery.AgentRole)
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{VM: vm, DC: dc, Life: life, Witness: witness.New(witnessRuns), Served: map[string]int64{}}
+	a := &Agent{VM: vm, DC: dc, Life: incarnationID, Witness: witness.New(witnessRuns), Served: map[string]int64{}}
 	upTo, err := f.Fences.Load(ctx)
 	if err != nil {
 		return nil, err
@@ -164,16 +166,16 @@
 	return a, nil
 }
 
-// AddNode starts a life of a router.
+// AddNode starts an incarnation of a router.
 func (f *Fleet) AddNode(ctx context.Context, vm, dc string) (*Node, error) {
-	life, err := f.Lives.Begin(ctx, vm, "router")
+	incarnationID, err := f.Lives.Begin(ctx, vm, "router")
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{VM: vm, DC: dc, fleet: f, Holder: grant.NewHolder(life, f.Layout, f.Opt.Policy())}
+	n := &Node{VM: vm, DC: dc, fleet: f, Holder: grant.NewHolder(incarnationID, f.Layout, f.Opt.Policy())}
 	n.Holder.Expect(f.Opt.Expect)
 	now := func() time.Time { return f.Now }
-	n.Pages = &grant.StoreGranter{Holder: n.Holder, Store: f.gate(dc), Layout: f.Layout, Timing: f.Opt.Timing,
+	n.Pages = &grant.StoreGranter{Holder: n.Holder, Store: f.storeFrom(dc), Layout: f.Layout, Timing: f.Opt.Timing,
 		Timeout: CallTimeout / 2, Now: now}
 	chain := []grant.Granter{n.Pages}
 	if f.Opt.Transfers {
@@ -184,19 +186,19 @@
 	return n, nil
 }
 
-// peers lists the other nodes, those of the data centre first.
+// peers lists the other live nodes, those in the node's data centre first.
 func (n *Node) peers(string) []string {
-	var near, far []string
+	var local, remote []string
 	for _, p := range n.fleet.Nodes {
 		switch {
 		case p == n || p.Dead:
 		case p.DC == n.DC:
-			near = append(near, p.Holder.ID())
+			local = append(local, p.Holder.ID())
 		default:
-			far = append(far, p.Holder.ID())
+			remote = append(remote, p.Holder.ID())
 		}
 	}
-	return append(near, far...)
+	return append(local, remote...)
 }
 
 // Node returns the node with a holder's id.
@@ -209,29 +211,30 @@
 	return nil
 }
 
-// over reports whether a call's time is over; its context may not have been told yet.
-func over(ctx context.Context) bool {
+// deadlinePassed reports whether a call's deadline has passed. It compares the time, since
+// the context's timer may not have fired yet.
+func deadlinePassed(ctx context.Context) bool {
 	deadline, ok := ctx.Deadline()
 	return ctx.Err() != nil || (ok && !time.Now().Before(deadline))
 }
 
-var errDown = fmt.Errorf("link down")
+var errUnreachable = fmt.Errorf("peer or agent is unreachable")
 
 // Lend implements grant.Lender.
 func (n *Node) Lend(ctx context.Context, peer, budget, id string, need, want int64) (grant.Lot, error) {
 	p := n.fleet.Node(peer)
-	if p == nil || p.Dead || p.Frozen || !n.fleet.reach(n.DC, p.DC) || over(ctx) {
-		return grant.Lot{}, errDown
+	if p == nil || p.Dead || p.Frozen || !n.fleet.connected(n.DC, p.DC) || deadlinePassed(ctx) {
+		return grant.Lot{}, errUnreachable
 	}
 	l, err := p.Holder.Lend(n.fleet.Now, budget, id, n.Holder.ID(), need, want)
 	if err == nil && n.fleet.DropLots > 0 {
 		n.fleet.DropLots--
-		return grant.Lot{}, errDown
+		return grant.Lot{}, errUnreachable
 	}
 	return l, err
 }
 
-// Request is a reservation at work at an agent.
+// Request is a request that runs on an agent, with its reservation.
 type Request struct {
 	ID    string
 	Node  *Node
@@ -239,18 +242,18 @@
 	Res   grant.Reservation
 }
 
-// Serve reserves worst tokens and begins the request at an agent within reach.
-func (n *Node) Serve(ctx context.Context, id, budget string, worst int64) (*Request, error) {
+// Serve reserves tokens and begins the request on a reachable agent.
+func (n *Node) Serve(ctx context.Context, id, budget string, tokens int64) (*Request, error) {
 	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
-	res, err := n.Acq.Acquire(ctx, budget, worst)
+	res, err := n.Acq.Acquire(ctx, budget, tokens)
 	if err != nil {
 		return nil, err
 	}
-	a := n.agent()
+	a := n.pickAgent()
 	if a == nil {
 		n.Holder.Settle(n.fleet.Now, res, 0)
-		return nil, errDown
+		return nil, errUnreachable
 	}
 	a.Witness.Trim(budget, n.Holder.Watermarks(budget))
 	if err := a.Witness.Begin(witness.Run{ID: id, Spender: n.Holder.ID(), Reservation: res}); err != nil {
@@ -260,11 +263,12 @@
 	return &Request{ID: id, Node: n, Agent: a, Res: res}, nil
 }
 
-// agent returns the node's agent: one of its data centre, else one within reach.
-func (n *Node) agent() *Agent {
+// pickAgent returns an agent in the node's data centre, or else another reachable agent,
+// or nil.
+func (n *Node) pickAgent() *Agent {
 	var other *Agent
 	for _, a := range n.fleet.Agents {
-		if a.Dead || !n.fleet.reach(n.DC, a.DC) {
+		if a.Dead || !n.fleet.connected(n.DC, a.DC) {
 			continue
 		}
 		if a.DC == n.DC {
@@ -275,8 +279,8 @@
 	return other
 }
 
-// Finish ends the request. The agent knows what it used; the node settles it unless
-// it died meanwhile.
+// Finish ends the request with the tokens used. The agent's witness records them and the
+// node settles the reservation, each unless it is dead; Served counts them in any case.
 func (r *Request) Finish(used int64) {
 	used = min(used, r.Res.Tokens())
 	if !r.Agent.Dead {
@@ -288,7 +292,7 @@
 	}
 }
 
-// Sync does a node's due page work.
+// Sync syncs the node's pages that are due.
 func (n *Node) Sync(ctx context.Context) {
 	if n.Dead || n.Frozen {
 		return
@@ -298,7 +302,7 @@
 	}
 }
 
-// SyncPage syncs one page.
+// SyncPage syncs one page, and postpones it on failure.
 func (n *Node) SyncPage(ctx context.Context, key string) {
 	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
@@ -309,21 +313,21 @@
 
 func (f *Fleet) reachesStore(dc string) bool { return f.side[dc] == 0 }
 
-// Place syncs all pages of a node once.
+// Place syncs all pages once.
 func (n *Node) Place(ctx context.Context) {
 	for p := range n.fleet.Layout.Pages {
 		n.SyncPage(ctx, n.fleet.Layout.KeyOf(p))
 	}
 }
 
-// ReturnLots gives a node's idle lots back.
+// ReturnLots returns the lots that have been idle for the given time to their lenders.
 func (n *Node) ReturnLots(idle time.Duration) {
 	if n.Dead || n.Frozen {
 		return
 	}
 	for _, r := range n.Holder.CloseLots(n.fleet.Now.Add(-idle)) {
 		p := n.fleet.Node(r.Lender)
-		if p == nil || p.Dead || p.Frozen || !n.fleet.reach(n.DC, p.DC) {
+		if p == nil || p.Dead || p.Frozen || !n.fleet.connected(n.DC, p.DC) {
 			continue
 		}
 		p.Holder.TakeBack(n.fleet.Now, r)
@@ -331,11 +335,11 @@
 	}
 }
 
-// Audit takes back lots whose answers were lost.
+// Audit takes back lots whose replies to the borrower were lost.
 func (n *Node) Audit() {
 	for borrower, parts := range n.Holder.LentLots() {
 		b := n.fleet.Node(borrower)
-		if b == nil || b.Dead || b.Frozen || !n.fleet.reach(n.DC, b.DC) {
+		if b == nil || b.Dead || b.Frozen || !n.fleet.connected(n.DC, b.DC) {
 			continue
 		}
 		for _, p := range b.Holder.Disown(parts) {
@@ -344,25 +348,25 @@
 	}
 }
 
-// Recover recovers a dead life, as seen from a data centre.
+// Recover recovers the tokens of a dead incarnation from a data centre.
 func (f *Fleet) Recover(ctx context.Context, dc, holder string, forfeit bool) (recovery.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
-	r := &recovery.Recoverer{Store: f.gate(dc), Layout: f.Layout,
-		Lives:  incarnation.Registry{Store: f.gate(dc), Prefix: f.Lives.Prefix},
-		Fences: recovery.Fences{Store: f.gate(dc), Key: f.Fences.Key}, Fleet: access{f, dc, holder}}
+	r := &recovery.Recoverer{Store: f.storeFrom(dc), Layout: f.Layout,
+		Lives:  incarnation.Registry{Store: f.storeFrom(dc), Prefix: f.Lives.Prefix},
+		Fences: recovery.Fences{Store: f.storeFrom(dc), Key: f.Fences.Key}, Fleet: recoveryView{f, dc, holder}}
 	return r.Recover(ctx, holder, forfeit)
 }
 
-// access is the fleet as recovery in one data centre reaches it.
-type access struct {
+// recoveryView is the fleet as recovery in one data centre can reach it.
+type recoveryView struct {
 	f      *Fleet
 	dc     string
 	holder string
 }
 
 // Agents implements recovery.Fleet.
-func (x access) Agents() []string {
+func (x recoveryView) Agents() []string {
 	var out []string
 	for _, a := range x.f.Agents {
 		if !a.Dead {
@@ -373,7 +377,7 @@
 }
 
 // Peers implements recovery.Fleet.
-func (x access) Peers() []string {
+func (x recoveryView) Peers() []string {
 	var out []string
 	for _, n := range x.f.Nodes {
 		if !n.Dead && n.Holder.ID() != x.holder {
@@ -383,25 +387,25 @@
 	return out
 }
 
-func (x access) agent(vm string) (*Agent, error) {
+func (x recoveryView) agent(vm string) (*Agent, error) {
 	for _, a := range x.f.Agents {
-		if a.VM == vm && !a.Dead && x.f.reach(x.dc, a.DC) {
+		if a.VM == vm && !a.Dead && x.f.connected(x.dc, a.DC) {
 			return a, nil
 		}
 	}
-	return nil, errDown
+	return nil, errUnreachable
 }
 
-func (x access) peer(id string) (*Node, error) {
+func (x recoveryView) peer(id string) (*Node, error) {
 	n := x.f.Node(id)
-	if n == nil || n.Dead || n.Frozen || !x.f.reach(x.dc, n.DC) {
-		return nil, errDown
+	if n == nil || n.Dead || n.Frozen || !x.f.connected(x.dc, n.DC) {
+		return nil, errUnreachable
 	}
 	return n, nil
 }
 
 // FenceAgent implements recovery.Fleet.
-func (x access) FenceAgent(_ context.Context, vm, holder string) (recovery.Evidence, error) {
+func (x recoveryView) FenceAgent(_ context.Context, vm, holder string) (recovery.Evidence, error) {
 	a, err := x.agent(vm)
 	if err != nil {
 		return recovery.Evidence{}, err
@@ -410,7 +414,7 @@
 }
 
 // FencePeer implements recovery.Fleet.
-func (x access) FencePeer(_ context.Context, id, holder string) (recovery.PeerEvidence, error) {
+func (x recoveryView) FencePeer(_ context.Context, id, holder string) (recovery.PeerEvidence, error) {
 	n, err := x.peer(id)
 	if err != nil {
 		return recovery.PeerEvidence{}, err
@@ -420,7 +424,7 @@
 }
 
 // SettleLot implements recovery.Fleet.
-func (x access) SettleLot(_ context.Context, id string, r grant.LotReturn) error {
+func (x recoveryView) SettleLot(_ context.Context, id string, r grant.LotReturn) error {
 	n, err := x.peer(id)
 	if err == nil {
 		n.Holder.TakeBack(x.f.Now, r)
@@ -429,7 +433,7 @@
 }
 
 // Forget implements recovery.Fleet.
-func (x access) Forget(_ context.Context, vm, holder string) error {
+func (x recoveryView) Forget(_ context.Context, vm, holder string) error {
 	a, err := x.agent(vm)
 	if err == nil {
 		a.Witness.Forget(holder)
@@ -437,7 +441,7 @@
 	return err
 }
 
-// Served sums what all agents really served of a budget.
+// Served returns the tokens of a budget used on all agents.
 func (f *Fleet) Served(budget string) int64 {
 	var n int64
 	for _, a := range f.Agents {
