--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -1,4 +1,4 @@
-// Package examples_test checks that the example settings are complete and correct.
+// Package examples_test checks that the example settings are complete and valid.
 package examples_test
 
 import (
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Every VM of an example's list has settings that agree with the list, and every
-// agent's service is in the configuration.
+// Every VM in an example's list must have settings that match the list, and every agent's
+// service must be in the configuration.
 func TestExamples(t *testing.T) {
 	for _, name := range []string{"brekke", "lakeshore"} {
 		raw, err := os.ReadFile(filepath.Join(name, "fleet.yaml"))
@@ -53,8 +53,8 @@
 	require.Less(t, s.Budgets.Horizon, settings.DefaultGateway().Budgets.Horizon)
 }
 
-// A wrong file names each field that is wrong, and an unknown one with its place.
-func TestWrongGatewaySettings(t *testing.T) {
+// The error for an invalid file must name each invalid field and each unknown one.
+func TestInvalidGatewaySettings(t *testing.T) {
 	_, err := settings.ParseGateway([]byte("vm: a\ndatacentre: b\nlisten: {callers: \"nowhere\"}\nrepeats: {ratio: -1}\nstop: {notice: 9s}\n"))
 	for _, field := range []string{"listen.callers", "listen.link", "store.address", "repeats.ratio", "stop.notice"} {
 		require.ErrorContains(t, err, field)
