--- a/coord/internal/lab/experiment.go
+++ b/coord/internal/lab/experiment.go
@@ -377,7 +377,7 @@
 		}
 		for _, b := range m.Holder.State(x.f.Now) {
 			if b.Budget == budgetName(team) {
-				available += b.AtHand
+				available += b.Spendable
 			}
 		}
 	}
--- a/demo/fleet.go
+++ b/demo/fleet.go
@@ -330,8 +330,8 @@
 }
 
 // Book returns an operator's client of the accounts.
-func (f *Fleet) Book() account.Book {
-	return account.Book{Store: f.Store(), Layout: account.Layout{Prefix: process.PagePrefix, Pages: settings.Default().Budgets.Pages}}
+func (f *Fleet) Book() account.AdminClient {
+	return account.AdminClient{Store: f.Store(), Layout: account.Layout{Prefix: process.PagePrefix, Pages: settings.Default().Budgets.Pages}}
 }
 
 // Ledger returns an operator's reader of the ledger.
--- a/etcd/etcd.go
+++ b/etcd/etcd.go
@@ -110,9 +110,9 @@
 	return e.read(ctx, RangeRequest{Key: []byte(prefix), RangeEnd: prefixEnd(prefix)})
 }
 
-// Peek implements store.Store with a serializable read, which a single member of the
+// StaleSnapshot implements store.Store with a serializable read, which a single member of the
 // cluster answers without consensus.
-func (e *Store) Peek(ctx context.Context, prefix string) ([]store.Item, error) {
+func (e *Store) StaleSnapshot(ctx context.Context, prefix string) ([]store.Item, error) {
 	in := RangeRequest{Key: []byte(prefix), RangeEnd: prefixEnd(prefix), Serializable: true}
 	items, _, err := e.read(ctx, in)
 	return items, err
