--- a/settings/check.go
+++ b/settings/check.go
@@ -10,7 +10,7 @@
 	"github.com/rs/zerolog"
 )
 
-// checker collects mistakes by field.
+// checker collects errors by field.
 type checker struct{ fielderrors.List }
 
 func (c *checker) require(ok bool, field, format string, args ...any) {
@@ -19,7 +19,7 @@
 	}
 }
 
-// Check verifies all settings and names each wrong field.
+// Check returns an error that lists every invalid field.
 func (s *Settings) Check() error {
 	c := &checker{}
 	c.require(fleet.ValidName(s.VM), "vm", "%q is not a name (lower-case letters, digits, . _ / -)", s.VM)
@@ -112,13 +112,13 @@
 	}
 	c.require(s.Security.SharedSecret != "", "security", "needs processes_tls or shared_secret")
 	for field, addr := range map[string]string{"listen.link": s.Listen.Link, "listen.work": s.Listen.Work} {
-		// Guard against a secret in the clear on a network, which any
-		// listener could repeat: without TLS only loopback is allowed.
-		c.require(addr == "" || loopback(addr), field, "%q is not a loopback address; processes_tls is needed there", addr)
+		// Without TLS only loopback is allowed: an eavesdropper on a network
+		// could replay a secret sent in the clear.
+		c.require(addr == "" || isLoopback(addr), field, "%q is not a loopback address; processes_tls is needed there", addr)
 	}
 }
 
-func loopback(addr string) bool {
+func isLoopback(addr string) bool {
 	host, _, err := net.SplitHostPort(addr)
 	ip := net.ParseIP(host)
 	return err == nil && ip != nil && ip.IsLoopback()
--- a/settings/differences.go
+++ b/settings/differences.go
@@ -2,16 +2,16 @@
 
 import "reflect"
 
-// Differences names the sections of two settings of one type that differ: those that a
-// running process takes, and those that need a restart.
-func Differences[T any](old, next *T, live map[string]bool) (changed, restart []string) {
+// Differences returns the names of the sections in which two settings differ: changed lists
+// those that a running process applies, restart those that need a restart.
+func Differences[T any](old, next *T, reloadable map[string]bool) (changed, restart []string) {
 	a, b := reflect.ValueOf(*old), reflect.ValueOf(*next)
 	for i := range a.NumField() {
 		if reflect.DeepEqual(a.Field(i).Interface(), b.Field(i).Interface()) {
 			continue
 		}
 		name := a.Type().Field(i).Tag.Get("yaml")
-		if live[name] {
+		if reloadable[name] {
 			changed = append(changed, name)
 		} else {
 			restart = append(restart, name)
--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -9,7 +9,7 @@
 	"github.com/goccy/go-yaml"
 )
 
-// Gateway are the settings of a router on the operators' platform. The platform fills
+// Gateway holds the settings of a router on the operators' platform. The platform fills
 // them in from the template in deploy/.
 type Gateway struct {
 	VM         string `yaml:"vm"`
@@ -27,11 +27,11 @@
 	Stop      Stop              `yaml:"stop"`
 }
 
-// GatewayListen are the addresses (host:port) that a gateway listens on.
+// GatewayListen holds the addresses (host:port) that a gateway listens on.
 type GatewayListen struct {
 	// Callers is for callers.
 	Callers string `yaml:"callers"`
-	// Ready is for the balancer's question whether to send callers here.
+	// Ready is for the balancer's readiness checks.
 	Ready string `yaml:"ready"`
 	// Admin is for health, metrics and dumps.
 	Admin string `yaml:"admin"`
@@ -40,79 +40,79 @@
 	Link string `yaml:"link"`
 }
 
-// HostedStore is how a process on the operators' platform reaches its store.
+// HostedStore configures store access of a process on the operators' platform.
 type HostedStore struct {
 	// Address is host:port.
 	Address string `yaml:"address"`
 	// Timeout bounds one call.
 	Timeout fleet.Duration `yaml:"timeout"`
-	// WatchWait is how long one waiting call of a watch waits.
+	// WatchWait is how long one watch call waits for events.
 	WatchWait fleet.Duration `yaml:"watch_wait"`
-	// WatchPause follows each call of a watch that brought events.
+	// WatchPause is the pause after each watch call that returned events.
 	WatchPause fleet.Duration `yaml:"watch_pause"`
-	// MemberTTL is the lease of a process's own entry, and MemberInterval the pause
-	// between two renewals of it.
+	// MemberTTL is the TTL of the lease on the process's own member entry, and
+	// MemberInterval the interval between its renewals.
 	MemberTTL      fleet.Duration `yaml:"member_ttl"`
 	MemberInterval fleet.Duration `yaml:"member_interval"`
 }
 
-// HostedBudgets is how a process on the operators' platform holds prepaid budgets.
+// HostedBudgets configures prepaid budgets of a process on the operators' platform.
 type HostedBudgets struct {
-	// Pages is the number of values that the accounts are spread over; the same
-	// for the whole fleet, for its life.
+	// Pages is the number of store values that the accounts are spread over; it is the
+	// same for the whole fleet and never changes.
 	Pages int `yaml:"pages"`
-	// Horizon is the longest cut from the store that a router's tokens should
-	// outlast at recent demand.
+	// Horizon is the longest disconnection from the store that a router's tokens
+	// should outlast at recent demand.
 	Horizon fleet.Duration `yaml:"horizon"`
-	// MostLost is the share of what is left of a budget that is kept available while the
-	// store answers well (0..1): what is available is lost when the process dies. 0 is no
-	// such bound, for processes that are cut off from the store without a warning.
+	// MostLost is the maximum share (0..1) of a budget's remaining tokens that is kept
+	// available while the store responds normally: available tokens are lost when the
+	// process dies. 0 means no bound, for processes that lose the store without warning.
 	MostLost float64 `yaml:"most_lost"`
 	// DemandWindow is the time constant of the average of recent demand.
 	DemandWindow fleet.Duration `yaml:"demand_window"`
-	// Report is the longest time that use stays unreported.
+	// Report is the maximum time for which usage stays unreported.
 	Report fleet.Duration `yaml:"report"`
-	// StoreWait bounds what one request waits for the store's tokens, PeerWait
-	// what it waits for those of one other process, and Wait all of it.
+	// StoreWait bounds how long a request waits for tokens from the store, PeerWait
+	// how long it waits for tokens from one other process, and Wait the total.
 	StoreWait fleet.Duration `yaml:"store_wait"`
 	PeerWait  fleet.Duration `yaml:"peer_wait"`
 	Wait      fleet.Duration `yaml:"wait"`
 }
 
-// Repeats bounds the sends beyond the first of each request, for the whole fleet.
+// Repeats limits the retries of requests, for the whole fleet.
 type Repeats struct {
-	// Ratio is the share of a service's requests that may be repeated.
+	// Ratio is the share of a service's requests that may be retried.
 	Ratio float64 `yaml:"ratio"`
-	// Extra is the number of repeats allowed beside that in each window.
+	// Extra is the number of additional retries allowed in each window.
 	Extra float64 `yaml:"extra"`
-	// Window is the span in which both are counted.
+	// Window is the period over which both are counted.
 	Window fleet.Duration `yaml:"window"`
 }
 
-// Cold bounds the requests in any second to an upstream that has just started, from all routers
-// together: Overshoot times the rate that its service names, and Slack.
+// Cold limits the requests per second from all routers together to an upstream that has just
+// started: Overshoot times the rate configured for its service, plus Slack.
 type Cold struct {
 	Overshoot float64 `yaml:"overshoot"`
 	Slack     float64 `yaml:"slack"`
 }
 
-// Upstreams is how upstreams are called.
+// Upstreams configures calls to upstreams.
 type Upstreams struct {
-	// DialTimeout bounds the start of a connection.
+	// DialTimeout bounds connection setup.
 	DialTimeout fleet.Duration `yaml:"dial_timeout"`
-	// IdleTimeout is how long a kept connection to an upstream may be unused.
+	// IdleTimeout is how long an idle connection to an upstream is kept.
 	IdleTimeout fleet.Duration `yaml:"idle_timeout"`
-	// PrefillPerMs is the prompt tokens that an engine reads in a millisecond.
+	// PrefillPerMs is the number of prompt tokens that an engine prefills per millisecond.
 	PrefillPerMs float64 `yaml:"prefill_tokens_per_ms"`
-	// AnnounceTimeout bounds one message to the process beside an engine.
+	// AnnounceTimeout bounds one message to the lender on an engine's VM.
 	AnnounceTimeout fleet.Duration `yaml:"announce_timeout"`
 }
 
-// GatewayLimits bound what a gateway takes on.
+// GatewayLimits bounds the load that a gateway accepts and its use of resources.
 type GatewayLimits struct {
-	// Concurrent is the most requests in progress.
+	// Concurrent is the maximum number of requests in progress.
 	Concurrent int `yaml:"concurrent_requests"`
-	// WriteTimeout bounds the wait for a slow caller to take one piece.
+	// WriteTimeout bounds one write to a slow caller.
 	WriteTimeout fleet.Duration `yaml:"write_timeout"`
 	// MemoryMB is the memory (MiB) that the process may use.
 	MemoryMB int `yaml:"memory_mb"`
@@ -120,10 +120,10 @@
 	LinkMbps float64 `yaml:"link_mbps"`
 }
 
-// Stop is how a planned stop goes.
+// Stop configures a planned stop.
 type Stop struct {
-	// Notice is how long callers' new connections are still served while the
-	// balancer learns that this router is leaving.
+	// Notice is how long new connections of callers are still served after the
+	// router reports not ready, until the balancer detects it.
 	Notice fleet.Duration `yaml:"notice"`
 	// Grace is the time from the signal to the end of the process.
 	Grace fleet.Duration `yaml:"grace"`
@@ -134,35 +134,35 @@
 	return Gateway{
 		Log: Log{Level: "info"},
 		Store: HostedStore{
-			// A call takes some milliseconds; a store that is slow by a factor
-			// of 80 still answers within the bound.
+			// A call takes a few milliseconds; a store that is 80 times slower
+			// still responds within the timeout.
 			Timeout: fleet.Duration(1500 * time.Millisecond),
-			// A store that loses its history may leave a waiting call without
-			// the changes of that time, and one that is lost silently leaves it
-			// without an answer; only its end tells. Changes must be in force
-			// within two seconds all the same, and a few processes only wait.
+			// A store that loses its history may omit the changes of that time
+			// from a pending call, and one that fails silently never responds;
+			// this shows only when the call ends. Changes must still take effect
+			// within two seconds, and only a few processes have pending calls.
 			WatchWait: fleet.Duration(time.Second),
-			// Small beside the two seconds in which changes must be in force.
+			// Small compared with the two seconds in which changes must take effect.
 			WatchPause: fleet.Duration(300 * time.Millisecond),
-			// Three times the cuts from the store that are usual.
+			// Three times the usual length of a disconnection from the store.
 			MemberTTL: fleet.Duration(30 * time.Second),
-			// Three renewals may be lost before an entry ends. An entry that
-			// ended sooner is seen by its process among the others', and
-			// written again at once.
+			// Three renewals may be lost before an entry expires. A process that
+			// sees in the member list that its entry expired earlier recreates it
+			// at once.
 			MemberInterval: fleet.Duration(7500 * time.Millisecond),
 		},
 		Budgets: HostedBudgets{
-			// Each page is a writer that reports once a second: with 16 of them a fleet
-			// of 30 routers made a tenth more calls of the store. All budgets of a page
-			// have one home, so a few keep a death from reaching all teams.
+			// Each page has a writer that reports once a second: with 16 pages a fleet
+			// of 30 routers made a tenth more store calls. All budgets of a page share
+			// one primary, so with several pages its failure doesn't affect all teams.
 			Pages: 4,
-			// Cuts of seven to nine seconds are usual.
+			// Disconnections of seven to nine seconds are usual.
 			Horizon:      fleet.Duration(10 * time.Second),
 			DemandWindow: fleet.Duration(10 * time.Second),
 			Report:       fleet.Duration(time.Second),
 			StoreWait:    fleet.Duration(400 * time.Millisecond),
-			// The home may have to ask the store in this time; a store that is
-			// slow by a factor of 100 answers within it.
+			// The primary may have to query the store in this time; a store that is
+			// 100 times slower than usual responds within it.
 			PeerWait: fleet.Duration(500 * time.Millisecond),
 			// Two peers and the store, one after the other.
 			Wait: fleet.Duration(1200 * time.Millisecond),
@@ -172,13 +172,13 @@
 			DialTimeout:  fleet.Duration(400 * time.Millisecond),
 			IdleTimeout:  fleet.Duration(3 * time.Second),
 			PrefillPerMs: 50,
-			// Small beside the goals for the first event, and many times a
-			// way between data centres.
+			// Small compared with the goals for the time to the first event, and
+			// many times the one-way latency between data centres.
 			AnnounceTimeout: fleet.Duration(40 * time.Millisecond),
 		},
 		Cold:   Cold{Overshoot: 1},
 		Limits: GatewayLimits{Concurrent: 2000, WriteTimeout: fleet.Duration(10 * time.Second), MemoryMB: 128},
-		// The balancer asks once a second and needs two misses.
+		// The balancer probes once a second and needs two failures.
 		Stop: Stop{Notice: fleet.Duration(3 * time.Second), Grace: fleet.Duration(8 * time.Second)},
 	}
 }
@@ -192,7 +192,7 @@
 	return ParseGateway(b)
 }
 
-// ParseGateway reads and checks a gateway's settings. An unknown field is an error with
+// ParseGateway parses and checks a gateway's settings. An unknown field is an error with
 // its line and column.
 func ParseGateway(b []byte) (*Gateway, error) {
 	s := DefaultGateway()
@@ -205,7 +205,7 @@
 	return &s, nil
 }
 
-// Check verifies all settings and names each wrong field.
+// Check returns an error that lists every invalid field.
 func (s *Gateway) Check() error {
 	c := &checker{}
 	c.require(s.VM != "", "vm", "is missing")
--- a/settings/lender.go
+++ b/settings/lender.go
@@ -10,8 +10,8 @@
 	"github.com/rs/zerolog"
 )
 
-// Lender are the settings of a process that holds budgets beside an upstream. The platform
-// fills them in from the template in deploy/.
+// Lender holds the settings of a process that holds budgets on the VM of an upstream. The
+// platform fills them in from the template in deploy/.
 type Lender struct {
 	VM         string         `yaml:"vm"`
 	Datacentre string         `yaml:"datacentre"`
@@ -24,7 +24,7 @@
 	Stop       LenderStop     `yaml:"stop"`
 }
 
-// LenderListen are the addresses (host:port) that a lender listens on.
+// LenderListen holds the addresses (host:port) that a lender listens on.
 type LenderListen struct {
 	// Admin is for health, metrics and dumps.
 	Admin string `yaml:"admin"`
@@ -34,23 +34,22 @@
 
 // BesideUpstream is the upstream on the lender's VM.
 type BesideUpstream struct {
-	// Address is its host:port; "" is none.
+	// Address is its host:port; "" means that there is none.
 	Address string `yaml:"address"`
-	// Interval is the pause between two questions how it is, Timeout the bound on
-	// each.
+	// Interval is the interval between status queries, and Timeout the bound on each.
 	Interval fleet.Duration `yaml:"interval"`
 	Timeout  fleet.Duration `yaml:"timeout"`
-	// PrefillPerMs is the prompt tokens that it reads in a millisecond.
+	// PrefillPerMs is the number of prompt tokens that it prefills per millisecond.
 	PrefillPerMs float64 `yaml:"prefill_tokens_per_ms"`
 }
 
-// LenderLimits bound what a lender takes of its VM.
+// LenderLimits bounds a lender's use of its VM.
 type LenderLimits struct {
 	// MemoryMB is the memory (MiB) that the process may use.
 	MemoryMB int `yaml:"memory_mb"`
 }
 
-// LenderStop is how a planned stop goes.
+// LenderStop configures a planned stop.
 type LenderStop struct {
 	// Grace is the time from the signal to the end of the process.
 	Grace fleet.Duration `yaml:"grace"`
@@ -63,8 +62,8 @@
 		Log:     g.Log,
 		Store:   g.Store,
 		Budgets: g.Budgets,
-		// Upstreams that leave go on for two seconds and more after they said so.
-		// Their answers cost nothing on the own VM.
+		// An upstream that leaves keeps running for two seconds or more after it
+		// reports so. Queries on the same VM cost nothing.
 		Upstream: BesideUpstream{
 			Interval: fleet.Duration(500 * time.Millisecond),
 			Timeout:  fleet.Duration(300 * time.Millisecond),
@@ -74,11 +73,11 @@
 		Limits: LenderLimits{MemoryMB: 128},
 		Stop:   LenderStop{Grace: g.Stop.Grace},
 	}
-	// Lenders reach the store while routers are cut off from it, so what they hold has
-	// to outlast outages of the store itself only.
+	// Lenders reach the store while routers are disconnected from it, so their tokens
+	// only have to outlast outages of the store itself.
 	s.Budgets.Horizon = fleet.Duration(4 * time.Second)
-	// Of 6, 8, 10 and 20 in a hundred, 10 was best over an outage of the whole store and a
-	// death of all processes: less is refused for longer in the one, more lost in the other.
+	// Of 6, 8, 10 and 20 percent, 10 is best across an outage of the whole store and a crash
+	// of all processes: less prolongs refusals in the former, more loses tokens in the latter.
 	s.Budgets.MostLost = 0.1
 	return s
 }
@@ -92,7 +91,7 @@
 	return ParseLender(b)
 }
 
-// ParseLender reads and checks a lender's settings. An unknown field is an error with its
+// ParseLender parses and checks a lender's settings. An unknown field is an error with its
 // line and column.
 func ParseLender(b []byte) (*Lender, error) {
 	s := DefaultLender()
@@ -105,7 +104,7 @@
 	return &s, nil
 }
 
-// Check verifies all settings and names each wrong field.
+// Check returns an error that lists every invalid field.
 func (s *Lender) Check() error {
 	c := &checker{}
 	c.require(s.VM != "", "vm", "is missing")
@@ -124,7 +123,7 @@
 	return Error.Wrap(c.Err())
 }
 
-// hosted checks what the processes on the operators' platform have in common.
+// hosted checks the settings shared by all processes on the operators' platform.
 func (c *checker) hosted(s HostedStore, b HostedBudgets, l Log) {
 	c.address("store.address", s.Address)
 	c.positive("store.timeout", s.Timeout)
@@ -145,7 +144,7 @@
 	}
 }
 
-// positive checks a duration.
+// positive requires a duration above zero.
 func (c *checker) positive(field string, d fleet.Duration) {
 	c.require(d > 0, field, "must be positive, with a unit")
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads a process's settings from YAML: strictly, with all
-// defaults in one place, and each mistake named by its field.
+// Package settings reads a process's settings from YAML. Unknown fields are
+// errors, all defaults are in one place, and each error names its field.
 package settings
 
 import (
@@ -15,13 +15,13 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("settings")
 
-// Role names in a settings file.
+// Roles in a settings file.
 const (
 	RoleRouter = "router"
 	RoleAgent  = "agent"
 )
 
-// Settings are those of one process.
+// Settings holds the settings of a router or an agent.
 type Settings struct {
 	// Role is router or agent.
 	Role string `yaml:"role"`
@@ -42,12 +42,12 @@
 	Upstream Upstream `yaml:"upstream"`
 	// StopTimeout bounds a planned stop.
 	StopTimeout fleet.Duration `yaml:"stop_timeout"`
-	// StopNotice is the time between the not-ready answer and the end of
-	// new work, for the balancer to notice.
+	// StopNotice is the time between reporting not ready and refusing new
+	// work, in which the balancer detects it.
 	StopNotice fleet.Duration `yaml:"stop_notice"`
 }
 
-// Listen are the addresses (host:port) a process listens on.
+// Listen holds the addresses (host:port) that a process listens on.
 type Listen struct {
 	// Callers is a router's address for callers.
 	Callers string `yaml:"callers"`
@@ -59,7 +59,7 @@
 	Admin string `yaml:"admin"`
 }
 
-// Platform is where the outside systems are.
+// Platform configures access to external systems.
 type Platform struct {
 	// Store is the base URL of the key-value service.
 	Store string `yaml:"store"`
@@ -67,33 +67,33 @@
 	VMs string `yaml:"vms"`
 	// Timeout bounds one call.
 	Timeout fleet.Duration `yaml:"timeout"`
-	// ListInterval is the pause between two reads of the list of VMs.
+	// ListInterval is the interval between reads of the list of VMs.
 	ListInterval fleet.Duration `yaml:"list_interval"`
-	// ListLag is the longest time by which that list is late.
+	// ListLag is the maximum delay of that list.
 	ListLag fleet.Duration `yaml:"list_lag"`
-	// ConfigInterval is the pause between two reads of the configuration
-	// beside the watch.
+	// ConfigInterval is the interval between reads of the configuration
+	// in addition to the watch.
 	ConfigInterval fleet.Duration `yaml:"config_interval"`
 }
 
-// Security is how processes and callers are known.
+// Security configures authentication between processes and TLS for callers.
 type Security struct {
-	// Callers is the certificate of a router's callers' address.
+	// Callers is the certificate of a router's listener for callers.
 	Callers KeyPair `yaml:"callers_tls"`
-	// Processes is the certificate and authority between processes.
+	// Processes is the certificate and CA for mutual TLS between processes.
 	Processes MutualTLS `yaml:"processes_tls"`
-	// SharedSecret stands in for mutual TLS where every address is a
-	// loopback address.
+	// SharedSecret replaces mutual TLS where every address is a loopback
+	// address.
 	SharedSecret string `yaml:"shared_secret"`
 }
 
-// KeyPair names PEM files; both are empty or none.
+// KeyPair holds paths of PEM files; either both are set or neither.
 type KeyPair struct {
 	Cert string `yaml:"cert_file"`
 	Key  string `yaml:"key_file"`
 }
 
-// MutualTLS names PEM files; all are empty or none.
+// MutualTLS holds paths of PEM files; either all are set or none.
 type MutualTLS struct {
 	Cert string `yaml:"cert_file"`
 	Key  string `yaml:"key_file"`
@@ -103,88 +103,89 @@
 // Set reports whether mutual TLS is configured.
 func (m MutualTLS) Set() bool { return m.Cert != "" }
 
-// Log is how events are written.
+// Log configures the log.
 type Log struct {
 	// Level is debug, info, warn or error.
 	Level string `yaml:"level"`
 }
 
-// Budget weights.
+// Values of Budgets.Favour.
 const (
 	FavourAvailability = "availability"
 	FavourExactness    = "exactness"
 )
 
-// Budgets is how a router holds tokens.
+// Budgets configures how a router holds tokens.
 type Budgets struct {
-	// Pages is the number of account pages; the same for the whole fleet, for
-	// its life.
+	// Pages is the number of account pages; it is the same for the whole fleet
+	// and never changes.
 	Pages int `yaml:"pages"`
 	// Favour is availability (few false refusals) or exactness (the last
-	// tokens kept together).
+	// tokens are kept in one place).
 	Favour string `yaml:"favour"`
-	// HoldersPerDatacentre is how many routers of a data centre have grants
-	// of one page of their own; the others borrow from them.
+	// HoldersPerDatacentre is the number of routers of a data centre that have
+	// their own grants of a page; the others borrow from them.
 	HoldersPerDatacentre int `yaml:"holders_per_datacentre"`
-	// AdoptFrom is the demand (tokens a second) of others from which a router
-	// takes grants of a budget that it has not used; negative adopts all.
+	// AdoptFrom is the minimum demand (tokens per second) of other routers at
+	// which a router takes grants of a budget that it has not used; if negative,
+	// it takes grants of all budgets.
 	AdoptFrom float64        `yaml:"adopt_from_tokens_per_second"`
 	Rebalance fleet.Duration `yaml:"rebalance"`
 	Report    fleet.Duration `yaml:"report"`
-	// Place is the pause between two looks at all pages for budgets that this
-	// router should hold tokens of although nobody asked here.
+	// Place is the interval between scans of all pages for budgets whose tokens
+	// this router should hold although it has received no request for them.
 	Place fleet.Duration `yaml:"place"`
 	// PeerTimeout bounds one request for a lot.
 	PeerTimeout fleet.Duration `yaml:"peer_timeout"`
-	// LotIdle is the time after which an unused lot goes back.
+	// LotIdle is the time after which an unused lot is returned.
 	LotIdle fleet.Duration `yaml:"lot_idle"`
-	// RecoverInterval is the pause between two looks for dead holders.
+	// RecoverInterval is the interval between checks for dead holders.
 	RecoverInterval fleet.Duration `yaml:"recover_interval"`
-	// ForfeitAfter is the time after which missing evidence counts as lost.
+	// ForfeitAfter is the time after which missing evidence is considered lost.
 	ForfeitAfter fleet.Duration `yaml:"forfeit_after"`
 }
 
-// Ledger is how charges are kept.
+// Ledger configures how charges are stored.
 type Ledger struct {
-	// Shards is the number of shards; the same for the whole fleet, for its
-	// life.
+	// Shards is the number of shards; it is the same for the whole fleet and
+	// never changes.
 	Shards int `yaml:"shards"`
 	// Window is the number of recent segments whose ids stay in memory.
 	Window int `yaml:"window_segments"`
 	// Flush is the interval of the group commit.
 	Flush fleet.Duration `yaml:"flush"`
-	// Backlog is the most charges that wait in one process.
+	// Backlog is the maximum number of charges that wait in one process.
 	Backlog int `yaml:"backlog_charges"`
 }
 
-// Limits bound what callers may send.
+// Limits bounds callers' requests.
 type Limits struct {
 	BodyBytes   int64 `yaml:"body_bytes"`
 	HeaderBytes int   `yaml:"header_bytes"`
-	// Concurrent is the most requests in progress in a router.
+	// Concurrent is the maximum number of requests in progress in a router.
 	Concurrent int `yaml:"concurrent_requests"`
-	// WriteTimeout bounds the wait for a slow caller to take one piece.
+	// WriteTimeout bounds one write to a slow caller.
 	WriteTimeout fleet.Duration `yaml:"write_timeout"`
 }
 
-// Links is how processes watch each other.
+// Links configures the connections between processes.
 type Links struct {
-	// Heartbeat is the interval of heartbeats; three without an answer end
+	// Heartbeat is the interval of heartbeats; three without a response close
 	// a connection.
 	Heartbeat fleet.Duration `yaml:"heartbeat"`
-	// DialTimeout bounds a connection's start.
+	// DialTimeout bounds connection setup.
 	DialTimeout fleet.Duration `yaml:"dial_timeout"`
 }
 
-// Upstream is what an agent stands beside.
+// Upstream configures the upstream on an agent's VM.
 type Upstream struct {
-	// Service is the service of the configuration that it serves.
+	// Service is the name of the configured service that it serves.
 	Service string `yaml:"service"`
 	// URL is the upstream's base address.
 	URL string `yaml:"url"`
-	// Slots is the most requests that run at once.
+	// Slots is the maximum number of requests that run at once.
 	Slots int `yaml:"slots"`
-	// Queue is the most requests that wait, for each class.
+	// Queue is the maximum number of requests that wait, per class.
 	Queue int `yaml:"queue"`
 }
 
@@ -229,7 +230,7 @@
 	return Parse(b)
 }
 
-// Parse reads and checks settings. An unknown field is an error with its line
+// Parse parses and checks settings. An unknown field is an error with its line
 // and column.
 func Parse(b []byte) (*Settings, error) {
 	s := Default()
