--- a/process/process.go
+++ b/process/process.go
@@ -1,5 +1,5 @@
-// Package process is what routers and agents have in common: settings made into a
-// log, a store, links to other processes, the list of VMs and the admin listener.
+// Package process contains what routers and agents have in common: from the settings
+// it creates the log, store, links to other processes, list of VMs and admin listener.
 package process
 
 import (
@@ -30,7 +30,7 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("process")
 
-// Keys in the platform's store, and names that other VMs use too.
+// Keys in the platform's store; other VMs use the same.
 const (
 	Prefix       = "arbutusmill/"
 	PagePrefix   = Prefix + "budget/"
@@ -52,25 +52,25 @@
 	Lives    incarnation.Registry
 	Fences   recovery.Fences
 	Admin    *observe.Admin
-	// Incarnation names this life of the process.
+	// Incarnation is the name of this incarnation of the process.
 	Incarnation string
-	// Open opens a listening address; net.Listen but in local fleets.
+	// Open opens a listening address; net.Listen except in local fleets.
 	Open Opener
 }
 
 // Opener opens a listening address, as net.Listen does.
 type Opener func(network, address string) (net.Listener, error)
 
-// idleConns bounds the kept connections to one address.
-const idleConns = 256
+// maxIdleConnsPerHost bounds the idle connections to one address.
+const maxIdleConnsPerHost = 256
 
-// New makes the common part; it makes no call.
+// New creates the common part without calling other systems.
 func New(s *settings.Settings, log io.Writer, open Opener) (*Base, error) {
 	security, err := processSecurity(s.Security)
 	if err != nil {
 		return nil, err
 	}
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idleConns}}
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerHost}}
 	st := &etcd.Store{URL: s.Platform.Store, Client: client, Timeout: time.Duration(s.Platform.Timeout)}
 	return &Base{
 		Settings: s,
@@ -88,8 +88,8 @@
 	}, nil
 }
 
-// Begin takes the process's incarnation. The store is needed for it: without a
-// new number a restarted process could be taken for its former life.
+// Begin starts a new incarnation of the process. It needs the store: without a new
+// number a restarted process could be mistaken for its previous incarnation.
 func (b *Base) Begin(ctx context.Context) error {
 	name, err := b.Lives.Begin(ctx, b.Settings.VM, b.Settings.Role)
 	if err != nil {
@@ -129,7 +129,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return link.Security{}, Error.New("security.processes_tls.ca_file: no certificate in it")
+		return link.Security{}, Error.New("security.processes_tls.ca_file: contains no valid PEM certificate")
 	}
 	return link.Security{
 		Server: &tls.Config{Certificates: []tls.Certificate{cert}, ClientCAs: pool,
@@ -138,7 +138,7 @@
 	}, nil
 }
 
-// Listen opens a TCP address of a settings field.
+// Listen listens on the TCP address of a settings field; errors name the field.
 func (b *Base) Listen(field, addr string) (net.Listener, error) {
 	ln, err := b.Open("tcp", addr)
 	if err != nil {
@@ -147,19 +147,19 @@
 	return ln, nil
 }
 
-// Duties runs the duties of a process, a goroutine for each, and waits for them.
+// Duties runs background tasks of a process, a goroutine for each, and waits for them.
 type Duties struct {
 	ctx context.Context
 	wg  sync.WaitGroup
 }
 
-// NewDuties returns duties that end with the context.
+// NewDuties returns an empty group; its tasks run until the context ends.
 func NewDuties(ctx context.Context) *Duties { return &Duties{ctx: ctx} }
 
-// Go starts one duty.
-func (d *Duties) Go(duty func(context.Context)) { d.wg.Go(func() { duty(d.ctx) }) }
+// Go starts one task.
+func (d *Duties) Go(task func(context.Context)) { d.wg.Go(func() { task(d.ctx) }) }
 
-// Every starts a duty that does one thing at each interval.
+// Every starts a task that calls do at each interval.
 func (d *Duties) Every(interval time.Duration, do func(context.Context)) {
 	d.Go(func(ctx context.Context) {
 		t := time.NewTicker(interval)
@@ -175,10 +175,11 @@
 	})
 }
 
-// Serve starts an HTTP server; it is closed when the duties' context ends.
-func (d *Duties) Serve(s *http.Server, ln net.Listener, secure *tls.Config) {
-	if secure != nil {
-		ln = tls.NewListener(ln, secure)
+// Serve starts an HTTP server that is closed when the context ends. It uses TLS if tlsConfig
+// isn't nil.
+func (d *Duties) Serve(s *http.Server, ln net.Listener, tlsConfig *tls.Config) {
+	if tlsConfig != nil {
+		ln = tls.NewListener(ln, tlsConfig)
 	}
 	d.Go(func(ctx context.Context) {
 		stop := context.AfterFunc(ctx, func() { _ = s.Close() })
@@ -189,20 +190,20 @@
 	})
 }
 
-// lastBytes bounds the wait for the ends of answers whose handlers have returned: time enough for
-// a busy VM to write a few kilobytes. A caller that does not read is not waited for longer.
-const lastBytes = time.Second
+// shutdownTimeout bounds the wait for buffered responses whose handlers have returned: enough for a
+// busy VM to write a few kilobytes. Callers that don't read are not waited for any longer.
+const shutdownTimeout = time.Second
 
-// Finish lets a server's last answers get out before its duty ends. When a handler returns, the
-// end of its answer may still be in a buffer, or wait for a slow connection; closing the server
-// then would cut it, and the caller would see "unexpected EOF".
+// Finish shuts a server down once its last responses are written, or after shutdownTimeout. When
+// a handler returns, the end of its response may still be buffered or wait for a slow connection;
+// closing the server at that point truncates it, and the caller sees "unexpected EOF".
 func Finish(s *http.Server) {
-	ctx, cancel := context.WithTimeout(context.Background(), lastBytes)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if s.Shutdown(ctx) != nil {
-		_ = s.Close() // who is left does not read
+		_ = s.Close() // the remaining callers don't read
 	}
 }
 
-// Wait waits for all duties to end.
+// Wait waits for all tasks to end.
 func (d *Duties) Wait() { d.wg.Wait() }
--- a/process/process_test.go
+++ b/process/process_test.go
@@ -14,10 +14,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A stream's handler has returned, and the process stops as planned: nothing is in progress any
-// more. The end of the answer still waits to be written, since the VM is busy or the caller's
-// connection is slow. To close the server then gives the caller "unexpected EOF".
-func TestAnswerEndsWholeWhenItsProcessStops(t *testing.T) {
+// Guards against truncated responses in a planned stop: the handler of a stream has returned, but
+// the end of its response is still unwritten since the VM is busy or the caller's connection is
+// slow. Closing the server at that point gives the caller "unexpected EOF".
+func TestResponseCompletesWhenProcessStops(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		var network memnet.Network
 		l, err := network.Listen("tcp", "10.1.0.1:80")
@@ -27,7 +27,7 @@
 		returned := make(chan struct{})
 		s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			defer close(returned)
-			_, _ = io.WriteString(w, "first,") // the caller's read shows it
+			_, _ = io.WriteString(w, "first,") // read by the caller below
 			_ = http.NewResponseController(w).Flush()
 			_, _ = io.WriteString(w, "last")
 		})}
@@ -36,12 +36,12 @@
 		require.NoError(t, err)
 		_, err = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 		require.NoError(t, err)
-		begun := readUntil(t, conn, "first,\r\n")
+		received := readUntil(t, conn, "first,\r\n")
 		<-returned
 		rest := make(chan string, 1)
 		go func() {
 			synctest.Wait() // the process is stopping
-			rest <- wholeBody(io.MultiReader(strings.NewReader(begun), conn))
+			rest <- readBody(io.MultiReader(strings.NewReader(received), conn))
 		}()
 		Finish(s)
 		cancel()
@@ -50,7 +50,7 @@
 	})
 }
 
-// readUntil reads byte by byte, so that nothing after the end is taken.
+// readUntil reads byte by byte, so that it consumes nothing after end.
 func readUntil(t *testing.T, r io.Reader, end string) string {
 	var b []byte
 	for !strings.HasSuffix(string(b), end) {
@@ -62,8 +62,8 @@
 	return string(b)
 }
 
-// wholeBody is the body of an answer, or why it is not whole.
-func wholeBody(r io.Reader) string {
+// readBody returns the body of a response, or the text of the error that interrupted it.
+func readBody(r io.Reader) string {
 	resp, err := http.ReadResponse(bufio.NewReader(r), nil)
 	if err != nil {
 		return err.Error()
