--- a/observe/admin.go
+++ b/observe/admin.go
@@ -8,28 +8,28 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Admin is the listener for operators and the balancer.
+// Admin is the HTTP interface for operators and the balancer.
 type Admin struct {
-	// Metrics is the process's set.
+	// Metrics is the process's metric set.
 	Metrics *metrics.Set
-	// Dump returns the state of every duty.
+	// Dump returns the state of the process for /debug/dump.
 	Dump func() any
 
 	ready atomic.Bool
 }
 
-// SetReady changes the answer to /readyz.
+// SetReady sets the state that /readyz reports.
 func (a *Admin) SetReady(ready bool) { a.ready.Store(ready) }
 
-// Ready reports what /readyz answers.
+// Ready returns the state that /readyz reports.
 func (a *Admin) Ready() bool { return a.ready.Load() }
 
 // Handler returns the HTTP interface:
 //
 //	GET /healthz     200 while the process runs
-//	GET /readyz      200 while it takes new work, else 503
+//	GET /readyz      200 while it accepts new work, else 503
 //	GET /metrics     Prometheus text
-//	GET /debug/dump  the state of every duty as JSON
+//	GET /debug/dump  the state of the process as JSON
 func (a *Admin) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok\n")) })
--- a/observe/log_test.go
+++ b/observe/log_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Both forms have the same fields.
-func TestLines(t *testing.T) {
+// Both formats have the same fields.
+func TestLogFormats(t *testing.T) {
 	var b bytes.Buffer
 	log := NewLogger(&b, "info", "router-1")
 	log.Info().Str("id", "r 1").Msg("request")
@@ -21,7 +21,7 @@
 	require.Regexp(t, `^\{"level":"info","vm":"router-1","id":"r 1","time":"[^"]+","event":"request"\}\n$`, b.String())
 }
 
-// BenchmarkLine is one line of a usual size in both forms.
+// BenchmarkLine writes a line of typical size in both formats.
 func BenchmarkLine(b *testing.B) {
 	for name, log := range map[string]zerolog.Logger{
 		"pairs": NewLogger(io.Discard, "info", "router-1"), "json": NewJSONLogger(io.Discard, "info", "router-1"),
--- a/observe/pair.go
+++ b/observe/pair.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// pair formats one part of a log line; values with spaces are quoted.
-func pair(key string, value any) string {
+// formatPair formats one field of a log line; values with special characters are quoted.
+func formatPair(key string, value any) string {
 	v := fmt.Sprint(value)
 	if strings.ContainsAny(v, " =\"\n") {
 		v = strconv.Quote(v)
