--- a/fielderrors/fielderrors.go
+++ b/fielderrors/fielderrors.go
@@ -1,5 +1,5 @@
-// Package fielderrors collects what is wrong with a file, each with the field's path, so
-// that its author sees all of it at once.
+// Package fielderrors collects the errors in a file, each with the path of its field, so
+// that all of them are reported at once.
 package fielderrors
 
 import (
@@ -8,13 +8,13 @@
 	"github.com/zeebo/errs"
 )
 
-// List is the errors found so far. The zero value is empty.
+// List collects errors. The zero value is empty.
 type List struct{ group errs.Group }
 
-// Add notes what is wrong with a field.
+// Add adds an error of a field.
 func (l *List) Add(field, format string, args ...any) {
 	l.group.Add(fmt.Errorf("%s: %s", field, fmt.Sprintf(format, args...)))
 }
 
-// Err returns all of them as one error, nil if there are none.
+// Err returns all errors as one, nil if there are none.
 func (l *List) Err() error { return l.group.Err() }
