--- a/operator/budget.go
+++ b/operator/budget.go
@@ -11,9 +11,9 @@
 	"github.com/arbutusmill/arbutusmill/fleet"
 )
 
-// budgetFlags are those of the budget command.
+// budgetFlags holds the flags of the budget command.
 type budgetFlags struct {
-	target
+	storeFlags
 	team   string
 	id     string
 	tokens int64
@@ -49,7 +49,7 @@
 	if !fleet.ValidName(name) {
 		return usagef("%q is not a budget's name (lower-case letters, digits, . _ / -)", name)
 	}
-	ctx, cancel := bounded(ctx)
+	ctx, cancel := withCommandTimeout(ctx)
 	defer cancel()
 	switch args[0] {
 	case "show":
@@ -68,7 +68,7 @@
 	if !fleet.ValidName(b.team) {
 		return usagef("-team: %q is not a team's name", b.team)
 	}
-	if err := b.book().Create(ctx, name, b.team); err != nil {
+	if err := b.accounts().Create(ctx, name, b.team); err != nil {
 		return err
 	}
 	fmt.Printf("budget %s of team %s exists\n", name, b.team)
@@ -82,7 +82,7 @@
 	if b.tokens <= 0 {
 		return usagef("-tokens: must be positive")
 	}
-	if err := b.book().TopUp(ctx, name, b.id, b.tokens); err != nil {
+	if err := b.accounts().TopUp(ctx, name, b.id, b.tokens); err != nil {
 		return err
 	}
 	fmt.Printf("budget %s: top-up %s of %d tokens is durable\n", name, b.id, b.tokens)
@@ -93,7 +93,7 @@
 	if b.id == "" || b.tokens <= 0 {
 		return usagef("-id and a positive -tokens are needed")
 	}
-	n, err := b.book().Release(ctx, name, b.id, b.tokens)
+	n, err := b.accounts().Release(ctx, name, b.id, b.tokens)
 	if err != nil {
 		return err
 	}
@@ -102,7 +102,7 @@
 }
 
 func (b *budgetFlags) show(ctx context.Context, name string) error {
-	a, err := b.book().Get(ctx, name)
+	a, err := b.accounts().Get(ctx, name)
 	if err != nil {
 		return err
 	}
--- a/operator/command.go
+++ b/operator/command.go
@@ -1,4 +1,4 @@
-// Package operator is the command line of arbutusmill.
+// Package operator implements the command line of arbutusmill.
 package operator
 
 import (
@@ -21,7 +21,7 @@
 	"github.com/google/subcommands"
 )
 
-// Register adds the commands.
+// Register registers all commands with c.
 func Register(c *subcommands.Commander) {
 	c.Register(c.HelpCommand(), "")
 	c.Register(c.FlagsCommand(), "")
@@ -40,14 +40,14 @@
 	c.Register(&explainCmd{}, "processes")
 }
 
-// command is one subcommand: its texts, its flags, and what it does.
+// command is one subcommand: its texts, its flags and its function.
 type command struct {
 	name, synopsis, usage string
 	flags                 func(*flag.FlagSet)
 	run                   func(ctx context.Context, args []string) error
 }
 
-// errUsage marks mistakes of the command line.
+// errUsage marks errors in the command line.
 var errUsage = errors.New("usage")
 
 func usagef(format string, args ...any) error {
@@ -70,8 +70,8 @@
 	}
 }
 
-// Execute implements subcommands.Command. Exit status 2 is a mistake of the command
-// line or of a file, 1 any other failure.
+// Execute implements subcommands.Command. Exit status 2 is an error in the command line
+// or in a file, 1 any other failure.
 func (c *command) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	args, err := positional(f)
 	if err == nil {
@@ -87,7 +87,7 @@
 	return subcommands.ExitFailure
 }
 
-// positional returns the arguments that are no flags; flags may stand among them.
+// positional returns the arguments that aren't flags; flags may stand between them.
 func positional(f *flag.FlagSet) ([]string, error) {
 	var args []string
 	rest := f.Args()
@@ -104,41 +104,41 @@
 	return args, nil
 }
 
-// target is the platform's store, as flags name it.
-type target struct {
+// storeFlags holds the flags for access to the platform's store.
+type storeFlags struct {
 	url     string
 	pages   int
 	shards  int
 	timeout time.Duration
 }
 
-// callTimeout is the default bound of one store call.
-const callTimeout = 5 * time.Second
+// defaultCallTimeout is the default timeout of one store call.
+const defaultCallTimeout = 5 * time.Second
 
-func (t *target) flags(f *flag.FlagSet) {
+func (t *storeFlags) flags(f *flag.FlagSet) {
 	d := settings.Default()
 	f.StringVar(&t.url, "store", "http://127.0.0.1:2379", "`URL` of the platform's key-value service")
 	f.IntVar(&t.pages, "pages", d.Budgets.Pages, "number of account pages, as in the routers' settings")
 	f.IntVar(&t.shards, "shards", d.Ledger.Shards, "number of ledger shards, as in the routers' settings")
-	f.DurationVar(&t.timeout, "timeout", callTimeout, "bound of one store call")
+	f.DurationVar(&t.timeout, "timeout", defaultCallTimeout, "bound of one store call")
 }
 
-func (t *target) store() store.Store {
+func (t *storeFlags) store() store.Store {
 	return &etcd.Store{URL: t.url, Client: http.DefaultClient, Timeout: t.timeout}
 }
 
-func (t *target) book() account.Book {
+func (t *storeFlags) accounts() account.Book {
 	return account.Book{Store: t.store(), Layout: account.Layout{Prefix: process.PagePrefix, Pages: t.pages}}
 }
 
-func (t *target) ledger() ledger.Reader {
+func (t *storeFlags) ledger() ledger.Reader {
 	return ledger.Reader{Store: t.store(), Layout: ledger.Layout{Prefix: process.LedgerPrefix, Shards: t.shards}}
 }
 
-func (t *target) registry() fleet.Registry { return fleet.Registry{Store: t.store()} }
+func (t *storeFlags) registry() fleet.Registry { return fleet.Registry{Store: t.store()} }
 
-// bounded gives an operator's whole command a bound: stores may be down for long.
-func bounded(ctx context.Context) (context.Context, context.CancelFunc) {
-	const whole = 30 * time.Second
-	return context.WithTimeout(ctx, whole)
+// withCommandTimeout bounds a whole command, since the store may be down for long.
+func withCommandTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
+	const commandTimeout = 30 * time.Second
+	return context.WithTimeout(ctx, commandTimeout)
 }
--- a/operator/config.go
+++ b/operator/config.go
@@ -13,7 +13,7 @@
 )
 
 type applyFlags struct {
-	target
+	storeFlags
 	file   string
 	expect int64
 	dryRun bool
@@ -58,7 +58,7 @@
 	if a.expect < 0 {
 		return usagef("-expect: the generation that you saw is needed (see preset list)")
 	}
-	ctx, cancel := bounded(ctx)
+	ctx, cancel := withCommandTimeout(ctx)
 	defer cancel()
 	generation, err := a.registry().Apply(ctx, doc, a.expect, rand.Text())
 	if err != nil {
@@ -69,7 +69,7 @@
 }
 
 func presetCommand() *command {
-	t := &target{}
+	t := &storeFlags{}
 	return &command{
 		name:     "preset",
 		synopsis: "list presets, or put one in force",
@@ -83,8 +83,8 @@
 	}
 }
 
-func runPreset(ctx context.Context, t *target, args []string) error {
-	ctx, cancel := bounded(ctx)
+func runPreset(ctx context.Context, t *storeFlags, args []string) error {
+	ctx, cancel := withCommandTimeout(ctx)
 	defer cancel()
 	stored, err := t.registry().Get(ctx)
 	if err != nil {
@@ -114,7 +114,7 @@
 	}
 }
 
-func usePreset(ctx context.Context, t *target, s fleet.Stored, name string) error {
+func usePreset(ctx context.Context, t *storeFlags, s fleet.Stored, name string) error {
 	if !slices.ContainsFunc(s.Document.Presets, func(p *fleet.Preset) bool { return p.Name == name }) {
 		return usagef("there is no preset %q", name)
 	}
@@ -128,7 +128,7 @@
 }
 
 func teamCommand() *command {
-	t := &target{}
+	t := &storeFlags{}
 	return &command{
 		name:     "team",
 		synopsis: "list teams, or make a key for one",
@@ -142,7 +142,7 @@
 	}
 }
 
-func runTeam(ctx context.Context, t *target, args []string) error {
+func runTeam(ctx context.Context, t *storeFlags, args []string) error {
 	if len(args) == 1 && args[0] == "key" {
 		key := team.NewKey()
 		fmt.Printf("key         %s\nkey_sha256  %s\n", key, team.HashKey(key))
@@ -159,7 +159,7 @@
 }
 
 func serviceCommand() *command {
-	t := &target{}
+	t := &storeFlags{}
 	return &command{
 		name:     "service",
 		synopsis: "list services",
@@ -181,8 +181,8 @@
 	}
 }
 
-func withDocument(ctx context.Context, t *target, show func(*fleet.Document)) error {
-	ctx, cancel := bounded(ctx)
+func withDocument(ctx context.Context, t *storeFlags, show func(*fleet.Document)) error {
+	ctx, cancel := withCommandTimeout(ctx)
 	defer cancel()
 	stored, err := t.registry().Get(ctx)
 	if err != nil {
--- a/operator/events_test.go
+++ b/operator/events_test.go
@@ -10,11 +10,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// hostedPackages are those of the processes on the operators' platform.
+// hostedPackages are the packages of the processes on the operators' platform.
 var hostedPackages = []string{"gateway", "hosted", "lender", "prepaid"}
 
-// An on-call reader looks up a line of the log on the operators' page. Fifteen events were not
-// there, and one was there by a name that no line has.
+// Guards against log events that are missing from docs/OPERATIONS.md, or are there under another
+// name: on-call readers look up log lines on that page.
 func TestOperatorsPageNamesAllEvents(t *testing.T) {
 	page, err := os.ReadFile("../docs/OPERATIONS.md")
 	require.NoError(t, err)
--- a/operator/explain.go
+++ b/operator/explain.go
@@ -16,7 +16,7 @@
 	"github.com/google/subcommands"
 )
 
-// explainCmd follows one request through the logs of routers.
+// explainCmd traces one request through the logs of gateways.
 type explainCmd struct {
 	around time.Duration
 }
@@ -75,12 +75,13 @@
 	text  string
 }
 
-// ofRequests are the events of single requests. All others may explain a request: what a process
-// lost, regained or began to believe. (A list of those would have to follow each new event.)
-var ofRequests = map[string]bool{"request": true, "refused": true, "caller_connection_ended": true}
+// requestEvents are the events of single requests. All others may explain a request: a process
+// lost or regained a dependency, or changed its state of it. (A list of those would have to be
+// extended with each new event.)
+var requestEvents = map[string]bool{"request": true, "refused": true, "caller_connection_ended": true}
 
-// readLog reads the lines that are JSON objects; others, such as a runtime's last words,
-// are passed over.
+// readLog returns the lines that contain a JSON object with an event. It skips others, such
+// as the Go runtime's output in a crash.
 func readLog(path string) ([]logLine, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -89,8 +90,8 @@
 	defer f.Close()
 	var out []logLine
 	scan := bufio.NewScanner(f)
-	const longest = 1 << 20
-	scan.Buffer(nil, longest)
+	const maxLineBytes = 1 << 20
+	scan.Buffer(nil, maxLineBytes)
 	for scan.Scan() {
 		text := scan.Text()
 		_, object, _ := strings.Cut(text, "{")
@@ -102,36 +103,37 @@
 	return out, scan.Err()
 }
 
-// explain prints a request's way; it reports whether there is any.
+// explain prints the lines related to a request, by process. It reports whether the request has any.
 func explain(w io.Writer, lines []logLine, id string, around time.Duration) bool {
-	var lives []string
-	at := map[string][]time.Time{}
+	var incarnations []string
+	times := map[string][]time.Time{}
 	for _, l := range lines {
 		if l.ID == id {
-			if at[l.Life] == nil {
-				lives = append(lives, l.Life)
+			if times[l.Life] == nil {
+				incarnations = append(incarnations, l.Life)
 			}
-			at[l.Life] = append(at[l.Life], l.Time)
+			times[l.Life] = append(times[l.Life], l.Time)
 		}
 	}
-	for _, life := range lives {
-		fmt.Fprintf(w, "== %s\n", life)
-		for _, l := range chosen(lines, id, life, at[life], around) {
+	for _, incarnation := range incarnations {
+		fmt.Fprintf(w, "== %s\n", incarnation)
+		for _, l := range relatedLines(lines, id, incarnation, times[incarnation], around) {
 			fmt.Fprintln(w, l.text)
 		}
 	}
-	return len(lives) > 0
+	return len(incarnations) > 0
 }
 
-// chosen lists the lines of one process that tell of the request, in order.
-func chosen(lines []logLine, id, life string, at []time.Time, around time.Duration) []logLine {
+// relatedLines returns the lines of one incarnation that belong to the request, and its events of
+// no request within around of one of times, sorted by time.
+func relatedLines(lines []logLine, id, incarnation string, times []time.Time, around time.Duration) []logLine {
 	var out []logLine
 	for _, l := range lines {
-		if l.Life != life {
+		if l.Life != incarnation {
 			continue
 		}
-		near := slices.ContainsFunc(at, func(t time.Time) bool { return l.Time.Sub(t).Abs() <= around })
-		if l.ID == id || near && l.ID == "" && !ofRequests[l.Event] {
+		near := slices.ContainsFunc(times, func(t time.Time) bool { return l.Time.Sub(t).Abs() <= around })
+		if l.ID == id || near && l.ID == "" && !requestEvents[l.Event] {
 			out = append(out, l)
 		}
 	}
--- a/operator/explain_test.go
+++ b/operator/explain_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A caller's request was refused by one router and served by another. Its way is printed
-// by process, with what the process had lost just before, and nothing of other requests.
+// A caller's request is refused by one router and served by another. Its lines are printed
+// by process, with the losses logged shortly before, and without lines of other requests.
 func TestExplain(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	require.NoError(t, os.WriteFile(path, []byte(strings.Join([]string{
@@ -28,18 +28,18 @@
 	require.Len(t, lines, 5)
 	var out strings.Builder
 	require.True(t, explain(&out, lines, "r1", 3*time.Second))
-	require.Equal(t, []string{"== a/1", "tokens_lost", "503", "== b/1", "200"}, marks(out.String()))
+	require.Equal(t, []string{"== a/1", "tokens_lost", "503", "== b/1", "200"}, findMarkers(out.String()))
 	require.False(t, explain(&out, lines, "unknown", time.Second))
 }
 
-// A request went to an upstream that had left. What its router had missed and whom it followed is
-// told beside the request, as all that the process learned then; requests of others are not. The
-// list of events that were printed had none of these, so the cause did not show.
-func TestExplainTellsAllThatTheProcessLearned(t *testing.T) {
+// Guards against an explanation without the cause: a request goes to an upstream that has left, but
+// the events that show why (a missing upstream, another relay) are not on a list of events to print.
+// All events of the process around that time must be printed, except those of other requests.
+func TestExplainPrintsDependencyEvents(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
-	learned := []string{"upstream_missing", "members_changed", "changes_followed_at", "lender_not_settled"}
+	events := []string{"upstream_missing", "members_changed", "changes_followed_at", "lender_not_settled"}
 	var log strings.Builder
-	for _, event := range learned {
+	for _, event := range events {
 		fmt.Fprintf(&log, `{"life":"a/1","time":"2026-01-01T10:00:00.000Z","event":%q}`+"\n", event)
 	}
 	log.WriteString(`{"life":"a/1","id":"r1","time":"2026-01-01T10:00:01.000Z","event":"request","status":504}
@@ -51,14 +51,14 @@
 	require.NoError(t, err)
 	var out strings.Builder
 	require.True(t, explain(&out, lines, "r1", 3*time.Second))
-	for _, event := range learned {
+	for _, event := range events {
 		require.Contains(t, out.String(), event)
 	}
 	require.NotContains(t, out.String(), "refused")
 }
 
-// marks are the telling parts of printed lines.
-func marks(text string) (out []string) {
+// findMarkers returns the first known marker in each printed line.
+func findMarkers(text string) (out []string) {
 	for line := range strings.Lines(text) {
 		for _, m := range []string{"== a/1", "== b/1", "tokens_lost", "tokens_regained", "503", "200", "r2"} {
 			if strings.Contains(line, m) && !(strings.HasPrefix(line, "{") && strings.HasPrefix(m, "==")) {
--- a/operator/ledger.go
+++ b/operator/ledger.go
@@ -15,7 +15,7 @@
 )
 
 type ledgerFlags struct {
-	target
+	storeFlags
 	team  string
 	since time.Duration
 	list  bool
@@ -49,7 +49,7 @@
 	if len(args) > 0 {
 		return usagef("no arguments are taken")
 	}
-	ctx, cancel := bounded(ctx)
+	ctx, cancel := withCommandTimeout(ctx)
 	defer cancel()
 	if l.check {
 		return l.verify(ctx)
@@ -62,10 +62,10 @@
 		printTotals(totals)
 		return nil
 	}
-	return l.each(ctx)
+	return l.sumCharges(ctx)
 }
 
-func (l *ledgerFlags) each(ctx context.Context) error {
+func (l *ledgerFlags) sumCharges(ctx context.Context) error {
 	from := int64(0)
 	if l.since > 0 {
 		from = time.Now().Add(-l.since).Unix()
@@ -96,32 +96,32 @@
 	}
 }
 
-// verify compares bills with accounts.
+// verify compares the billed totals with the accounts.
 func (l *ledgerFlags) verify(ctx context.Context) error {
 	totals, err := l.ledger().Totals(ctx, l.team)
 	if err != nil {
 		return err
 	}
-	bad := 0
+	mismatches := 0
 	for _, b := range slices.Sorted(maps.Keys(totals)) {
-		a, err := l.book().Get(ctx, b)
+		a, err := l.accounts().Get(ctx, b)
 		if err != nil {
 			return err
 		}
 		verdict := compare(a, totals[b])
 		if verdict != "ok" {
-			bad++
+			mismatches++
 		}
 		fmt.Printf("%s: billed %d, settled %d, granted %d: %s\n", b, totals[b], a.Settled(), a.Outstanding(), verdict)
 	}
-	if bad > 0 {
-		return fmt.Errorf("%d budgets do not agree", bad)
+	if mismatches > 0 {
+		return fmt.Errorf("%d budgets do not agree", mismatches)
 	}
 	return nil
 }
 
-// compare says whether a bill fits an account. What is billed beyond the settled
-// total must lie in grants whose holders have not reported yet.
+// compare returns "ok" if a billed total fits an account, else the difference. What is billed
+// beyond the settled total must lie in grants whose holders haven't reported yet.
 func compare(a *account.Account, billed int64) string {
 	switch {
 	case billed > a.Credit():
--- a/operator/load.go
+++ b/operator/load.go
@@ -31,7 +31,7 @@
 	tokens   int
 }
 
-// Bounds of a load run: it ends by itself.
+// Limits of a load run, so that it ends by itself.
 const (
 	maxLoadRequests = 100_000
 	maxLoadRate     = 2000
@@ -61,22 +61,22 @@
 	}
 }
 
-// loadResult collects what happened.
+// loadResult collects the results of a load run.
 type loadResult struct {
-	mu      sync.Mutex
-	first   *hdrhistogram.Histogram // microseconds
-	between *hdrhistogram.Histogram // microseconds
-	ends    map[string]int
-	tokens  int64
+	mu            sync.Mutex
+	firstToken    *hdrhistogram.Histogram // microseconds
+	betweenTokens *hdrhistogram.Histogram // microseconds
+	outcomes      map[string]int
+	billedTokens  int64
 }
 
 func newLoadResult() *loadResult {
 	const lowest, highest, digits = 1, int64(time.Minute / time.Microsecond), 3
-	return &loadResult{first: hdrhistogram.New(lowest, highest, digits),
-		between: hdrhistogram.New(lowest, highest, digits), ends: map[string]int{}}
+	return &loadResult{firstToken: hdrhistogram.New(lowest, highest, digits),
+		betweenTokens: hdrhistogram.New(lowest, highest, digits), outcomes: map[string]int{}}
 }
 
-func (l *loadFlags) check() error {
+func (l *loadFlags) validate() error {
 	u, err := url.Parse(l.url)
 	if err != nil {
 		return usagef("-url: %v", err)
@@ -97,7 +97,7 @@
 	if len(args) > 0 {
 		return usagef("no arguments are taken")
 	}
-	if err := l.check(); err != nil {
+	if err := l.validate(); err != nil {
 		return err
 	}
 	res := newLoadResult()
@@ -113,37 +113,37 @@
 		if ctx.Err() != nil {
 			break
 		}
-		wg.Go(func() { l.one(ctx, client, i, res) })
+		wg.Go(func() { l.sendRequest(ctx, client, i, res) })
 	}
 	wg.Wait()
 	res.print()
 	return nil
 }
 
-func (l *loadFlags) one(ctx context.Context, client *http.Client, i int, res *loadResult) {
+func (l *loadFlags) sendRequest(ctx context.Context, client *http.Client, i int, res *loadResult) {
 	body, _ := json.Marshal(map[string]any{"model": l.model, "stream": true, "max_tokens": l.tokens,
 		"messages": []openai.Message{{Role: "user", Content: fmt.Sprintf("%s (%d)", l.prompt, i)}}})
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, l.url+openai.ChatPath, strings.NewReader(string(body)))
 	if err != nil {
-		res.end("bad_request")
+		res.recordOutcome("bad_request")
 		return
 	}
 	req.Header.Set("Authorization", "Bearer "+l.key)
 	start := time.Now()
 	resp, err := client.Do(req)
 	if err != nil {
-		res.end("no_answer")
+		res.recordOutcome("no_answer")
 		return
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		res.end(kindOf(resp.Body))
+		res.recordOutcome(refusalKind(resp.Body))
 		return
 	}
-	res.stream(start, resp.Body)
+	res.readStream(start, resp.Body)
 }
 
-func kindOf(r io.Reader) string {
+func refusalKind(r io.Reader) string {
 	var e contract.ErrorBody
 	if json.NewDecoder(r).Decode(&e) != nil || e.Error.Kind == "" {
 		return "unreadable_refusal"
@@ -151,7 +151,7 @@
 	return string(e.Error.Kind)
 }
 
-func (r *loadResult) stream(start time.Time, body io.Reader) {
+func (r *loadResult) readStream(start time.Time, body io.Reader) {
 	var m openai.Meter
 	last := start
 	lines := bufio.NewScanner(body)
@@ -160,46 +160,46 @@
 		m.Line(lines.Bytes())
 		if m.Outputs > before {
 			now := time.Now()
-			r.token(before == 0, now.Sub(last))
+			r.recordToken(before == 0, now.Sub(last))
 			last = now
 		}
 	}
 	if lines.Err() != nil || !m.Done {
-		r.end("cut")
+		r.recordOutcome("cut")
 		return
 	}
 	r.mu.Lock()
-	r.tokens += m.Billed()
+	r.billedTokens += m.Billed()
 	r.mu.Unlock()
-	r.end("whole")
+	r.recordOutcome("whole")
 }
 
-func (r *loadResult) token(first bool, d time.Duration) {
+func (r *loadResult) recordToken(first bool, d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	h := r.between
+	h := r.betweenTokens
 	if first {
-		h = r.first
+		h = r.firstToken
 	}
-	_ = h.RecordValue(d.Microseconds()) // out of range only past a minute
+	_ = h.RecordValue(d.Microseconds()) // out of range only above a minute
 }
 
-func (r *loadResult) end(how string) {
+func (r *loadResult) recordOutcome(outcome string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ends[how]++
+	r.outcomes[outcome]++
 }
 
 func (r *loadResult) print() {
-	for _, how := range slices.Sorted(maps.Keys(r.ends)) {
-		fmt.Printf("%-20s %d\n", how, r.ends[how])
+	for _, outcome := range slices.Sorted(maps.Keys(r.outcomes)) {
+		fmt.Printf("%-20s %d\n", outcome, r.outcomes[outcome])
 	}
-	fmt.Printf("billed tokens        %d\n", r.tokens)
-	show("first token", r.first)
-	show("between tokens", r.between)
+	fmt.Printf("billed tokens        %d\n", r.billedTokens)
+	printLatencies("first token", r.firstToken)
+	printLatencies("between tokens", r.betweenTokens)
 }
 
-func show(name string, h *hdrhistogram.Histogram) {
+func printLatencies(name string, h *hdrhistogram.Histogram) {
 	ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	fmt.Printf("%-20s p50 %.1f ms  p95 %.1f ms  p99 %.1f ms  max %.1f ms\n", name, ms(50), ms(95), ms(99), float64(h.Max())/1000)
 }
--- a/operator/local.go
+++ b/operator/local.go
@@ -17,7 +17,7 @@
 	"github.com/arbutusmill/arbutusmill/vm"
 )
 
-// demoFlags are those of the demo.
+// demoFlags holds the flags of the demo command.
 type demoFlags struct {
 	log  string
 	keep bool
@@ -166,7 +166,7 @@
 }
 
 func dump(ctx context.Context, addr string) error {
-	ctx, cancel := bounded(ctx)
+	ctx, cancel := withCommandTimeout(ctx)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/debug/dump", nil)
 	if err != nil {
