--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon is the command line of arbutusmilld.
+// Package daemon implements the command line of arbutusmilld.
 package daemon
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/google/subcommands"
 )
 
-// Register adds the commands.
+// Register registers all commands with c.
 func Register(c *subcommands.Commander) {
 	c.Register(c.HelpCommand(), "")
 	c.Register(c.FlagsCommand(), "")
@@ -27,7 +27,7 @@
 	c.Register(&checkCmd{}, "settings")
 }
 
-// runCmd runs one process.
+// runCmd runs a router or an agent.
 type runCmd struct {
 	role    string
 	example string
@@ -85,7 +85,7 @@
 	return a.Run(ctx)
 }
 
-// load reads settings and says what is wrong with them.
+// load loads settings and prints their errors.
 func load(path string) (*settings.Settings, bool) {
 	if path == "" {
 		fmt.Fprintln(os.Stderr, "settings: -config FILE is missing")
--- a/daemon/gateway.go
+++ b/daemon/gateway.go
@@ -16,8 +16,8 @@
 	"github.com/rs/zerolog"
 )
 
-// settingsVariable holds the path of the settings file where the platform starts a
-// process.
+// settingsVariable is the environment variable with the path of the settings file on
+// the operators' platform.
 const settingsVariable = "ARBUTUSMILL_SETTINGS"
 
 // gatewayCmd runs a router on the operators' platform.
@@ -51,7 +51,7 @@
 		fmt.Fprintln(os.Stderr, "settings: -config FILE is missing")
 		return subcommands.ExitUsageError
 	}
-	file := newFileFollower(c.config)
+	watcher := newFileWatcher(c.config)
 	s, err := settings.LoadGateway(c.config)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -60,7 +60,7 @@
 	out, dropped := observe.Stdout()
 	g := gateway.New(s, hosted.TCP(), out, dropped)
 	captureLibraryLog(g.Log)
-	go file.run(ctx, func() {
+	go watcher.run(ctx, func() {
 		s, err := settings.LoadGateway(c.config)
 		if err != nil {
 			g.ReloadRefused(err)
@@ -68,19 +68,19 @@
 		}
 		g.Reload(s)
 	})
-	return exit(g.Run(ctx), out)
+	return exitStatus(g.Run(ctx), out)
 }
 
-// captureLibraryLog makes what libraries log part of the process's own log. net/http tells
-// there of answers that nobody asked for, and of panics.
+// captureLibraryLog redirects the standard logger, which libraries use, to the process's log.
+// net/http reports unsolicited responses and panics there.
 func captureLibraryLog(to zerolog.Logger) {
 	log.SetFlags(0)
 	log.SetOutput(to.With().Str("from", "library").Logger())
 }
 
-// exit closes the log and says what ended the process.
-func exit(err error, lines io.Closer) subcommands.ExitStatus {
-	if closeErr := lines.Close(); closeErr != nil {
+// exitStatus closes the log and prints the error that ended the process, if any.
+func exitStatus(err error, logWriter io.Closer) subcommands.ExitStatus {
+	if closeErr := logWriter.Close(); closeErr != nil {
 		fmt.Fprintln(os.Stderr, closeErr)
 	}
 	if err != nil {
--- a/daemon/lender.go
+++ b/daemon/lender.go
@@ -13,7 +13,7 @@
 	"github.com/google/subcommands"
 )
 
-// lenderCmd runs a process that holds budgets beside an upstream.
+// lenderCmd runs a process that holds budgets on the VM of an upstream.
 type lenderCmd struct{ config string }
 
 // Name implements subcommands.Command.
@@ -45,7 +45,7 @@
 		fmt.Fprintln(os.Stderr, "settings: -config FILE is missing")
 		return subcommands.ExitUsageError
 	}
-	file := newFileFollower(c.config)
+	watcher := newFileWatcher(c.config)
 	s, err := settings.LoadLender(c.config)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -54,7 +54,7 @@
 	out, dropped := observe.Stdout()
 	l := lender.New(s, hosted.TCP(), out, dropped)
 	captureLibraryLog(l.Log)
-	go file.run(ctx, func() {
+	go watcher.run(ctx, func() {
 		s, err := settings.LoadLender(c.config)
 		if err != nil {
 			l.ReloadRefused(err)
@@ -62,5 +62,5 @@
 		}
 		l.Reload(s)
 	})
-	return exit(l.Run(ctx), out)
+	return exitStatus(l.Run(ctx), out)
 }
--- a/daemon/follow_test.go
+++ b/daemon/watch_test.go
@@ -10,13 +10,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// follow follows a file from now on, and returns what to wait for: one value for each change.
-func follow(t *testing.T, file *fileFollower) <-chan struct{} {
+// watchFile runs a watcher, and returns a channel that receives a value for each change.
+func watchFile(t *testing.T, watcher *fileWatcher) <-chan struct{} {
 	ctx, stop := context.WithCancel(context.Background())
 	changes, ended := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
-		file.run(ctx, func() {
+		watcher.run(ctx, func() {
 			select {
 			case changes <- struct{}{}:
 			case <-ctx.Done():
@@ -27,20 +27,22 @@
 	return changes
 }
 
-// Guards against settings that change while a process starts and are never taken.
-func TestChangeDuringTheStartIsFound(t *testing.T) {
+// Guards against missing a change of the settings while a process starts: a watcher that reads the
+// file only once it runs takes the changed file for the initial one.
+func TestChangeDuringStartupIsDetected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.yaml")
 	require.NoError(t, os.WriteFile(path, []byte("one"), 0o600))
-	file := newFileFollower(path)
+	watcher := newFileWatcher(path)
 	require.NoError(t, os.WriteFile(path, []byte("two"), 0o600))
-	<-follow(t, file)
+	<-watchFile(t, watcher)
 }
 
-// Guards against a SIGHUP that ends a process which is just starting, or is lost there.
-func TestHangupDuringTheStartIsTaken(t *testing.T) {
+// Guards against a SIGHUP that terminates a starting process, or is lost, since no handler is
+// registered yet.
+func TestHangupDuringStartupIsHandled(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.yaml")
 	require.NoError(t, os.WriteFile(path, []byte("one"), 0o600))
-	file := newFileFollower(path)
+	watcher := newFileWatcher(path)
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
-	<-follow(t, file)
+	<-watchFile(t, watcher)
 }
