--- a/cmd/arbutusmill/main.go
+++ b/cmd/arbutusmill/main.go
@@ -1,4 +1,4 @@
-// Command arbutusmill is what operators use: budgets, configuration, dumps, the
+// Command arbutusmill is the operators' tool: budgets, configuration, dumps, the
 // ledger, a local demo and a load tool.
 package main
 
--- a/cmd/arbutusmilld/main.go
+++ b/cmd/arbutusmilld/main.go
@@ -1,4 +1,4 @@
-// Command arbutusmilld runs the processes of a fleet: routers and agents.
+// Command arbutusmilld runs the processes of a fleet: routers, agents, gateways and lenders.
 package main
 
 import (
