--- a/operator/command.go
+++ b/operator/command.go
@@ -127,8 +127,8 @@
 	return &etcd.Store{URL: t.url, Client: http.DefaultClient, Timeout: t.timeout}
 }
 
-func (t *storeFlags) accounts() account.Book {
-	return account.Book{Store: t.store(), Layout: account.Layout{Prefix: process.PagePrefix, Pages: t.pages}}
+func (t *storeFlags) accounts() account.AdminClient {
+	return account.AdminClient{Store: t.store(), Layout: account.Layout{Prefix: process.PagePrefix, Pages: t.pages}}
 }
 
 func (t *storeFlags) ledger() ledger.Reader {
