--- a/contract/answer.go
+++ b/contract/answer.go
@@ -7,7 +7,7 @@
 	"strconv"
 )
 
-// RequestIDHeader carries the system's id of a request, in every answer.
+// RequestIDHeader carries the system's request id in every answer.
 const RequestIDHeader = "X-Request-Id"
 
 // ErrorBody is the JSON body of every refusal.
@@ -15,7 +15,7 @@
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail says why a request was refused and whether it had any effect.
+// ErrorDetail is the reason for a refusal and whether the request had any effect.
 type ErrorDetail struct {
 	Kind      Kind   `json:"kind"`
 	Message   string `json:"message"`
@@ -23,14 +23,14 @@
 	NotRun    bool   `json:"not_run"`
 }
 
-// Write sends the refusal as its row of the table says, at once.
+// Write sends the refusal with the status and headers that the answer table has for its kind.
 func (r *Refusal) Write(w http.ResponseWriter, requestID string) {
 	a := r.Kind.Answer()
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	switch {
 	case r.RetryAfter > 0:
-		// Fractions are allowed: a whole second is long for callers who have one.
+		// Fractions are sent, since a caller's whole timeout may be one second.
 		h.Set("Retry-After", strconv.FormatFloat(r.RetryAfter.Seconds(), 'f', 3, 64))
 	case a.RetryAfter > 0:
 		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(a.RetryAfter.Seconds()))))
--- a/contract/kind.go
+++ b/contract/kind.go
@@ -1,5 +1,5 @@
-// Package contract is what the system promises for one request: its identity, its
-// priority, its limits, and the closed list of ways in which it can be refused.
+// Package contract defines the interface for one request: its identity, its priority,
+// its limits, and the closed list of ways in which it can be refused.
 package contract
 
 import (
@@ -12,7 +12,7 @@
 // closed: every error that a caller sees is one of these.
 type Kind string
 
-// The kinds. What a caller sees for each is in the table below.
+// The kinds. The answers table below defines what a caller gets for each.
 const (
 	BadRequest          Kind = "bad_request"
 	BodyTooLarge        Kind = "body_too_large"
@@ -48,16 +48,16 @@
 type Answer struct {
 	// Status is the HTTP status.
 	Status int
-	// NotRun says that the request had no effect and cost nothing.
+	// NotRun reports that the request had no effect and cost nothing.
 	NotRun bool
-	// RetryAfter is when a retry may help; 0 means that none will.
+	// RetryAfter is the delay after which a retry may succeed; 0 means that none will.
 	RetryAfter time.Duration
-	// TryOther says that the router may try another upstream itself.
+	// TryOther allows the router to try another upstream itself.
 	TryOther bool
 }
 
-// answers is the one table from kind to answer. NotRun is true only where the
-// decision falls before the request left, or on the word of the agent that held it.
+// answers maps each kind to its answer. NotRun is true only where the refusal is
+// decided before the request is sent, or by the agent that held it.
 var answers = map[Kind]Answer{
 	BadRequest:          {Status: http.StatusBadRequest, NotRun: true},
 	BodyTooLarge:        {Status: http.StatusRequestEntityTooLarge, NotRun: true},
@@ -89,7 +89,7 @@
 	Internal:            {Status: http.StatusInternalServerError},
 }
 
-// Kinds lists all kinds.
+// Kinds returns all kinds in no particular order.
 func Kinds() []Kind {
 	out := make([]Kind, 0, len(answers))
 	for k := range answers {
@@ -98,7 +98,7 @@
 	return out
 }
 
-// Answer returns the kind's row of the table.
+// Answer returns the answer for the kind; an unknown kind counts as Internal.
 func (k Kind) Answer() Answer {
 	a, ok := answers[k]
 	if !ok {
@@ -107,23 +107,23 @@
 	return a
 }
 
-// Refusal is an error of a kind, with a message for the caller.
+// Refusal is an error with a kind and a message for the caller.
 type Refusal struct {
 	Kind    Kind
 	Message string
-	// RetryAfter goes before that of the kind's row, if it is not 0: whoever
-	// refuses may know better when a retry helps.
+	// RetryAfter, if not 0, overrides the kind's, for refusals with a better
+	// estimate of when a retry may succeed.
 	RetryAfter time.Duration
-	// Detail is for the log: what the refusal rests on.
+	// Detail is the data behind the decision, for the log.
 	Detail string
 }
 
-// Refuse returns a refusal.
+// Refuse returns a refusal with a formatted message for the caller.
 func Refuse(k Kind, format string, args ...any) *Refusal {
 	return &Refusal{Kind: k, Message: fmt.Sprintf(format, args...)}
 }
 
-// After sets when a retry may help.
+// After sets the delay after which a retry may succeed, and returns the refusal.
 func (r *Refusal) After(d time.Duration) *Refusal {
 	r.RetryAfter = d
 	return r
--- a/contract/kind_test.go
+++ b/contract/kind_test.go
@@ -8,14 +8,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A row of the table that does not fit together would mislead callers: a retry of
-// something that ran, or no time to come back when a retry helps.
+// An inconsistent row of the answers table would mislead callers: another upstream would
+// be tried for a request that ran, or a 429 or 503 would have no Retry-After.
 func TestTable(t *testing.T) {
 	for _, k := range Kinds() {
 		a := k.Answer()
 		require.GreaterOrEqual(t, a.Status, 400, k)
 		if a.TryOther {
-			require.True(t, a.NotRun, "%s: another upstream is tried only for what did not run", k)
+			require.True(t, a.NotRun, "%s: another upstream may be tried only if the request did not run", k)
 		}
 		if a.Status == 503 || a.Status == 429 {
 			require.Positive(t, a.RetryAfter, k)
