--- a/team/team.go
+++ b/team/team.go
@@ -1,4 +1,4 @@
-// Package team knows the customers: their names, their keys and which budget
+// Package team defines the customers: their names, their keys, and which budget
 // pays for which service.
 package team
 
@@ -10,18 +10,18 @@
 	"encoding/hex"
 )
 
-// DefaultBudget is the entry of Budgets that pays for services without their own.
+// DefaultBudget is the key in Budgets that applies to services without an entry.
 const DefaultBudget = "default"
 
 // Team is one customer.
 type Team struct {
 	Name string `yaml:"name" json:"name"`
-	// Keys are the SHA-256 hashes (hex) of the keys that callers may use; two
-	// keys may overlap while one replaces the other.
+	// Keys are the SHA-256 hashes (hex) of the keys that callers may use. Several
+	// keys may be valid at once, so that a key can be rotated.
 	Keys []string `yaml:"key_sha256" json:"key_sha256"`
 	// Budgets maps a service to the budget that pays for it.
 	Budgets map[string]string `yaml:"budgets" json:"budgets"`
-	// Services are those the team may use; empty means all.
+	// Services lists the services that the team may use; empty means all.
 	Services []string `yaml:"services,omitempty" json:"services,omitempty"`
 }
 
@@ -46,7 +46,7 @@
 	return false
 }
 
-// HashKey returns the stored form of a key.
+// HashKey returns the stored form of a key: its SHA-256 hash in hex.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
@@ -55,10 +55,10 @@
 // keyBytes is the entropy of a new key.
 const keyBytes = 32
 
-// NewKey returns a random key.
+// NewKey returns a new random key in plain text.
 func NewKey() string {
 	b := make([]byte, keyBytes)
-	_, _ = rand.Read(b) // never fails, by its contract
+	_, _ = rand.Read(b) // never returns an error
 	return "am_" + base64.RawURLEncoding.EncodeToString(b)
 }
 
@@ -78,8 +78,9 @@
 	return d
 }
 
-// Authenticate returns the team of a key. The lookup is by the key's hash, which
-// a caller cannot steer, and the stored hash is compared in constant time.
+// Authenticate returns the team of a key, and false for an unknown key. The lookup
+// uses the key's hash, which a caller cannot control, and the stored hash is compared
+// in constant time.
 func (d *Directory) Authenticate(key string) (*Team, bool) {
 	h := HashKey(key)
 	t, ok := d.byHash[h]
