--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -1,4 +1,4 @@
-// Package upstream chooses which of a service's upstreams gets a request.
+// Package upstream selects the upstream of a service for each request.
 package upstream
 
 import (
@@ -15,37 +15,37 @@
 // LoadHeader carries an upstream's load in the answers of its agent.
 const LoadHeader = "Arbutusmill-Load"
 
-// Load is how busy an upstream was when its agent last said so.
+// Load is an upstream's load as last reported by its agent.
 type Load struct {
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
 	Slots   int `json:"slots"`
 }
 
-// String is the header's value: running/waiting/slots.
+// String returns the header's value: running/waiting/slots.
 func (l Load) String() string { return fmt.Sprintf("%d/%d/%d", l.Running, l.Waiting, l.Slots) }
 
-// ParseLoad reads a header's value.
+// ParseLoad parses a header's value.
 func ParseLoad(s string) (l Load, ok bool) {
 	n, err := fmt.Sscanf(s, "%d/%d/%d", &l.Running, &l.Waiting, &l.Slots)
 	return l, err == nil && n == 3
 }
 
-// Weights of the choice.
+// Weights of the selection.
 const (
-	// cachedBonus is what a probably cached prefix is worth, in shares of an
+	// cachedBonus is the value of a probably cached prefix, as a fraction of an
 	// upstream's slots.
 	cachedBonus = 0.5
-	// penaltyTime is how long an upstream that failed is avoided at first; it
-	// doubles up to penaltyMax with each failure in a row.
-	penaltyTime = time.Second
-	penaltyMax  = 30 * time.Second
+	// minPenalty is how long an upstream is avoided after its first failure; it
+	// doubles up to maxPenalty with each consecutive failure.
+	minPenalty = time.Second
+	maxPenalty = 30 * time.Second
 )
 
-// Chooser picks upstreams by two choices: the one that probably has the prompt's
-// prefix cached, and a random other one; the less loaded wins. Random choice alone
-// would scatter the prefixes, and the least loaded of all would draw every router
-// to the same upstream after each late report.
+// Chooser selects upstreams by power of two choices: one that probably has the prompt's
+// prefix cached, and one at random; the less loaded of them gets the request. Random
+// choice alone would scatter the prefixes, and always using the least loaded upstream
+// would send every router to the same one after each stale report.
 type Chooser struct {
 	now  func() time.Time
 	rand func(n int) int
@@ -54,21 +54,22 @@
 	states map[string]*state
 }
 
-// state is what this router knows of one upstream.
+// state is this router's view of one upstream.
 type state struct {
-	inFlight int // of this router
-	load     Load
-	fails    int
-	avoid    time.Time
+	inFlight   int // requests of this router
+	load       Load
+	fails      int
+	avoidUntil time.Time
 }
 
-// NewChooser returns a chooser that knows nothing yet.
+// NewChooser returns a chooser without any state.
 func NewChooser() *Chooser {
 	return &Chooser{now: time.Now, rand: rand.IntN, states: map[string]*state{}}
 }
 
-// Pick chooses one of the agents for a prompt prefix, leaving out those that were
-// tried. The caller must call done once, with whether the upstream answered.
+// Pick selects one of the agents for a prompt prefix, except those already tried; ok
+// is false if none is left. The caller must call done once, with whether the upstream
+// answered.
 func (c *Chooser) Pick(agents []vm.VM, prefix uint64, tried map[string]bool) (chosen vm.VM, done func(answered bool), ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,14 +84,14 @@
 	return chosen, func(answered bool) { once.Do(func() { c.done(chosen.ID, answered) }) }, true
 }
 
-// candidatesLocked leaves out upstreams that failed lately, unless no other is left.
+// candidatesLocked omits upstreams that failed recently, unless no other is left.
 func (c *Chooser) candidatesLocked(agents []vm.VM, tried map[string]bool) []vm.VM {
 	var good, avoided []vm.VM
 	now := c.now()
 	for _, a := range agents {
 		switch {
 		case tried[a.ID]:
-		case now.Before(c.stateLocked(a.ID).avoid):
+		case now.Before(c.stateLocked(a.ID).avoidUntil):
 			avoided = append(avoided, a)
 		default:
 			good = append(good, a)
@@ -107,19 +108,19 @@
 	for i, a := range agents {
 		ids[i] = a.ID
 	}
-	home := rendezvous.Pick(strconv.FormatUint(prefix, 16), ids)
+	preferred := rendezvous.Pick(strconv.FormatUint(prefix, 16), ids)
 	other := agents[c.rand(len(agents))]
 	best := other
 	for _, a := range agents {
-		if a.ID == home && c.scoreLocked(a.ID)-cachedBonus <= c.scoreLocked(other.ID) {
+		if a.ID == preferred && c.scoreLocked(a.ID)-cachedBonus <= c.scoreLocked(other.ID) {
 			best = a
 		}
 	}
 	return best
 }
 
-// scoreLocked is the upstream's load in shares of its slots: the larger of what the
-// agent last said and what this router itself has there.
+// scoreLocked returns the upstream's load as a fraction of its slots: the larger of the
+// load last reported by the agent and this router's own requests in flight.
 func (c *Chooser) scoreLocked(id string) float64 {
 	s := c.stateLocked(id)
 	slots := max(1, s.load.Slots)
@@ -144,19 +145,19 @@
 		s.fails = 0
 		return
 	}
-	pause := min(penaltyMax, penaltyTime<<min(s.fails, 5))
+	pause := min(maxPenalty, minPenalty<<min(s.fails, 5))
 	s.fails++
-	s.avoid = c.now().Add(pause)
+	s.avoidUntil = c.now().Add(pause)
 }
 
-// Report notes an agent's own word on its load.
+// Report records the load reported by an agent.
 func (c *Chooser) Report(id string, l Load) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stateLocked(id).load = l
 }
 
-// State is what is known of one upstream, for dumps.
+// State is the state of one upstream, for debug dumps.
 type State struct {
 	VM       string `json:"vm"`
 	InFlight int    `json:"in_flight"`
@@ -164,7 +165,7 @@
 	Fails    int    `json:"fails_in_a_row"`
 }
 
-// States lists what is known of all upstreams.
+// States returns the state of all upstreams.
 func (c *Chooser) States() []State {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -26,9 +26,9 @@
 	return c, &now
 }
 
-// All routers get the same late report that one engine is idle. If each sent all its
-// requests there, that engine would drown until the next report.
-func TestNoHerdAfterALateReport(t *testing.T) {
+// All routers get the same stale report that one engine is idle. If each router sent all its
+// requests there, that engine would be overloaded until the next report.
+func TestNoHerdingAfterStaleReport(t *testing.T) {
 	c, _ := newChooser()
 	list := agents(12)
 	for _, a := range list {
@@ -44,9 +44,9 @@
 	require.Less(t, got[list[3].ID], 30, "%v", got)
 }
 
-// The turns of one conversation go to the engine that has their beginning cached,
-// unless it is much busier than another one.
-func TestConversationStaysWithItsCache(t *testing.T) {
+// The turns of one conversation go to the engine that has their prefix cached, unless it
+// is much more loaded than another one.
+func TestConversationKeepsCachedEngine(t *testing.T) {
 	c, _ := newChooser()
 	list := agents(12)
 	for _, a := range list {
@@ -71,8 +71,8 @@
 	require.Greater(t, moved, 15)
 }
 
-// An upstream fails again and again. It must be avoided for growing times, come back
-// after them, and be used at once when no other is left.
+// An upstream fails repeatedly. It must be avoided for increasing times, be used again
+// afterwards, and be used at once if no other is left.
 func TestFailingUpstreamIsAvoided(t *testing.T) {
 	c, now := newChooser()
 	list := agents(2)
@@ -88,8 +88,8 @@
 	}
 	a, _, ok := c.Pick(list, 0, map[string]bool{list[1].ID: true})
 	require.True(t, ok)
-	require.Equal(t, list[0].ID, a.ID, "better than refusing")
-	*now = now.Add(penaltyMax)
+	require.Equal(t, list[0].ID, a.ID, "used rather than refusing the request")
+	*now = now.Add(maxPenalty)
 	seen := map[string]bool{}
 	for i := range 20 {
 		a, _, _ := c.Pick(list, uint64(i), nil)
