--- a/vm/httplist.go
+++ b/vm/httplist.go
@@ -7,7 +7,7 @@
 	"net/http"
 )
 
-// HTTPList reads the platform's list of VMs over HTTP: a JSON array of VM.
+// HTTPList reads the platform's list of VMs over HTTP, as a JSON array of VM.
 type HTTPList struct {
 	URL    string
 	Client *http.Client
--- a/vm/view.go
+++ b/vm/view.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// View is what one process knows of the fleet's VMs: the platform's list, and what
-// it learnt sooner from the VMs themselves. Requests read it, so the lists that they
-// want are made when something changes, and not for each of them. Lists that it
-// returns must not be changed.
+// View is one process's view of the fleet's VMs: the platform's list, and newer
+// information received from the VMs themselves. Each request reads it, so the lists are
+// built when something changes and not per request. Callers must not modify returned
+// lists.
 type View struct {
 	mu      sync.Mutex
 	listed  map[string]VM
-	leaving map[string]time.Time // said so itself, whatever the list says
+	leaving map[string]time.Time // when the VM itself reported it, whatever the list says
 	updated time.Time
 
 	routers []VM
@@ -25,12 +25,12 @@
 // NewView returns an empty view.
 func NewView() *View { return &View{listed: map[string]VM{}, leaving: map[string]time.Time{}} }
 
-// leavingFor is how long a VM's own word counts. The VM may come back under its name
-// while the list called it live all the time, so the word must not count for ever;
-// one that is still leaving then refuses the next request and is marked again.
-const leavingFor = 5 * time.Second
+// leavingTTL is how long a VM's own report that it leaves is valid. A VM may restart under
+// the same id while the list shows it as live all the time, so the report must expire; a
+// VM that is still leaving then refuses the next request and is marked again.
+const leavingTTL = 5 * time.Second
 
-// Set replaces the list. A VM that is gone from it is forgotten.
+// Set replaces the list. VMs that are missing from it are dropped.
 func (v *View) Set(list []VM) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -40,14 +40,14 @@
 	}
 	v.updated = time.Now()
 	for id, since := range v.leaving {
-		if v.updated.Sub(since) > leavingFor {
+		if v.updated.Sub(since) > leavingTTL {
 			delete(v.leaving, id)
 		}
 	}
 	v.indexLocked()
 }
 
-// indexLocked makes the lists of VMs that take new work, sorted by id.
+// indexLocked rebuilds the lists of VMs that accept new work, sorted by id.
 func (v *View) indexLocked() {
 	v.routers, v.agents = nil, map[string][]VM{}
 	for _, id := range slices.Sorted(maps.Keys(v.listed)) {
@@ -62,7 +62,7 @@
 	}
 }
 
-// MarkLeaving notes that a VM said itself that it is leaving.
+// MarkLeaving records that a VM itself reported that it is leaving.
 func (v *View) MarkLeaving(id string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -78,14 +78,14 @@
 	return m, ok
 }
 
-// Agents returns the agents of a service that take new work, sorted by id.
+// Agents returns the agents of a service that accept new work, sorted by id.
 func (v *View) Agents(service string) []VM {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.agents[service]
 }
 
-// Routers returns the live routers, sorted by id.
+// Routers returns the routers that accept new work, sorted by id.
 func (v *View) Routers() []VM {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -108,7 +108,8 @@
 	return out
 }
 
-// Follow reads the list at each interval until the context ends.
+// Follow reads the list at once and at each interval until the context ends. failed is
+// called with the error of each failed read.
 func (v *View) Follow(ctx context.Context, l Lister, interval time.Duration, failed func(error)) {
 	t := time.NewTicker(interval)
 	defer t.Stop()
@@ -124,7 +125,7 @@
 	}
 }
 
-// Refresh reads the list once.
+// Refresh reads the list once, within timeout.
 func (v *View) Refresh(ctx context.Context, l Lister, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -136,14 +137,14 @@
 	return nil
 }
 
-// ViewState is a view as dumps show it.
+// ViewState is the content of a view, for debug dumps.
 type ViewState struct {
 	VMs     []VM     `json:"vms"`
 	Leaving []string `json:"leaving_by_own_word"`
 	Updated string   `json:"updated"`
 }
 
-// State returns the whole view.
+// State returns the content of the view.
 func (v *View) State() ViewState {
 	all := v.All()
 	v.mu.Lock()
--- a/vm/view_test.go
+++ b/vm/view_test.go
@@ -9,10 +9,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An agent says that it is leaving while the list calls it live. It must get nothing
-// more; but when it is back under the same name, without ever having left the list,
-// it must get work again, or restarts would eat up the fleet.
-func TestLeavingByItsOwnWord(t *testing.T) {
+// An agent reports that it is leaving while the list shows it as live. It must get no new
+// work. After a restart under the same id, without having been missing from the list, it
+// must get work again; otherwise each restart would remove a VM from use.
+func TestLeavingReportedByTheVM(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		list := []vm.VM{{ID: "e-2", Role: vm.Agent, State: vm.Live, Service: "s"},
 			{ID: "e-1", Role: vm.Agent, State: vm.Live, Service: "s"},
@@ -28,6 +28,6 @@
 		time.Sleep(4 * time.Second)
 		v.Set(list)
 		require.Len(t, v.Agents("s"), 2)
-		require.Len(t, v.AllAgents(), 3, "evidence is asked of leaving ones too")
+		require.Len(t, v.AllAgents(), 3, "leaving agents are asked for evidence too")
 	})
 }
--- a/vm/vm.go
+++ b/vm/vm.go
@@ -1,5 +1,5 @@
-// Package vm describes the machines of a fleet: the platform's lagging list of
-// them, and what a process learnt sooner.
+// Package vm describes the VMs of a fleet: the platform's list of them, which lags,
+// and newer information that a process received from the VMs themselves.
 package vm
 
 import (
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Role is what a VM's process does.
+// Role is the function of a VM's process.
 type Role string
 
 // The roles.
@@ -25,7 +25,7 @@
 	Leaving State = "leaving"
 )
 
-// VM is one line of the platform's list.
+// VM is one entry of the platform's list.
 type VM struct {
 	ID         string `json:"id" yaml:"id"`
 	Datacentre string `json:"datacentre" yaml:"datacentre"`
@@ -33,19 +33,19 @@
 	State      State  `json:"state" yaml:"state"`
 	// Link is the address (host:port) for control messages.
 	Link string `json:"link" yaml:"link"`
-	// Work is the address of an agent for requests.
+	// Work is an agent's address for requests.
 	Work string `json:"work,omitempty" yaml:"work,omitempty"`
-	// Service is what an agent's upstream serves.
+	// Service is the service of an agent's upstream.
 	Service string `json:"service,omitempty" yaml:"service,omitempty"`
 }
 
-// Lister is the platform's list of VMs. It lags behind what happens.
+// Lister reads the platform's list of VMs. The list lags behind changes.
 type Lister interface {
 	// List returns the live and leaving VMs.
 	List(ctx context.Context) ([]VM, error)
 }
 
-// IDOf returns the VM of an incarnation's name.
+// IDOf returns the id of the VM in an incarnation's name.
 func IDOf(incarnation string) string {
 	id, _, _ := strings.Cut(incarnation, "#")
 	return id
