--- a/datacentre/datacentre.go
+++ b/datacentre/datacentre.go
@@ -1,4 +1,4 @@
-// Package datacentre orders the data centres of a fleet by distance.
+// Package datacentre orders the VMs of a fleet by the distance of their data centres.
 package datacentre
 
 import (
@@ -9,23 +9,23 @@
 	"github.com/arbutusmill/arbutusmill/vm"
 )
 
-// Map tells how data centres are grouped. Those of one region are near.
+// Map groups data centres into regions. Data centres of one region are near each other.
 type Map struct {
-	// Here is the data centre of this process.
+	// Here is this process's data centre.
 	Here string
-	// Regions maps a data centre to its region; one that is missing is a
-	// region of its own.
+	// Regions maps a data centre to its region; a data centre that is missing
+	// forms its own region.
 	Regions map[string]string
 }
 
-// Distances, from the nearest.
+// Distances, in increasing order.
 const (
 	sameDatacentre = iota
 	sameRegion
-	elsewhere
+	otherRegion
 )
 
-// Distance ranks a data centre as seen from here.
+// Distance returns the distance of a data centre from Here; lower is nearer.
 func (m Map) Distance(dc string) int {
 	switch {
 	case dc == m.Here:
@@ -33,7 +33,7 @@
 	case m.region(dc) == m.region(m.Here):
 		return sameRegion
 	}
-	return elsewhere
+	return otherRegion
 }
 
 func (m Map) region(dc string) string {
@@ -43,8 +43,8 @@
 	return dc
 }
 
-// Nearest orders VMs by distance, and within a distance by rendezvous for key, so
-// that the processes of a data centre that ask for the same key ask the same VM.
+// Nearest returns the VMs ordered by distance, and at equal distance by rendezvous hashing
+// of key, so that all processes of a data centre use the same VM for a key.
 func (m Map) Nearest(key string, vms []vm.VM) []vm.VM {
 	ids := make([]string, len(vms))
 	for i, v := range vms {
