--- a/link/link.go
+++ b/link/link.go
@@ -22,14 +22,14 @@
 var Error = errs.Class("link")
 
 var (
-	// ErrDown says that the other process could not be reached, or that the
-	// connection ended before the answer: the outcome is unknown.
+	// ErrDown means that the other process could not be reached, or that the
+	// connection ended before the answer. The outcome of the call is unknown.
 	ErrDown = errs.New("link down")
-	// ErrUnauthorized says that the other process does not know us.
+	// ErrUnauthorized means that the other process rejected our credentials.
 	ErrUnauthorized = errs.New("unauthorized")
 )
 
-// codes maps errors that callers act on to JSON-RPC codes, both ways.
+// codes maps errors that callers handle to JSON-RPC codes and back.
 var codes = []struct {
 	code int64
 	err  error
@@ -53,13 +53,13 @@
 	methodPing  = "ping"
 )
 
-// heartbeatsMissed is the number of silent intervals that end a connection.
-const heartbeatsMissed = 3
+// maxMissedHeartbeats is the number of heartbeat intervals without an answer that ends a connection.
+const maxMissedHeartbeats = 3
 
 // Handler answers one method.
 type Handler func(ctx context.Context, params json.RawMessage) (any, error)
 
-// Handle makes a Handler from a function on typed messages.
+// Handle returns a Handler that decodes the parameters and calls f.
 func Handle[In, Out any](f func(context.Context, In) (Out, error)) Handler {
 	return func(ctx context.Context, params json.RawMessage) (any, error) {
 		var in In
@@ -70,12 +70,12 @@
 	}
 }
 
-// Security is how the two ends know each other: mutual TLS, a shared secret on loopback
+// Security defines how the two ends authenticate: mutual TLS, a shared secret on loopback
 // addresses, or a network that only the system's own VMs can reach.
 type Security struct {
 	Secret string
-	// Private says that nobody but the system's own VMs reaches the address; then
-	// no secret is asked for.
+	// Private means that only the system's own VMs can reach the address; then no
+	// secret is required.
 	Private bool
 	Server  *tls.Config
 	Client  *tls.Config
@@ -90,7 +90,7 @@
 // Server answers the messages of other processes.
 type Server struct {
 	Security Security
-	// Log takes messages about connections that broke the protocol.
+	// Log logs protocol errors of connections; nil drops them.
 	Log     func(format string, args ...any)
 	Methods map[string]Handler
 }
@@ -115,7 +115,7 @@
 
 func (s *Server) serveConn(ctx context.Context, nc net.Conn) {
 	session := &session{server: s}
-	conn := jsonrpc2.NewConn(ctx, jsonrpc2.NewPlainObjectStream(nc), jsonrpc2.AsyncHandler(session), jsonrpc2.SetLogger(printer(s.Log)))
+	conn := jsonrpc2.NewConn(ctx, jsonrpc2.NewPlainObjectStream(nc), jsonrpc2.AsyncHandler(session), jsonrpc2.SetLogger(logFunc(s.Log)))
 	select {
 	case <-conn.DisconnectNotify():
 	case <-ctx.Done():
@@ -123,11 +123,11 @@
 	}
 }
 
-// printer is a function as the library's logger.
-type printer func(format string, args ...any)
+// logFunc adapts a function to the logger interface of the jsonrpc2 library.
+type logFunc func(format string, args ...any)
 
 // Printf implements jsonrpc2.Logger.
-func (p printer) Printf(format string, args ...any) {
+func (p logFunc) Printf(format string, args ...any) {
 	if p != nil {
 		p(format, args...)
 	}
@@ -135,9 +135,9 @@
 
 // session is one accepted connection.
 type session struct {
-	server *Server
-	mu     sync.Mutex
-	known  bool
+	server        *Server
+	mu            sync.Mutex
+	authenticated bool
 }
 
 // Handle implements jsonrpc2.Handler.
@@ -159,12 +159,12 @@
 		params = *req.Params
 	}
 	if req.Method == methodHello {
-		return struct{}{}, s.greet(params)
+		return struct{}{}, s.authenticate(params)
 	}
 	s.mu.Lock()
-	known := s.known
+	authenticated := s.authenticated
 	s.mu.Unlock()
-	if !known {
+	if !authenticated {
 		return nil, ErrUnauthorized
 	}
 	if req.Method == methodPing {
@@ -177,8 +177,9 @@
 	return h(ctx, params)
 }
 
-// greet admits the other end. With mutual TLS the handshake has done so already.
-func (s *session) greet(params json.RawMessage) error {
+// authenticate checks the other end's secret. Mutual TLS has already authenticated it in the
+// handshake.
+func (s *session) authenticate(params json.RawMessage) error {
 	var h hello
 	if err := json.Unmarshal(params, &h); err != nil {
 		return ErrUnauthorized
@@ -190,7 +191,7 @@
 		return ErrUnauthorized
 	}
 	s.mu.Lock()
-	s.known = true
+	s.authenticated = true
 	s.mu.Unlock()
 	return nil
 }
@@ -221,36 +222,36 @@
 	return Error.Wrap(rpc)
 }
 
-// Pool keeps one connection to each process that was called.
+// Pool holds one connection to each process that was called.
 type Pool struct {
 	// From is this process's incarnation.
 	From     string
 	Security Security
 	// Heartbeat is the interval of heartbeats.
 	Heartbeat time.Duration
-	// DialTimeout bounds a connection's start.
+	// DialTimeout bounds dialling and the first message of a connection.
 	DialTimeout time.Duration
-	// Log is told of connections that end in the middle of a message; nil drops it.
+	// Log logs connections that end in the middle of a message; nil drops the messages.
 	Log func(format string, args ...any)
-	// Dial connects; nil stands for TCP.
+	// Dial opens a connection; nil means TCP. It is not used with TLS.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
 	mu     sync.Mutex
-	conns  map[string]*dialled
+	conns  map[string]*peerConn
 	closed bool
 }
 
-// dialled is a connection that is there or being made.
-type dialled struct {
-	// end gives up making it.
-	end   context.CancelFunc
-	ready chan struct{}
-	conn  *jsonrpc2.Conn
-	err   error
+// peerConn is a connection that is open or being opened.
+type peerConn struct {
+	// cancel aborts the opening.
+	cancel context.CancelFunc
+	ready  chan struct{}
+	conn   *jsonrpc2.Conn
+	err    error
 }
 
-// Call sends one message and waits for the answer. An error that wraps ErrDown
-// says that the message may or may not have been handled.
+// Call sends one message and waits for the answer. After an error that wraps ErrDown the
+// message may or may not have been handled.
 func (p *Pool) Call(ctx context.Context, addr, method string, params, result any) error {
 	conn, err := p.conn(ctx, addr)
 	if err != nil {
@@ -265,7 +266,7 @@
 func (p *Pool) conn(ctx context.Context, addr string) (*jsonrpc2.Conn, error) {
 	p.mu.Lock()
 	if p.conns == nil {
-		p.conns = map[string]*dialled{}
+		p.conns = map[string]*peerConn{}
 	}
 	if p.closed {
 		p.mu.Unlock()
@@ -273,8 +274,8 @@
 	}
 	d := p.conns[addr]
 	if d == nil {
-		dialing, end := context.WithTimeout(context.Background(), p.DialTimeout)
-		d = &dialled{ready: make(chan struct{}), end: end}
+		dialing, cancel := context.WithTimeout(context.Background(), p.DialTimeout)
+		d = &peerConn{ready: make(chan struct{}), cancel: cancel}
 		p.conns[addr] = d
 		go p.dial(dialing, addr, d)
 	}
@@ -287,16 +288,16 @@
 	}
 }
 
-// dial makes the connection, and forgets it when it ends. One that was made while the pool
-// closed is closed here.
-func (p *Pool) dial(ctx context.Context, addr string, d *dialled) {
+// dial opens the connection, and removes it from the pool when it ends. A connection that is
+// opened while the pool closes is closed here.
+func (p *Pool) dial(ctx context.Context, addr string, d *peerConn) {
 	d.conn, d.err = p.connect(ctx, addr)
-	d.end()
+	d.cancel()
 	close(d.ready)
 	if d.err == nil && p.isClosed() {
 		_ = d.conn.Close()
 	} else if d.err == nil {
-		p.tend(d.conn)
+		p.heartbeat(d.conn)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -306,12 +307,12 @@
 }
 
 func (p *Pool) connect(ctx context.Context, addr string) (*jsonrpc2.Conn, error) {
-	nc, err := p.netConn(ctx, addr)
+	nc, err := p.dialNet(ctx, addr)
 	if err != nil {
 		return nil, Error.Wrap(errors.Join(ErrDown, err))
 	}
 	conn := jsonrpc2.NewConn(context.Background(), jsonrpc2.NewPlainObjectStream(nc), jsonrpc2.AsyncHandler(noMethods{}),
-		jsonrpc2.SetLogger(printer(p.Log)))
+		jsonrpc2.SetLogger(logFunc(p.Log)))
 	if err := conn.Call(ctx, methodHello, hello{From: p.From, Secret: p.Security.Secret}, nil); err != nil {
 		_ = conn.Close()
 		return nil, localError(err)
@@ -319,7 +320,7 @@
 	return conn, nil
 }
 
-func (p *Pool) netConn(ctx context.Context, addr string) (net.Conn, error) {
+func (p *Pool) dialNet(ctx context.Context, addr string) (net.Conn, error) {
 	if p.Security.Client != nil {
 		d := tls.Dialer{Config: p.Security.Client}
 		return d.DialContext(ctx, "tcp", addr)
@@ -331,11 +332,10 @@
 	return d.DialContext(ctx, "tcp", addr)
 }
 
-// tend sends heartbeats until the connection ends. It guards against a connection
-// that something in between has forgotten: nothing arrives any more, and no reset
-// either. Then the heartbeats go unanswered, the connection is closed, and the
-// next call makes a new one.
-func (p *Pool) tend(conn *jsonrpc2.Conn) {
+// heartbeat sends heartbeats until the connection ends. A device in between may drop the
+// state of a connection, so that neither data nor a reset arrives any more. Then a
+// heartbeat gets no answer, the connection is closed, and the next call opens a new one.
+func (p *Pool) heartbeat(conn *jsonrpc2.Conn) {
 	t := time.NewTicker(p.Heartbeat)
 	defer t.Stop()
 	for {
@@ -344,7 +344,7 @@
 			return
 		case <-t.C:
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), heartbeatsMissed*p.Heartbeat)
+		ctx, cancel := context.WithTimeout(context.Background(), maxMissedHeartbeats*p.Heartbeat)
 		err := conn.Call(ctx, methodPing, struct{}{}, nil)
 		cancel()
 		if err != nil {
@@ -354,7 +354,7 @@
 	}
 }
 
-// Close ends all connections.
+// Close closes all connections and aborts those being opened. Later calls fail with ErrDown.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -366,7 +366,7 @@
 				_ = d.conn.Close()
 			}
 		default:
-			d.end()
+			d.cancel()
 		}
 	}
 }
@@ -377,7 +377,7 @@
 	return p.closed
 }
 
-// Peers lists the addresses that are connected or being connected.
+// Peers returns the addresses with a connection that is open or being opened.
 func (p *Pool) Peers() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -388,7 +388,7 @@
 	return out
 }
 
-// noMethods refuses calls on connections that this process opened.
+// noMethods rejects calls from the other end of connections that this process opened.
 type noMethods struct{}
 
 // Handle implements jsonrpc2.Handler.
--- a/link/messages.go
+++ b/link/messages.go
@@ -10,63 +10,64 @@
 
 // Methods of routers.
 const (
-	// MethodLend asks for a lot: LendRequest, grant.Lot.
+	// MethodLend requests a lot: LendRequest, grant.Lot.
 	MethodLend = "budget.lend"
 	// MethodReturn settles lots: ReturnRequest, Empty.
 	MethodReturn = "budget.return"
-	// MethodDisown asks which lots are not there: DisownRequest, DisownReply.
+	// MethodDisown asks which lots the other side does not have: DisownRequest, DisownReply.
 	MethodDisown = "budget.disown"
-	// MethodBorrowed asks a borrower for its final word on a dead lender:
+	// MethodBorrowed asks a borrower for its final use of a dead lender's tokens:
 	// BorrowedRequest, grant.Borrowed.
 	MethodBorrowed = "budget.borrowed"
-	// MethodLimits brings a lender's limits of exposure to a witness: settlement.Notice, Empty.
+	// MethodLimits sends a lender's exposure limits to a witness: settlement.Notice, Empty.
 	MethodLimits = "budget.limits"
-	// MethodTestify asks a witness for a dead lender's limits: LimitsRequest,
+	// MethodTestify asks a witness for a dead lender's exposure limits: LimitsRequest,
 	// settlement.Testimony.
 	MethodTestify = "budget.testify"
-	// MethodWatermarks asks how far rows are reported durably:
-	// WatermarkRequest, WatermarkReply.
+	// MethodWatermarks asks for the durable watermarks of rows: WatermarkRequest,
+	// WatermarkReply.
 	MethodWatermarks = "budget.watermarks"
 	// MethodAppend makes charges durable: AppendRequest, AppendReply.
 	MethodAppend = "ledger.append"
 )
 
-// Methods of processes beside engines.
+// Methods of the processes on the VMs of engines.
 const (
-	// MethodAnnounce tells of a prompt that is sent to the engine:
+	// MethodAnnounce announces a prompt before it is sent to the engine:
 	// prefill.Announcement, prefill.Told.
 	MethodAnnounce = "upstream.announce"
-	// MethodWithdraw takes an announcement back: Withdrawal, Empty.
+	// MethodWithdraw withdraws an announcement: Withdrawal, Empty.
 	MethodWithdraw = "upstream.withdraw"
-	// MethodLimit tells what an answer of the engine said of the requests a second that it takes, and
-	// asks what is known: LimitNamed, ratelimit.Known.
+	// MethodLimit reports the rate limit in an answer of the engine and returns the current
+	// one: LimitNamed, ratelimit.Known.
 	MethodLimit = "upstream.limit"
-	// MethodReadElsewhere tells the process beside the engine that prompts with a shared part
-	// prefer that another engine reads it: prefill.Elsewhere, Empty.
+	// MethodReadElsewhere reports to the process on the VM of the engine preferred for a shared
+	// part of prompts that another engine prefills it: prefill.Elsewhere, Empty.
 	MethodReadElsewhere = "upstream.read_elsewhere"
 )
 
-// Methods of routers on prompts that end upstreams. One router decides for each prompt.
+// Methods of routers for prompts that end upstreams. One router decides for each prompt.
 const (
-	// MethodPromptEnded tells the router that decides of an upstream that ended:
-	// poison.Evidence, and all that is known of the prompt, poison.Evidence.
+	// MethodPromptEnded reports to the deciding router that an upstream ended:
+	// poison.Evidence; the reply is all evidence on the prompt, poison.Evidence.
 	MethodPromptEnded = "prompt.ended"
-	// MethodPromptTry asks it whether the prompt may be sent: PromptTry, PromptTryReply.
+	// MethodPromptTry asks the deciding router whether the prompt may be sent: PromptTry,
+	// PromptTryReply.
 	MethodPromptTry = "prompt.try"
-	// MethodPromptKnown tells any router what is known of a prompt: poison.Evidence, Empty.
+	// MethodPromptKnown sends the evidence on a prompt to any router: poison.Evidence, Empty.
 	MethodPromptKnown = "prompt.known"
-	// MethodPromptCleared tells any router that nothing speaks against a prompt any more:
-	// PromptAnswered, Empty.
+	// MethodPromptCleared reports to any router that a service answered a prompt, which clears
+	// it: PromptAnswered, Empty.
 	MethodPromptCleared = "prompt.cleared"
-	// MethodPromptList asks any router, or a process beside an upstream that keeps them, which
-	// prompts upstreams ended under: Empty, []poison.Evidence.
+	// MethodPromptList asks any router, or a process on an upstream's VM that stores them, for
+	// the prompts under which upstreams ended: Empty, []poison.Evidence.
 	MethodPromptList = "prompt.list"
-	// MethodPromptKeep has a process beside an upstream keep what routers know of prompts:
-	// PromptKeep, and all that is known there of these prompts, []poison.Evidence.
+	// MethodPromptKeep stores the routers' evidence on prompts at a process on an upstream's VM:
+	// PromptKeep; the reply is all evidence there on these prompts, []poison.Evidence.
 	MethodPromptKeep = "prompt.keep"
 )
 
-// PromptKeep is what changed. What was answered comes before what is known.
+// PromptKeep holds changes to store. Answered is applied before Known.
 type PromptKeep struct {
 	Answered []PromptAnswered  `json:"answered,omitempty"`
 	Known    []poison.Evidence `json:"known,omitempty"`
@@ -79,7 +80,7 @@
 	Request string        `json:"request"`
 }
 
-// PromptTryReply says so.
+// PromptTryReply is the decision, with the evidence behind it.
 type PromptTryReply struct {
 	Allowed bool            `json:"allowed"`
 	Known   poison.Evidence `json:"known"`
@@ -91,17 +92,17 @@
 	Service string        `json:"service"`
 }
 
-// LimitNamed is what an answer of an engine's life said.
+// LimitNamed is the rate limit in an answer of one incarnation of an engine.
 type LimitNamed struct {
-	// Born is the start of that life; see directory.Life.
+	// Born is the start time of that incarnation; see directory.Life.
 	Born int64          `json:"born,omitempty"`
 	Word ratelimit.Word `json:"word"`
 }
 
-// MethodFollow asks a relay for the store's changes: relay.Request, relay.Reply.
+// MethodFollow requests the store's changes from a relay: relay.Request, relay.Reply.
 const MethodFollow = "store.follow"
 
-// Withdrawal takes back an announcement.
+// Withdrawal withdraws an announcement; it holds the announcement and the reply to it.
 type Withdrawal struct {
 	Announcement prefill.Announcement `json:"announcement"`
 	Told         prefill.Told         `json:"told"`
@@ -109,36 +110,36 @@
 
 // Methods of routers and agents.
 const (
-	// MethodFence shuts out a dead holder: FenceRequest; routers answer with
-	// RouterEvidence, agents with AgentEvidence.
+	// MethodFence fences a dead holder: FenceRequest; routers answer with
+	// recovery.PeerEvidence, agents with recovery.Evidence.
 	MethodFence = "recovery.fence"
-	// MethodSettleLot settles a dead borrower's lot by evidence:
+	// MethodSettleLot settles a dead borrower's lot from the collected evidence:
 	// grant.LotReturn, Empty.
 	MethodSettleLot = "recovery.settle_lot"
 )
 
 // Methods of agents.
 const (
-	// MethodForget ends the need for evidence: FenceRequest, Empty.
+	// MethodForget drops the evidence on a holder whose recovery is complete: FenceRequest, Empty.
 	MethodForget = "recovery.forget"
-	// MethodOutcome asks what became of a request: OutcomeRequest, OutcomeReply.
+	// MethodOutcome asks for the outcome of a request: OutcomeRequest, OutcomeReply.
 	MethodOutcome = "work.outcome"
 )
 
-// Empty is an answer without content.
+// Empty is a reply without content.
 type Empty struct{}
 
-// LendRequest asks for a lot of a budget.
+// LendRequest requests a lot of a budget.
 type LendRequest struct {
 	Borrower string `json:"borrower"`
 	Budget   string `json:"budget"`
-	// ID makes a repeat harmless.
+	// ID identifies the request, so that a repeat has no further effect.
 	ID string `json:"id"`
-	// Need is what the request at hand lacks, Want what would be useful.
+	// Need is the tokens that the current request lacks, Want the tokens that would be useful.
 	Need int64 `json:"need"`
 	Want int64 `json:"want"`
-	// Limit is the budget's tokens by the configuration, and Version the
-	// configuration's; both are 0 where the lender reads it itself.
+	// Limit is the budget's tokens in the configuration with the given Version; both
+	// are 0 where the lender reads the configuration itself.
 	Limit   int64 `json:"limit,omitempty"`
 	Version int64 `json:"version,omitempty"`
 }
@@ -148,43 +149,43 @@
 	Lots []grant.LotReturn `json:"lots"`
 }
 
-// DisownRequest lists lots that a lender believes to be with the other side.
+// DisownRequest lists lots that the lender recorded as lent to the other side.
 type DisownRequest struct {
-	// Borrower is the life of the other side that asked for them.
+	// Borrower is the incarnation of the other side that requested them.
 	Borrower string       `json:"borrower"`
 	Parts    []grant.Part `json:"parts"`
 }
 
-// DisownReply lists those that are not there and never will be.
+// DisownReply lists the lots that the other side does not have and never will have.
 type DisownReply struct {
 	Parts []grant.Part `json:"parts"`
 }
 
-// BorrowedRequest asks what a borrower used of a lender that is gone.
+// BorrowedRequest asks how much a borrower used of a dead lender's tokens.
 type BorrowedRequest struct {
-	// Borrower is the life that is asked.
+	// Borrower is the incarnation that must answer.
 	Borrower string `json:"borrower"`
 	Lender   string `json:"lender"`
 }
 
-// LimitsRequest asks for the limits of exposure of a lender that is gone.
+// LimitsRequest asks for the exposure limits of a dead lender.
 type LimitsRequest struct {
-	// Witness is the life that is asked.
+	// Witness is the incarnation that must answer.
 	Witness string `json:"witness"`
 	Lender  string `json:"lender"`
-	// Term is that of the lender's list.
+	// Term is the term of the lender's list of witnesses.
 	Term int64 `json:"term"`
 }
 
-// AppendRequest brings charges of one shard.
+// AppendRequest holds charges to append to one shard.
 type AppendRequest struct {
 	Shard   int             `json:"shard"`
 	Charges []ledger.Charge `json:"charges"`
 }
 
-// AppendReply says that all of them are durable.
+// AppendReply confirms that all charges are durable.
 type AppendReply struct {
-	// Floor is the shard's last segment.
+	// Floor is the number of the shard's last segment.
 	Floor int64 `json:"floor"`
 }
 
@@ -193,15 +194,15 @@
 	Holder string `json:"holder"`
 }
 
-// WatermarkRequest asks about rows of one holder.
+// WatermarkRequest asks for the watermarks of one holder's rows.
 type WatermarkRequest struct {
 	Holder  string   `json:"holder"`
 	Budgets []string `json:"budgets"`
-	// Urgent asks the holder to report first: the agent is leaving.
+	// Urgent asks the holder to report first, since the agent is leaving.
 	Urgent bool `json:"urgent"`
 }
 
-// WatermarkReply maps each budget to the row's durable watermark.
+// WatermarkReply maps each budget to its row's durable watermark.
 type WatermarkReply struct {
 	Through map[string]int64 `json:"through"`
 }
@@ -211,10 +212,10 @@
 	Reservation grant.Reservation `json:"reservation"`
 }
 
-// OutcomeReply is what an agent knows of a request.
+// OutcomeReply is an agent's state of a request.
 type OutcomeReply struct {
 	Known   bool `json:"known"`
 	Running bool `json:"running"`
-	// Used is the billed amount in tokens, once it ended.
+	// Used is the billed amount in tokens once the request ended.
 	Used int64 `json:"used"`
 }
