--- a/fleet/check.go
+++ b/fleet/check.go
@@ -12,14 +12,14 @@
 	"github.com/arbutusmill/arbutusmill/team"
 )
 
-// nameForm is what names of teams, services, presets and budgets look like; they
-// become parts of store keys and paths.
-var nameForm = regexp.MustCompile(`^[a-z0-9][a-z0-9._/-]{0,127}$`)
+// namePattern restricts the names of teams, services, presets and budgets, which become
+// parts of store keys and paths.
+var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._/-]{0,127}$`)
 
-// ValidName reports whether a name may be used.
-func ValidName(name string) bool { return nameForm.MatchString(name) }
+// ValidName reports whether a name matches the allowed pattern.
+func ValidName(name string) bool { return namePattern.MatchString(name) }
 
-// checker collects mistakes by field.
+// checker collects validation errors by field.
 type checker struct{ fielderrors.List }
 
 func (c *checker) name(field, name string) {
@@ -30,12 +30,12 @@
 
 func (c *checker) unique(seen map[string]bool, field, name string) {
 	if seen[name] {
-		c.Add(field, "%q stands twice", name)
+		c.Add(field, "%q is duplicated", name)
 	}
 	seen[name] = true
 }
 
-// Check verifies the whole document and names each wrong field.
+// Check validates the document and returns an error that lists each invalid field.
 func (d *Document) Check() error {
 	c := &checker{}
 	services := c.services(d.Services)
@@ -72,18 +72,18 @@
 	switch s.Kind {
 	case KindEngine:
 		if len(s.Models) == 0 {
-			c.Add(at+".models", "an engine service needs at least one")
+			c.Add(at+".models", "must not be empty for an engine service")
 		}
 	case KindPlain:
 		if len(s.Models) > 0 {
-			c.Add(at+".models", "a plain service has none")
+			c.Add(at+".models", "must be empty for a plain service")
 		}
 	default:
 		c.Add(at+".kind", "%q is neither engine nor plain", s.Kind)
 	}
 	for _, m := range s.IdempotentMethods {
 		if !slices.Contains(methods, m) {
-			c.Add(at+".idempotent_methods", "%q is no HTTP method", m)
+			c.Add(at+".idempotent_methods", "%q is not an HTTP method", m)
 		}
 	}
 }
--- a/fleet/document.go
+++ b/fleet/document.go
@@ -1,5 +1,5 @@
-// Package fleet is the configuration that operators apply: teams, services,
-// presets, and the one preset in force. It is one checked value, replaced whole.
+// Package fleet defines the configuration that operators apply: teams, services,
+// presets, and the active preset. It is one validated document, replaced as a whole.
 package fleet
 
 import (
@@ -24,7 +24,7 @@
 	Teams    []*team.Team `yaml:"teams" json:"teams"`
 	Services []*Service   `yaml:"services" json:"services"`
 	Presets  []*Preset    `yaml:"presets" json:"presets"`
-	// Preset names the one preset in force.
+	// Preset is the name of the active preset.
 	Preset string `yaml:"preset" json:"preset"`
 }
 
@@ -34,16 +34,16 @@
 	KindPlain  = "plain"
 )
 
-// Service is something that callers use: a model on engines, or a plain service.
+// Service is a service for callers: models on engines, or a plain service.
 type Service struct {
 	Name string `yaml:"name" json:"name"`
 	// Kind is engine or plain.
 	Kind string `yaml:"kind" json:"kind"`
-	// Models are the model names that an engine service answers to.
+	// Models are the model names that an engine service serves.
 	Models []string `yaml:"models,omitempty" json:"models,omitempty"`
-	// PriceTokens is what a call of a plain service costs.
+	// PriceTokens is the cost of a call to a plain service, in tokens.
 	PriceTokens int64 `yaml:"price_tokens,omitempty" json:"price_tokens,omitempty"`
-	// MaxOutputTokens bounds, and is the default of, a request's output.
+	// MaxOutputTokens is the maximum and the default of a request's output tokens.
 	MaxOutputTokens int64 `yaml:"max_output_tokens,omitempty" json:"max_output_tokens,omitempty"`
 	// IdempotentMethods are the methods of a plain service whose calls may be
 	// repeated; all others run at most once.
@@ -55,13 +55,13 @@
 // Preset is a named set of priorities.
 type Preset struct {
 	Name string `yaml:"name" json:"name"`
-	// Rules are tried in order; the first that fits gives the class.
+	// Rules are evaluated in order; the first that matches gives the class.
 	Rules []Rule `yaml:"rules,omitempty" json:"rules,omitempty"`
-	// Default is the class when no rule fits.
+	// Default is the class if no rule matches.
 	Default string `yaml:"default" json:"default"`
 }
 
-// Rule gives a class to the requests that fit. An empty field fits everything.
+// Rule assigns a class to matching requests. An empty field matches everything.
 type Rule struct {
 	Team    string `yaml:"team,omitempty" json:"team,omitempty"`
 	Service string `yaml:"service,omitempty" json:"service,omitempty"`
@@ -104,22 +104,22 @@
 	DefaultMaxOutputTokens = 1024
 )
 
-// Parse reads a document strictly: an unknown field is an error with its line
-// and column. The result is checked and has its defaults filled in.
+// Parse decodes a document strictly: an unknown field is an error with its line
+// and column. Defaults are set and the document is validated.
 func Parse(b []byte) (*Document, error) {
 	if len(b) > MaxDocumentBytes {
-		return nil, Error.New("document has %d bytes; the most is %d", len(b), MaxDocumentBytes)
+		return nil, Error.New("document has %d bytes; the maximum is %d", len(b), MaxDocumentBytes)
 	}
 	doc := &Document{}
 	dec := yaml.NewDecoder(bytes.NewReader(b), yaml.Strict())
 	if err := dec.Decode(doc); err != nil {
 		return nil, Error.New("%s", yaml.FormatError(err, false, true))
 	}
-	doc.fill()
+	doc.setDefaults()
 	return doc, doc.Check()
 }
 
-func (d *Document) fill() {
+func (d *Document) setDefaults() {
 	for _, s := range d.Services {
 		if s == nil {
 			continue
@@ -133,10 +133,10 @@
 	}
 }
 
-// Class returns the class that the preset in force gives to a request.
+// Class returns the class that the preset assigns to a request.
 func (p *Preset) Class(teamName, service, task string) contract.Class {
 	for _, r := range p.Rules {
-		if fits(r.Team, teamName) && fits(r.Service, service) && fits(r.Task, task) {
+		if matches(r.Team, teamName) && matches(r.Service, service) && matches(r.Task, task) {
 			c, _ := contract.ParseClass(r.Class)
 			return c
 		}
@@ -145,4 +145,4 @@
 	return c
 }
 
-func fits(want, have string) bool { return want == "" || want == have }
+func matches(want, have string) bool { return want == "" || want == have }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -18,18 +18,18 @@
 	}}
 }
 
-// A slow read brings an older document after the watch brought a newer one. The
-// process must not go back to the old one.
+// A slow read returns an older document after the watch delivered a newer one. The
+// process must not go back to the older one.
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	var c fleet.Current
 	require.True(t, c.Raise(fleet.NewSnapshot(2, document("peak"))))
 	require.False(t, c.Raise(fleet.NewSnapshot(1, document("ordinary"))))
-	require.False(t, c.Raise(fleet.NewSnapshot(2, document("ordinary"))), "one generation is one document")
+	require.False(t, c.Raise(fleet.NewSnapshot(2, document("ordinary"))), "the document of a generation never changes")
 	require.Equal(t, "peak", c.Load().Preset.Name)
 }
 
-// Two operators put different presets in force at the same moment. One must win, the
-// other must be told, and the loser's preset must not be in force later.
+// Two operators activate different presets concurrently. One must succeed, the other must
+// get an error, and the rejected preset must not become active later.
 func TestTwoOperatorsRace(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		r := fleet.Registry{Store: memstore.New()}
@@ -54,8 +54,8 @@
 	})
 }
 
-// An apply takes effect and its answer is lost. The repeat must see that it was its own
-// write, and not report a race or make another generation.
+// An apply takes effect and its answer is lost. The retry must detect its own write, and
+// neither report a conflict nor create another generation.
 func TestLostAnswerOfAnApply(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		s := memstore.New()
@@ -67,9 +67,9 @@
 	})
 }
 
-// The store goes down, which ends the watch, and a change is applied when it is back.
-// The follower must take it in seconds.
-func TestFollowerComesBackAfterOutage(t *testing.T) {
+// The store goes down, which ends the watch, and a change is applied after it is back.
+// The follower must apply it within seconds.
+func TestFollowerRecoversAfterOutage(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		s := memstore.New()
 		r := fleet.Registry{Store: s}
@@ -91,7 +91,7 @@
 	p := &fleet.Preset{Default: "normal", Rules: []fleet.Rule{
 		{Team: "pilots", Class: "urgent"}, {Task: "review", Class: "deferrable"},
 	}}
-	require.Equal(t, contract.Urgent, p.Class("pilots", "assistant", "review"), "the first rule that fits")
+	require.Equal(t, contract.Urgent, p.Class("pilots", "assistant", "review"), "the first matching rule")
 	require.Equal(t, contract.Deferrable, p.Class("ports", "assistant", "review"))
 	require.Equal(t, contract.Normal, p.Class("ports", "assistant", ""))
 }
@@ -102,11 +102,11 @@
 		"services: [{name: A B, kind: plain}]":                            "services[0].name",
 		"services: [{name: a, kind: magic}]":                              `services[0].kind: "magic" is neither engine nor plain`,
 		"services: [{name: a, kind: plain, timeout: 30}]":                 "not a duration with a unit",
-		"services: [{name: a, kind: plain}, {name: a, kind: plain}]":      `services[1].name: "a" stands twice`,
+		"services: [{name: a, kind: plain}, {name: a, kind: plain}]":      `services[1].name: "a" is duplicated`,
 		"teams: [{name: t, budgets: {x: b}}]":                             `teams[0].budgets: there is no service "x"`,
 		"presets: [{name: p, default: soon}]\npreset: p":                  `presets[0].default: "soon" is neither`,
 		"presets: [{name: p, default: normal, rules: [{team: x}]}]":       `presets[0].rules[0].team: there is no team "x"`,
-		"services: [{name: a, kind: plain, idempotent_methods: [FETCH]}]": `"FETCH" is no HTTP method`,
+		"services: [{name: a, kind: plain, idempotent_methods: [FETCH]}]": `"FETCH" is not an HTTP method`,
 	} {
 		_, err := fleet.Parse([]byte(text))
 		require.ErrorContains(t, err, want, text)
--- a/fleet/registry.go
+++ b/fleet/registry.go
@@ -13,22 +13,22 @@
 // DocumentKey is the store key of the configuration.
 const DocumentKey = "arbutusmill/config"
 
-// ErrGeneration says that the document changed since the operator read it.
-var ErrGeneration = errs.New("another change came first")
+// ErrGeneration means that the document changed since the operator read it.
+var ErrGeneration = errs.New("changed by another writer")
 
 // Stored is the value under DocumentKey.
 type Stored struct {
 	Generation int64 `json:"generation"`
-	// Op is the id of the apply that made this generation; a writer whose
-	// answer was lost finds it and knows that its write took effect.
+	// Op is the id of the apply that created this generation. A writer whose
+	// answer was lost finds its id here if its write took effect.
 	Op       string    `json:"op"`
 	Document *Document `json:"document"`
 }
 
-// Registry is the configuration in the store.
+// Registry reads and writes the configuration in the store.
 type Registry struct{ Store store.Store }
 
-// Get reads the stored document; Generation is 0 when there is none.
+// Get reads the stored document; Generation is 0 if there is none.
 func (r Registry) Get(ctx context.Context) (Stored, error) {
 	item, err := r.Store.Get(ctx, DocumentKey)
 	if err != nil {
@@ -48,13 +48,13 @@
 	if s.Document == nil {
 		return s, Error.New("stored document is empty")
 	}
-	s.Document.fill()
+	s.Document.setDefaults()
 	return s, s.Document.Check()
 }
 
 // Apply replaces the document if the stored generation is still expect, and
-// returns the new generation. The op names this apply, so that a repeat after a
-// lost answer does not count as another change.
+// returns the new generation; otherwise the error wraps ErrGeneration. op
+// identifies this apply, so that a retry after a lost answer is not another change.
 func (r Registry) Apply(ctx context.Context, doc *Document, expect int64, op string) (int64, error) {
 	if err := doc.Check(); err != nil {
 		return 0, err
@@ -79,15 +79,16 @@
 	return generation, err
 }
 
-// Pauses of a follower.
+// Bounds on a follower's backoff.
 const (
 	followPauseMin = 100 * time.Millisecond
 	followPauseMax = 2 * time.Second
 )
 
-// Follow raises current to each newer stored document, by a watch and, in case the
-// watch goes silent, by a read each interval. It returns when the context ends.
-// Refused, if not nil, is told of documents that were not taken.
+// Follow updates current to each newer stored document. It uses a watch and, in case
+// the watch stops delivering events, a read per interval. It returns when the context
+// ends. refused, if not nil, is called with the error of each failed read or watch and
+// each invalid document.
 func (r Registry) Follow(ctx context.Context, current *Current, interval time.Duration, refused func(error)) {
 	pause := backoff.New(followPauseMin, followPauseMax)
 	for ctx.Err() == nil {
@@ -106,7 +107,7 @@
 	if err != nil {
 		return err
 	}
-	if err := raise(current, item); err != nil {
+	if err := setIfNewer(current, item); err != nil {
 		return err
 	}
 	watch, cancel := context.WithTimeout(ctx, backoff.Jitter(interval))
@@ -119,14 +120,14 @@
 		if ev.Progress || ev.Deleted {
 			continue
 		}
-		if err := raise(current, ev.Item); err != nil {
+		if err := setIfNewer(current, ev.Item); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func raise(current *Current, item store.Item) error {
+func setIfNewer(current *Current, item store.Item) error {
 	s, err := decodeStored(item)
 	if err != nil || s.Generation == 0 {
 		return err
--- a/fleet/snapshot.go
+++ b/fleet/snapshot.go
@@ -7,8 +7,8 @@
 	"github.com/arbutusmill/arbutusmill/team"
 )
 
-// Snapshot is a document in force, indexed for requests. It never changes; a
-// request keeps the snapshot that it was admitted under.
+// Snapshot is an active document, indexed for requests. It is immutable; a request
+// uses the snapshot that admitted it until it ends.
 type Snapshot struct {
 	Generation int64
 	Document   *Document
@@ -19,7 +19,7 @@
 	byName  map[string]*Service
 }
 
-// NewSnapshot indexes a checked document.
+// NewSnapshot indexes a validated document.
 func NewSnapshot(generation int64, d *Document) *Snapshot {
 	s := &Snapshot{Generation: generation, Document: d, Teams: team.NewDirectory(d.Teams),
 		byModel: map[string]*Service{}, byName: map[string]*Service{}}
@@ -34,27 +34,27 @@
 	return s
 }
 
-// ByModel returns the engine service that answers to a model name.
+// ByModel returns the engine service that serves a model, and false if there is none.
 func (s *Snapshot) ByModel(model string) (*Service, bool) {
 	sv, ok := s.byModel[model]
 	return sv, ok
 }
 
-// ByName returns a service.
+// ByName returns the service with a name, and false if there is none.
 func (s *Snapshot) ByName(name string) (*Service, bool) {
 	sv, ok := s.byName[name]
 	return sv, ok
 }
 
-// Current holds the snapshot in force in one process.
+// Current holds the active snapshot of one process.
 type Current struct{ p atomic.Pointer[Snapshot] }
 
-// Load returns the snapshot in force, nil before the first.
+// Load returns the active snapshot, or nil before the first one.
 func (c *Current) Load() *Snapshot { return c.p.Load() }
 
-// Raise puts a snapshot in force if its generation is higher than the present
-// one's. It guards against a slow or restored source that brings an older
-// document after a newer one: configuration never goes back.
+// Raise activates a snapshot if its generation is higher than the active one's, and
+// reports whether it did. A slow or restored source may return an older document after
+// a newer one; configuration must never go back.
 func (c *Current) Raise(s *Snapshot) bool {
 	for {
 		have := c.p.Load()
