--- a/fleet/check.go
+++ b/fleet/check.go
@@ -72,11 +72,11 @@
 	switch s.Kind {
 	case KindEngine:
 		if len(s.Models) == 0 {
-			c.Add(at+".models", "must not be empty for an engine service")
+			c.Add(at+".models", "an engine service needs at least one")
 		}
 	case KindPlain:
 		if len(s.Models) > 0 {
-			c.Add(at+".models", "must be empty for a plain service")
+			c.Add(at+".models", "a plain service has none")
 		}
 	default:
 		c.Add(at+".kind", "%q is neither engine nor plain", s.Kind)
