--- a/link/messages.go
+++ b/link/messages.go
@@ -96,7 +96,7 @@
 type LimitNamed struct {
 	// Born is the start time of that incarnation; see directory.Life.
 	Born int64          `json:"born,omitempty"`
-	Word ratelimit.Word `json:"word"`
+	Word ratelimit.NamedLimit `json:"word"`
 }
 
 // MethodFollow requests the store's changes from a relay: relay.Request, relay.Reply.
@@ -105,7 +105,7 @@
 // Withdrawal withdraws an announcement; it holds the announcement and the reply to it.
 type Withdrawal struct {
 	Announcement prefill.Announcement `json:"announcement"`
-	Told         prefill.Told         `json:"told"`
+	Told         prefill.AnnounceReply         `json:"told"`
 }
 
 // Methods of routers and agents.
--- a/localfleet/fleet.go
+++ b/localfleet/fleet.go
@@ -310,9 +310,9 @@
 }
 
 // Book is an operator's access to the accounts.
-func (f *Fleet) Book() account.Book {
+func (f *Fleet) Book() account.AdminClient {
 	s := &platform.Store{Address: f.StoreAddress, Client: http.DefaultClient, Timeout: storeTimeout}
-	return account.Book{Store: s, Layout: account.Layout{Prefix: prepaid.PagePrefix, Pages: settings.DefaultGateway().Budgets.Pages}}
+	return account.AdminClient{Store: s, Layout: account.Layout{Prefix: prepaid.PagePrefix, Pages: settings.DefaultGateway().Budgets.Pages}}
 }
 
 // Addresses tells where callers and operators reach the processes, a line each.
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -162,7 +162,7 @@
 		}
 	}
 	s := &platform.Store{Address: w.storeAddress, Client: http.DefaultClient, Timeout: callerDeadline}
-	book := account.Book{Store: s, Layout: account.Layout{Prefix: prepaid.PagePrefix, Pages: settings.DefaultGateway().Budgets.Pages}}
+	book := account.AdminClient{Store: s, Layout: account.Layout{Prefix: prepaid.PagePrefix, Pages: settings.DefaultGateway().Budgets.Pages}}
 	for team, paid := range map[string]int64{"pilots": pilotsPrepaid, "skippers": skippersPrepaid} {
 		require.LessOrEqual(w.t, got[team], paid, "%s got more than it paid for", team)
 		a, err := book.Get(context.Background(), team)
