--- a/fleet/check.go
+++ b/fleet/check.go
@@ -12,14 +12,14 @@
 	"github.com/arbutusmill/arbutusmill/team"
 )
 
-// nameForm is what names of teams, services, presets and budgets look like; they
-// become parts of store keys and paths.
-var nameForm = regexp.MustCompile(`^[a-z0-9][a-z0-9._/-]{0,127}$`)
+// namePattern restricts the names of teams, services, presets and budgets, which become
+// parts of store keys and paths.
+var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._/-]{0,127}$`)
 
-// ValidName reports whether a name may be used.
-func ValidName(name string) bool { return nameForm.MatchString(name) }
+// ValidName reports whether a name matches the allowed pattern.
+func ValidName(name string) bool { return namePattern.MatchString(name) }
 
-// checker collects mistakes by field.
+// checker collects validation errors by field.
 type checker struct{ fielderrors.List }
 
 func (c *checker) name(field, name string) {
@@ -30,12 +30,12 @@
 
 func (c *checker) unique(seen map[string]bool, field, name string) {
 	if seen[name] {
-		c.Add(field, "%q stands twice", name)
+		c.Add(field, "%q is duplicated", name)
 	}
 	seen[name] = true
 }
 
-// Check verifies the whole document and names each wrong field.
+// Check validates the document and returns an error that lists each invalid field.
 func (d *Document) Check() error {
 	c := &checker{}
 	services := c.services(d.Services)
@@ -83,7 +83,7 @@
 	}
 	for _, m := range s.IdempotentMethods {
 		if !slices.Contains(methods, m) {
-			c.Add(at+".idempotent_methods", "%q is no HTTP method", m)
+			c.Add(at+".idempotent_methods", "%q is not an HTTP method", m)
 		}
 	}
 }
