--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -15,118 +15,122 @@
 
 const (
 	callerDeadline = 4 * time.Second
-	// callers is how many ask at the same time, callerPause the longest pause of each.
-	callers     = 12
-	callerPause = 60 * time.Millisecond
-	promptSize  = 1000
-	mostOutput  = 30
+	// concurrentCallers send requests at the same time, each with a random pause of up to
+	// maxCallerPause between two requests.
+	concurrentCallers = 12
+	maxCallerPause    = 60 * time.Millisecond
+	promptSize        = 1000
+	maxOutput         = 30
 )
 
-// outcome is what a caller got for one request.
+// outcome is the result of one request as its caller received it.
 type outcome struct {
 	id, route, team, router string
-	began                   time.Time
-	// status is 0 if no answer began.
+	startedAt               time.Time
+	// status is 0 if no response began.
 	status int
 	events int64
-	// whole says that a success ended as the upstream's own whole answer.
-	whole bool
-	body  string
-	err   error
+	// complete reports whether a successful response was read to its end.
+	complete bool
+	body     string
+	err      error
 }
 
-// kinds are the routes that callers ask, with the service behind each.
-var kinds = map[string]string{"chat": "model", "review": "model", "alert": "plain", "level": "plain"}
+// routeServices maps the routes that callers use to the service behind each.
+var routeServices = map[string]string{"chat": "model", "review": "model", "alert": "plain", "level": "plain"}
 
-// serviceOf is the service behind a route. Those that name a version go to the plain one.
+// serviceOf returns the service behind a route. Routes named after a configuration version use the
+// plain service.
 func serviceOf(route string) string {
-	if service, ok := kinds[route]; ok {
+	if service, ok := routeServices[route]; ok {
 		return service
 	}
 	return "plain"
 }
 
-var kindNames = []string{"chat", "review", "alert", "level"}
+var routeNames = []string{"chat", "review", "alert", "level"}
 
-// crowd is callers that ask until they are told to stop.
-type crowd struct {
-	w    *world
-	seed uint64
+// loadGenerator runs callers and collects the outcomes of their requests.
+type loadGenerator struct {
+	fleet *testFleet
+	seed  uint64
 
 	mu       sync.Mutex
 	outcomes []outcome
 }
 
-// run asks until the context ends. Each caller uses its connections for as long as they last.
-func (c *crowd) run(ctx context.Context) {
+// run sends requests until the context ends. Each caller reuses its connections for as long as they
+// stay open.
+func (g *loadGenerator) run(ctx context.Context) {
 	var wg sync.WaitGroup
-	for n := range callers {
+	for n := range concurrentCallers {
 		wg.Go(func() {
-			luck := rand.New(rand.NewPCG(c.seed, uint64(n)))
+			rng := rand.New(rand.NewPCG(g.seed, uint64(n)))
 			transport := &http.Transport{DisableCompression: true}
 			defer transport.CloseIdleConnections()
 			client := &http.Client{Transport: transport}
 			for i := 0; ctx.Err() == nil; i++ {
-				c.one(client, luck, fmt.Sprintf("c%d-%d", n, i))
-				time.Sleep(time.Duration(luck.Int64N(int64(callerPause))))
+				g.sendWithRetry(client, rng, fmt.Sprintf("c%d-%d", n, i))
+				time.Sleep(time.Duration(rng.Int64N(int64(maxCallerPause))))
 			}
 		})
 	}
 	wg.Wait()
 }
 
-// one asks once, and once more through another router where that is safe.
-func (c *crowd) one(client *http.Client, luck *rand.Rand, id string) {
-	all := c.w.ofRole("gateway")
-	route := kindNames[luck.IntN(len(kindNames))]
+// sendWithRetry sends a request, and once more through the next router if the response promises that
+// it did not run.
+func (g *loadGenerator) sendWithRetry(client *http.Client, rng *rand.Rand, id string) {
+	routers := g.fleet.ofRole("gateway")
+	route := routeNames[rng.IntN(len(routeNames))]
 	team := "pilots"
-	if luck.IntN(4) == 0 {
+	if rng.IntN(4) == 0 {
 		team = "skippers"
 	}
-	first := luck.IntN(len(all))
-	o := c.ask(client, all[first], route, team, id)
+	first := rng.IntN(len(routers))
+	o := g.send(client, routers[first], route, team, id)
 	if o.status == http.StatusTooManyRequests || o.status == http.StatusServiceUnavailable {
-		c.ask(client, all[(first+1)%len(all)], route, team, id+"-again")
+		g.send(client, routers[(first+1)%len(routers)], route, team, id+"-again")
 	}
 }
 
-// ask sends one request and notes its outcome.
-func (c *crowd) ask(client *http.Client, router *process, route, team, id string) outcome {
-	o := outcome{id: id, route: route, team: team, router: router.name, began: time.Now()}
-	c.w.note(&c.w.asked, arrival{service: serviceOf(route), id: id, at: o.began})
+// send sends one request and records its outcome.
+func (g *loadGenerator) send(client *http.Client, router *process, route, team, id string) outcome {
+	o := outcome{id: id, route: route, team: team, router: router.name, startedAt: time.Now()}
+	g.fleet.record(&g.fleet.sent, requestRecord{service: serviceOf(route), id: id, at: o.startedAt})
 	ctx, cancel := context.WithTimeout(context.Background(), callerDeadline+time.Second)
 	defer cancel()
-	req, err := request(ctx, router, route, team, id)
+	req, err := newRequest(ctx, router, route, team, id)
 	if err == nil {
-		o.read(client.Do(req))
+		o.readResponse(client.Do(req))
 	} else {
 		o.err = err
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.outcomes = append(c.outcomes, o)
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.outcomes = append(g.outcomes, o)
 	return o
 }
 
-func request(ctx context.Context, router *process, route, team, id string) (*http.Request, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+router.callers+"/"+route+"/x", strings.NewReader("tonight?"))
+func newRequest(ctx context.Context, router *process, route, team, id string) (*http.Request, error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+router.callersAddress+"/"+route+"/x", strings.NewReader("tonight?"))
 	if err != nil {
 		return nil, err
 	}
-	req.GetBody = nil // or the client would send it again by itself on a stale connection
+	req.GetBody = nil // prevents the client from retrying by itself on a stale connection
 	req.Host = host
 	req.Header.Set(standin.HeaderID, id)
 	req.Header.Set(standin.HeaderKey, "k-"+team)
 	req.Header.Set(standin.HeaderDeadline, fmt.Sprint(callerDeadline.Milliseconds()))
 	if serviceOf(route) == "model" {
-		req.Header.Set(standin.HeaderUsage, fmt.Sprintf("%d,%d", promptSize, mostOutput))
+		req.Header.Set(standin.HeaderUsage, fmt.Sprintf("%d,%d", promptSize, maxOutput))
 		req.Header.Set(standin.HeaderParts, fmt.Sprintf("5a:%d,%x:100", promptSize-100, id))
 	}
 	return req, nil
 }
 
-// read reads the answer to its end.
-func (o *outcome) read(resp *http.Response, err error) {
+// readResponse reads the response to its end.
+func (o *outcome) readResponse(resp *http.Response, err error) {
 	if err != nil {
 		o.err = err
 		return
@@ -135,11 +139,11 @@
 	body, err := io.ReadAll(resp.Body)
 	o.status, o.body, o.err = resp.StatusCode, string(body), err
 	o.events = int64(strings.Count(o.body, "\n\n"))
-	o.whole = err == nil && resp.StatusCode == http.StatusOK
+	o.complete = err == nil && resp.StatusCode == http.StatusOK
 }
 
-// expected is the whole answer to a request.
-func (o *outcome) expected() string {
+// expectedBody returns the complete response body for a request.
+func (o *outcome) expectedBody() string {
 	if serviceOf(o.route) == "plain" {
 		return standin.PlainAnswer(o.id)
 	}
--- a/soak/limits_test.go
+++ b/soak/limits_test.go
@@ -10,78 +10,79 @@
 )
 
 const (
-	// limitStream tells the random numbers of a seed's limits from those of its faults and callers.
+	// limitStream is the PCG stream for the limits of a seed; it differs from those of faults and callers.
 	limitStream = 8
-	// limitLasts is how long an upstream names a limit. The requests of limitSpan are counted, from
-	// limitKnown after the first answer that names it.
-	limitLasts = 10 * time.Second
-	limitSpan  = 4 * time.Second
-	limitKnown = 3 * time.Second
+	// limitDuration is how long an upstream states a limit. Requests are counted per limitWindow,
+	// beginning limitSettleTime after the first response that states the limit.
+	limitDuration   = 10 * time.Second
+	limitWindow     = 4 * time.Second
+	limitSettleTime = 3 * time.Second
 )
 
-// planLimits has upstreams of one service name a limit, one of them or all, beside the faults of
-// every second seed.
-func (w *world) planLimits(seed uint64) []fault {
+// planLimits makes one upstream or all upstreams of a service state a limit, in addition to the
+// faults. It does so for every second seed.
+func (tf *testFleet) planLimits(seed uint64) []fault {
 	if seed%2 == 0 {
 		return nil
 	}
-	luck := rand.New(rand.NewPCG(seed, limitStream))
-	ups := w.sameService(w.upstreams[luck.IntN(len(w.upstreams))])
-	if luck.IntN(2) == 0 {
-		one := luck.IntN(len(ups))
-		ups = ups[one : one+1]
+	rng := rand.New(rand.NewPCG(seed, limitStream))
+	ups := tf.sameService(tf.upstreams[rng.IntN(len(tf.upstreams))])
+	if rng.IntN(2) == 0 {
+		i := rng.IntN(len(ups))
+		ups = ups[i : i+1]
 	}
-	limit := []float64{0.5, 1, 3}[luck.IntN(3)]
+	limit := []float64{0.5, 1, 3}[rng.IntN(3)]
 	return []fault{{
-		name: fmt.Sprintf("limit of %v a second at %d of %s, the first is %s", limit, len(ups), ups[0].service, ups[0].ID),
-		at:   time.Duration(luck.Int64N(int64(faultTime / 2))), lasts: limitLasts,
-		do:   func() { w.setLimits(ups, limit) },
-		undo: func() { w.endLimits(ups) },
+		name: fmt.Sprintf("limit of %v requests/s at %d upstreams of %s, the first is %s", limit, len(ups), ups[0].service, ups[0].ID),
+		at:   time.Duration(rng.Int64N(int64(faultPeriod / 2))), duration: limitDuration,
+		do:   func() { tf.setLimits(ups, limit) },
+		undo: func() { tf.clearLimits(ups) },
 	}}
 }
 
-func (w *world) setLimits(ups []*upstream, limit float64) {
+func (tf *testFleet) setLimits(ups []*upstream, limit float64) {
 	for _, u := range ups {
 		u.limit = limit
 		u.SetLimit(fmt.Sprint(limit))
 	}
 }
 
-func (w *world) endLimits(ups []*upstream) {
+func (tf *testFleet) clearLimits(ups []*upstream) {
 	for _, u := range ups {
 		u.SetLimit("")
 		u.limitEnded = time.Now()
 	}
 }
 
-// checkLimits checks that upstreams got no more than they named, from all routers together, whatever
-// else happened.
-func (w *world) checkLimits() {
-	for _, u := range w.upstreams {
+// checkLimits checks that the requests of all routers together stay within the limits that upstreams
+// state, whatever other faults occurred.
+func (tf *testFleet) checkLimits() {
+	for _, u := range tf.upstreams {
 		if u.limit == 0 || u.Limited().IsZero() {
 			continue
 		}
-		most := w.mostArrivals(u, u.Limited().Add(limitKnown), u.limitEnded)
-		require.LessOrEqual(w.t, float64(most), 1.5*u.limit*limitSpan.Seconds()+5, "%s, which named %v a second", u.ID, u.limit)
-		w.t.Logf("%s: %d requests at most in %s, limit %v a second", u.ID, most, limitSpan, u.limit)
+		highest := tf.maxReceived(u, u.Limited().Add(limitSettleTime), u.limitEnded)
+		require.LessOrEqual(tf.t, float64(highest), 1.5*u.limit*limitWindow.Seconds()+5, "%s, which stated a limit of %v requests/s", u.ID, u.limit)
+		tf.t.Logf("%s: at most %d requests in %s, limit %v requests/s", u.ID, highest, limitWindow, u.limit)
 	}
 }
 
-// mostArrivals is the most requests that came to an upstream within limitSpan, between two moments.
-func (w *world) mostArrivals(u *upstream, from, to time.Time) (most int) {
+// maxReceived returns the largest number of requests that an upstream received in any limitWindow
+// between two times.
+func (tf *testFleet) maxReceived(u *upstream, from, to time.Time) (highest int) {
 	var times []time.Time
-	for _, a := range w.arrivals {
-		if a.upstream == u.ID && !a.at.Before(from) && a.at.Before(to) {
-			times = append(times, a.at)
+	for _, r := range tf.received {
+		if r.upstream == u.ID && !r.at.Before(from) && r.at.Before(to) {
+			times = append(times, r.at)
 		}
 	}
 	slices.SortFunc(times, time.Time.Compare)
 	first := 0
 	for last, at := range times {
-		for at.Sub(times[first]) >= limitSpan {
+		for at.Sub(times[first]) >= limitWindow {
 			first++
 		}
-		most = max(most, last-first+1)
+		highest = max(highest, last-first+1)
 	}
-	return most
+	return highest
 }
--- a/soak/main_test.go
+++ b/soak/main_test.go
@@ -12,7 +12,7 @@
 	"github.com/google/subcommands"
 )
 
-// roleVariable makes the test's own program run as one of the daemons.
+// roleVariable is the environment variable that makes the test binary run as one of the daemons.
 const roleVariable = "ARBUTUSMILL_SOAK_ROLE"
 
 func TestMain(m *testing.M) {
@@ -22,7 +22,7 @@
 	os.Exit(m.Run())
 }
 
-// runDaemon runs what arbutusmilld runs.
+// runDaemon runs the subcommand of arbutusmilld for a role.
 func runDaemon(role string) int {
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer cancel()
--- a/soak/process_test.go
+++ b/soak/process_test.go
@@ -11,24 +11,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-// process is a router or lender that is started again and again, with its way to the store.
+// process is a router or lender that can be restarted, with its proxy to the store.
 type process struct {
 	t                    *testing.T
 	role, name, settings string
-	// callers is where a router takes callers.
-	callers string
-	store   *proxy
-	log     *os.File
+	// callersAddress is the address of a router's listener for callers.
+	callersAddress string
+	store          *proxy
+	log            *os.File
 
-	// restarting is held from the end of one life to the start of the next.
+	// restarting is held from the end of one incarnation to the start of the next.
 	restarting sync.Mutex
 
 	mu     sync.Mutex
 	cmd    *exec.Cmd
-	exited chan struct{} // closed when the running life has ended
+	exited chan struct{} // closed when the current incarnation has ended
 }
 
-// start starts the next life.
+// start starts the next incarnation.
 func (p *process) start() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -39,34 +39,35 @@
 	exited := make(chan struct{})
 	p.cmd, p.exited = cmd, exited
 	go func() {
-		_ = cmd.Wait() // how it ended is in its log
+		_ = cmd.Wait() // the cause of the exit is in the process's log
 		close(exited)
 	}()
 }
 
-// signal sends a signal to the running life, if there is one.
+// signal sends a signal to the current incarnation if it is running. It returns a channel that is
+// closed at the incarnation's end.
 func (p *process) signal(s os.Signal) chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
 	case <-p.exited:
 	default:
-		_ = p.cmd.Process.Signal(s) // it may just have ended
+		_ = p.cmd.Process.Signal(s) // it may have exited just now
 	}
 	return p.exited
 }
 
-// restart ends the running life by a signal, waits for its end, and starts the next one. A planned
-// stop that does not end within its grace is killed, as the platform does.
+// restart stops the current incarnation with a signal, waits for its exit and starts the next one.
 func (p *process) restart(s os.Signal) {
 	p.restarting.Lock()
 	defer p.restarting.Unlock()
-	p.end(s)
+	p.stop(s)
 	p.start()
 }
 
-// end ends the running life for good.
-func (p *process) end(s os.Signal) {
+// stop sends a signal and waits for the process to exit. A process that is still running after
+// stopGrace is killed, as the platform does.
+func (p *process) stop(s os.Signal) {
 	exited := p.signal(s)
 	select {
 	case <-exited:
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// proxy forwards the connections to one address, and harms them as it is told.
+// proxy forwards connections to one address and injects network faults.
 type proxy struct {
-	// own is its address, target where it forwards to.
-	own, target string
+	// address is the proxy's listening address, target the address that it forwards to.
+	address, target string
 
 	mu    sync.Mutex
 	conns map[*net.TCPConn]bool
-	// silent directions carry nothing, and keep their connections open: towards the target, and
-	// back.
-	silent [2]bool
-	delay  time.Duration
-	ln     net.Listener
-	// changed is closed when the above change.
+	// stalled directions forward no data but keep their connections open. Index 0 is towards the
+	// target, index 1 back.
+	stalled [2]bool
+	delay   time.Duration
+	ln      net.Listener
+	// changed is closed and replaced when stalled or delay changes.
 	changed chan struct{}
 }
 
-// listen begins to take connections, at first and after a crash.
+// listen starts accepting connections, initially and after a crash.
 func (p *proxy) listen() error {
-	ln, err := net.Listen("tcp", p.own)
+	ln, err := net.Listen("tcp", p.address)
 	if err != nil {
 		return err
 	}
@@ -35,10 +35,10 @@
 	return nil
 }
 
-// crash makes the target look ended: nobody listens, and all connections break.
+// crash simulates a crash of the target: it closes the listener and resets all connections.
 func (p *proxy) crash() {
 	p.mu.Lock()
-	_ = p.ln.Close() // it may have crashed before
+	_ = p.ln.Close() // it may be closed already
 	p.mu.Unlock()
 	p.resetAll()
 }
@@ -53,7 +53,7 @@
 	}
 }
 
-// forward carries one connection until either end closes it.
+// forward forwards one connection until both directions have ended.
 func (p *proxy) forward(caller *net.TCPConn) {
 	server, err := net.Dial("tcp", p.target)
 	if err != nil {
@@ -77,32 +77,32 @@
 	}
 }
 
-// copy carries one direction. When its sender ends, so does the other end's reading.
+// copy forwards one direction. When the sender closes its side, the receiver reads EOF.
 func (p *proxy) copy(to, from *net.TCPConn, direction int) {
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
-		p.hold(direction)
+		p.waitForDelivery(direction)
 		if n > 0 {
-			if _, writing := to.Write(buffer[:n]); writing != nil {
+			if _, writeErr := to.Write(buffer[:n]); writeErr != nil {
 				reset(from)
 				return
 			}
 		}
 		if err != nil {
-			_ = to.CloseWrite() // it may be closed
+			_ = to.CloseWrite() // it may be closed already
 			return
 		}
 	}
 }
 
-// hold waits as long as a direction is silent, and for the delay.
-func (p *proxy) hold(direction int) {
+// waitForDelivery waits while a direction is stalled, and then for the delay.
+func (p *proxy) waitForDelivery(direction int) {
 	for {
 		p.mu.Lock()
-		silent, delay, changed := p.silent[direction], p.delay, p.changed
+		stalled, delay, changed := p.stalled[direction], p.delay, p.changed
 		p.mu.Unlock()
-		if !silent {
+		if !stalled {
 			time.Sleep(delay)
 			return
 		}
@@ -110,8 +110,8 @@
 	}
 }
 
-// set changes the harm.
-func (p *proxy) set(change func()) {
+// update changes the injected faults and wakes the waiting directions.
+func (p *proxy) update(change func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	change()
@@ -119,13 +119,13 @@
 	p.changed = make(chan struct{})
 }
 
-func (p *proxy) setSilent(towardsToo, backToo bool) {
-	p.set(func() { p.silent = [2]bool{towardsToo, backToo} })
+func (p *proxy) setStalled(towards, back bool) {
+	p.update(func() { p.stalled = [2]bool{towards, back} })
 }
 
-func (p *proxy) setDelay(d time.Duration) { p.set(func() { p.delay = d }) }
+func (p *proxy) setDelay(d time.Duration) { p.update(func() { p.delay = d }) }
 
-// resetAll breaks all connections.
+// resetAll resets all connections.
 func (p *proxy) resetAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -134,13 +134,13 @@
 	}
 }
 
-// heal ends all harm.
-func (p *proxy) heal() {
-	p.set(func() { p.silent, p.delay = [2]bool{}, 0 })
+// clearFaults removes the stall and the delay.
+func (p *proxy) clearFaults() {
+	p.update(func() { p.stalled, p.delay = [2]bool{}, 0 })
 }
 
-// reset ends a connection so that its other end sees a reset.
+// reset closes a connection with a TCP reset.
 func reset(conn *net.TCPConn) {
-	_ = conn.SetLinger(0) // fails on closed ones only
+	_ = conn.SetLinger(0) // fails only on closed connections
 	_ = conn.Close()
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -21,30 +21,30 @@
 
 var (
 	firstSeed = flag.Uint64("soak.first", 1, "first seed")
-	seeds     = flag.Int("soak.seeds", 3, "how many seeds to play")
-	routers   = flag.Int("soak.routers", 3, "how many routers run")
-	engines   = flag.Int("soak.engines", 4, "how many engines, each with a lender, run")
-	logs      = flag.String("soak.logs", "", "folder in which the processes' logs are kept")
+	seeds     = flag.Int("soak.seeds", 3, "number of seeds to run")
+	routers   = flag.Int("soak.routers", 3, "number of routers")
+	engines   = flag.Int("soak.engines", 4, "number of engines, each with a lender")
+	logs      = flag.String("soak.logs", "", "directory in which the logs of the processes are kept")
 )
 
 const (
-	// calmBefore and calmAfter are the times without faults.
-	calmBefore = 2 * time.Second
-	calmAfter  = 2 * time.Second
-	// recovery is the time in which every router must serve every kind of request after the last
-	// fault.
-	recovery = 20 * time.Second
-	look     = 100 * time.Millisecond
+	// faultFreeBefore and faultFreeAfter are the periods with load but without faults.
+	faultFreeBefore = 2 * time.Second
+	faultFreeAfter  = 2 * time.Second
+	// recoveryTimeout is the time after the last fault within which every router must serve every route
+	// again.
+	recoveryTimeout = 20 * time.Second
+	pollInterval    = 100 * time.Millisecond
 )
 
-// Routers and lenders run as processes of their own, with callers that go on all the while. Faults
-// come in series and overlap: processes are stopped, killed (one, a lender with a router, all),
-// paused and reloaded; their ways to
-// the store and to upstreams are reset, silenced in both directions or one, and delayed; upstreams
-// fail, lose answers, hang and leave; the store falls silent and loses its history; the
-// configuration changes; upstreams name limits. What callers and upstreams see keeps the promises.
+// Routers and lenders run as separate processes under continuous load while overlapping faults are
+// injected: processes are stopped, killed (one, a lender with a router, all), paused and reloaded;
+// connections to the store and to upstreams are reset, stalled in one direction or both, and delayed;
+// upstreams fail, lose responses, hang, crash and drain; the store stops responding and compacts its
+// history; the configuration changes; upstreams state limits. The guarantees given to callers and
+// upstreams must hold throughout.
 func TestSoak(t *testing.T) {
-	for _, seed := range regressions {
+	for _, seed := range regressionSeeds {
 		t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) { soak(t, seed) })
 	}
 	for i := range *seeds {
@@ -53,8 +53,8 @@
 	}
 }
 
-// regressions are seeds that failed once, each with a line on the cause.
-var regressions = []uint64{}
+// regressionSeeds are seeds that failed before, each with a comment on the cause.
+var regressionSeeds = []uint64{}
 
 func soak(t *testing.T, seed uint64) {
 	dir := t.TempDir()
@@ -62,147 +62,147 @@
 		dir = filepath.Join(*logs, fmt.Sprint("seed-", seed))
 		require.NoError(t, os.MkdirAll(dir, 0o700))
 	}
-	w := newWorld(t, dir)
+	tf := newTestFleet(t, dir)
 	defer func() {
-		for _, p := range w.processes {
-			p.end(syscall.SIGKILL)
+		for _, p := range tf.processes {
+			p.stop(syscall.SIGKILL)
 		}
 	}()
-	w.waitServing()
-	c := &crowd{w: w, seed: seed}
-	ctx, stop := context.WithCancel(context.Background())
+	tf.waitServing()
+	g := &loadGenerator{fleet: tf, seed: seed}
+	ctx, stopLoad := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { c.run(ctx); close(done) }()
-	time.Sleep(calmBefore)
-	faults, planned := w.plan(seed)
-	play(append(faults, w.planLimits(seed)...), t.Logf)
-	w.waitServing()
-	time.Sleep(calmAfter)
-	stop()
+	go func() { g.run(ctx); close(done) }()
+	time.Sleep(faultFreeBefore)
+	faults, planned := tf.planFaults(seed)
+	runFaults(append(faults, tf.planLimits(seed)...), t.Logf)
+	tf.waitServing()
+	time.Sleep(faultFreeAfter)
+	stopLoad()
 	<-done
-	for _, p := range slices.Backward(w.processes) { // routers first
-		p.end(syscall.SIGTERM)
+	for _, p := range slices.Backward(tf.processes) { // routers first
+		p.stop(syscall.SIGTERM)
 	}
-	w.check(c, planned)
+	tf.checkGuarantees(g, planned)
 }
 
-// waitServing waits until every router serves every kind of request by the newest configuration.
-func (w *world) waitServing() {
-	deadline := time.Now().Add(recovery)
-	probe := &crowd{w: w}
+// waitServing waits until every router serves every route of the newest configuration.
+func (tf *testFleet) waitServing() {
+	deadline := time.Now().Add(recoveryTimeout)
+	probe := &loadGenerator{fleet: tf}
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	n := 0
-	for _, p := range w.ofRole("gateway") {
-		for _, route := range append(slices.Clone(kindNames), fmt.Sprint("v", w.version)) {
+	for _, p := range tf.ofRole("gateway") {
+		for _, route := range append(slices.Clone(routeNames), fmt.Sprint("v", tf.version)) {
 			for {
 				n++
-				o := probe.ask(client, p, route, "pilots", fmt.Sprintf("probe-%d-%d", time.Now().UnixNano(), n))
+				o := probe.send(client, p, route, "pilots", fmt.Sprintf("probe-%d-%d", time.Now().UnixNano(), n))
 				if o.status == http.StatusOK {
 					break
 				}
-				require.True(w.t, time.Now().Before(deadline), "%s does not serve /%s/: status %d, %v %s", p.name, route, o.status, o.err, o.body)
-				time.Sleep(look)
+				require.True(tf.t, time.Now().Before(deadline), "%s does not serve /%s/: status %d, %v %s", p.name, route, o.status, o.err, o.body)
+				time.Sleep(pollInterval)
 			}
 		}
 	}
 }
 
-// runs is how often a request ran, on all upstreams together.
-func (w *world) runs(id string) (n int) {
-	for _, u := range w.upstreams {
+// runs returns how often a request ran, on all upstreams together.
+func (tf *testFleet) runs(id string) (n int) {
+	for _, u := range tf.upstreams {
 		n += u.Runs(id)
 	}
 	return n
 }
 
-// check checks what callers and upstreams saw.
-func (w *world) check(c *crowd, planned bool) {
+// checkGuarantees checks the guarantees against the outcomes of callers and the runs on upstreams.
+func (tf *testFleet) checkGuarantees(g *loadGenerator, planned bool) {
 	byStatus := map[int]int{}
-	cut := 0
-	for _, o := range c.outcomes {
+	incomplete := 0
+	for _, o := range g.outcomes {
 		byStatus[o.status]++
-		runs := w.runs(o.id)
-		if o.whole {
-			require.Equal(w.t, o.expected(), o.body, "whole answer to %s", o.id)
+		runs := tf.runs(o.id)
+		if o.complete {
+			require.Equal(tf.t, o.expectedBody(), o.body, "response to %s", o.id)
 		}
 		if o.route == "alert" || o.route == "chat" {
-			require.LessOrEqual(w.t, runs, 1, "%s must not run twice", o.id)
+			require.LessOrEqual(tf.t, runs, 1, "%s ran more than once", o.id)
 		}
 		if notRun(o.status) {
-			require.Zero(w.t, runs, "%s was answered %d: %s", o.id, o.status, o.body)
+			require.Zero(tf.t, runs, "%s ran although it was refused with status %d: %s", o.id, o.status, o.body)
 		}
 		if planned && o.status != http.StatusOK && runs > 0 {
-			w.t.Errorf("planned work cut %s through %s at %s: status %d, %v", o.id, o.router, o.began.Format("05.000"), o.status, o.err)
+			tf.t.Errorf("planned operation interrupted %s through %s at %s: status %d, %v", o.id, o.router, o.startedAt.Format("05.000"), o.status, o.err)
 		}
 		if o.err != nil {
-			cut++
+			incomplete++
 		}
 	}
-	w.t.Logf("%d requests by status: %v, %d without a whole answer", len(c.outcomes), byStatus, cut)
-	w.checkSpend(c)
-	w.checkLimits()
+	tf.t.Logf("%d requests by status: %v, %d without a complete response", len(g.outcomes), byStatus, incomplete)
+	tf.checkSpend(g)
+	tf.checkLimits()
 	for _, service := range []string{"model", "plain"} {
-		w.checkRepeats(service)
+		tf.checkRetries(service)
 	}
 }
 
-// notRun reports whether a status promises that the request did not run.
+// notRun reports whether a status guarantees that the request did not run.
 func notRun(status int) bool {
 	return slices.Contains([]int{http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout,
 		http.StatusMisdirectedRequest, http.StatusPaymentRequired}, status)
 }
 
-// checkSpend compares what callers got with what their teams paid, and with the accounts. All
-// processes have ended.
-func (w *world) checkSpend(c *crowd) {
-	got := map[string]int64{}
-	for _, o := range c.outcomes {
-		if serviceOf(o.route) == "model" && w.runs(o.id) > 0 {
-			got[o.team] += promptSize + o.events*tokensPerEvent
+// checkSpend compares the tokens that callers received with the prepaid tokens of their teams and with
+// the accounts. All processes must have ended.
+func (tf *testFleet) checkSpend(g *loadGenerator) {
+	received := map[string]int64{}
+	for _, o := range g.outcomes {
+		if serviceOf(o.route) == "model" && tf.runs(o.id) > 0 {
+			received[o.team] += promptSize + o.events*tokensPerEvent
 		}
 	}
-	s := &platform.Store{Address: w.storeAddress, Client: http.DefaultClient, Timeout: callerDeadline}
-	book := account.Book{Store: s, Layout: account.Layout{Prefix: prepaid.PagePrefix, Pages: settings.DefaultGateway().Budgets.Pages}}
-	for team, paid := range map[string]int64{"pilots": pilotsPrepaid, "skippers": skippersPrepaid} {
-		require.LessOrEqual(w.t, got[team], paid, "%s got more than it paid for", team)
-		a, err := book.Get(context.Background(), team)
-		require.NoError(w.t, err)
-		require.NoError(w.t, a.Check())
-		spent := paid - a.Free()
-		require.GreaterOrEqual(w.t, spent, got[team], "%s is billed less than it got", team)
-		w.t.Logf("%s: got %d tokens, spent or lost %d of %d", team, got[team], spent, paid)
+	s := &platform.Store{Address: tf.storeAddress, Client: http.DefaultClient, Timeout: callerDeadline}
+	accounts := account.Book{Store: s, Layout: account.Layout{Prefix: prepaid.PagePrefix, Pages: settings.DefaultGateway().Budgets.Pages}}
+	for team, prepaidTokens := range map[string]int64{"pilots": pilotsPrepaid, "skippers": skippersPrepaid} {
+		require.LessOrEqual(tf.t, received[team], prepaidTokens, "%s received more tokens than it prepaid", team)
+		a, err := accounts.Get(context.Background(), team)
+		require.NoError(tf.t, err)
+		require.NoError(tf.t, a.Check())
+		spent := prepaidTokens - a.Free()
+		require.GreaterOrEqual(tf.t, spent, received[team], "%s is billed less than it received", team)
+		tf.t.Logf("%s: received %d tokens, spent or lost %d of %d", team, received[team], spent, prepaidTokens)
 	}
 }
 
-// checkRepeats checks the bound on repeats in each window that begins with one.
-func (w *world) checkRepeats(service string) {
+// checkRetries checks the bound on retries in every window that begins with a retry.
+func (tf *testFleet) checkRetries(service string) {
 	seen := map[string]bool{}
-	var repeats, requests []time.Time
-	slices.SortFunc(w.arrivals, func(a, b arrival) int { return a.at.Compare(b.at) })
-	for _, a := range w.arrivals {
-		if a.service == service && seen[a.id] {
-			repeats = append(repeats, a.at)
+	var retries, requests []time.Time
+	slices.SortFunc(tf.received, func(a, b requestRecord) int { return a.at.Compare(b.at) })
+	for _, r := range tf.received {
+		if r.service == service && seen[r.id] {
+			retries = append(retries, r.at)
 		}
-		seen[a.id] = true
+		seen[r.id] = true
 	}
-	for _, a := range w.asked {
-		if a.service == service {
-			requests = append(requests, a.at)
+	for _, r := range tf.sent {
+		if r.service == service {
+			requests = append(requests, r.at)
 		}
 	}
-	in := func(list []time.Time, begin time.Time) (n float64) {
-		for _, at := range list {
+	count := func(times []time.Time, begin time.Time) (n float64) {
+		for _, at := range times {
 			if !at.Before(begin) && at.Before(begin.Add(retryWindow)) {
 				n++
 			}
 		}
 		return n
 	}
-	most := 0.0
-	for _, begin := range repeats {
-		asked := max(in(requests, begin), in(requests, begin.Add(-retryWindow)), in(requests, begin.Add(-retryWindow/2)))
-		most = max(most, in(repeats, begin))
-		require.LessOrEqual(w.t, in(repeats, begin), retryRatio*asked+retryExtra, "%s, for %v requests", service, asked)
+	highest := 0.0
+	for _, begin := range retries {
+		sentCount := max(count(requests, begin), count(requests, begin.Add(-retryWindow)), count(requests, begin.Add(-retryWindow/2)))
+		highest = max(highest, count(retries, begin))
+		require.LessOrEqual(tf.t, count(retries, begin), retryRatio*sentCount+retryExtra, "retries of %s, for %v requests", service, sentCount)
 	}
-	w.t.Logf("%s: %v repeats at most in %s", service, most, retryWindow)
+	tf.t.Logf("%s: at most %v retries in %s", service, highest, retryWindow)
 }
