--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -1,6 +1,5 @@
-// Package scenario_test runs scripted scenarios through separate processes on
-// loopback: the daemons, the operators' commands and the stand-ins, as a fleet has
-// them.
+// Package scenario_test runs scripted scenarios with separate processes on loopback:
+// the daemons, the operators' commands and the stand-ins of a fleet.
 package scenario_test
 
 import (
@@ -33,7 +32,7 @@
 	})
 }
 
-// runMain is the main function of a binary.
+// runMain is the main function of a binary with the registered subcommands.
 func runMain(register func(*subcommands.Commander)) {
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer cancel()
@@ -57,12 +56,13 @@
 	})
 }
 
-// ports are the names of the free addresses that each script gets.
-var ports = []string{"STORE", "ENGINE", "SERVICE", "CALLERS", "CALLERS2", "LINK1", "LINK2", "LINK3", "LINK4",
+// addressVariables are the script variables that setup sets to free addresses.
+var addressVariables = []string{"STORE", "ENGINE", "SERVICE", "CALLERS", "CALLERS2", "LINK1", "LINK2", "LINK3", "LINK4",
 	"ADMIN1", "ADMIN2", "ADMIN3", "ADMIN4", "WORK1", "WORK2"}
 
-// Ports are taken in turn from a range below the one from which the system gives ports
-// to connections: a port of that range could be given away before its process opens it.
+// Ports are assigned in sequence from below the range that the system assigns to
+// outgoing connections. A port within that range could be taken before its process
+// listens on it.
 const (
 	firstPort = 15000
 	lastPort  = 32000
@@ -73,7 +73,7 @@
 
 func setup(env *testscript.Env) error {
 	nextPort.CompareAndSwap(0, firstPort+int64(os.Getpid())%((lastPort-firstPort)/portStep)*portStep)
-	for _, name := range ports {
+	for _, name := range addressVariables {
 		addr, err := freeAddr()
 		if err != nil {
 			return err
@@ -96,7 +96,7 @@
 	}
 }
 
-// expand FILE... replaces $NAME in files by the script's variables.
+// expand FILE... replaces $NAME in the files by the values of the script's variables.
 func expand(ts *testscript.TestScript, _ bool, args []string) {
 	for _, name := range args {
 		path := ts.MkAbs(name)
@@ -104,23 +104,24 @@
 	}
 }
 
-// hangup sends SIGHUP to every process of the script that runs in the background.
+// hangup sends SIGHUP to every background process of the script.
 func hangup(ts *testscript.TestScript, _ bool, _ []string) {
 	for _, c := range ts.BackgroundCmds() {
 		ts.Check(c.Process.Signal(syscall.SIGHUP))
 	}
 }
 
-// awaitTimeout bounds the start of a process.
+// awaitTimeout bounds each await, for example the start of a process.
 const awaitTimeout = 20 * time.Second
 
-// await URL PATTERN waits until a GET answers 200 with a match in its body.
+// await URL PATTERN sends GET requests until one returns status 200 and a body that
+// matches the pattern.
 func await(ts *testscript.TestScript, _ bool, args []string) {
 	pattern, err := regexp.Compile(args[1])
 	ts.Check(err)
 	deadline := time.Now().Add(awaitTimeout)
-	tick := time.NewTicker(10 * time.Millisecond)
-	defer tick.Stop()
+	ticker := time.NewTicker(10 * time.Millisecond)
+	defer ticker.Stop()
 	last := ""
 	for time.Now().Before(deadline) {
 		resp, err := http.Get(args[0])
@@ -132,14 +133,14 @@
 				return
 			}
 		}
-		<-tick.C
+		<-ticker.C
 	}
-	ts.Fatalf("%s never had %q; last %.2000s", args[0], args[1], last)
+	ts.Fatalf("%s: no response matched %q; last response: %.2000s", args[0], args[1], last)
 }
 
-// request [-H 'NAME: VALUE']... [-f FILE] METHOD URL [BODY] sends a request, with a file
-// or the text as its body; its status, headers and body become the standard output. A
-// body "@N" is N bytes long.
+// request [-H 'NAME: VALUE']... [-f FILE] METHOD URL [BODY] sends a request whose body
+// is a file or the given text, and writes the status, headers and body of the response
+// to standard output. A body "@N" is N bytes long.
 func request(ts *testscript.TestScript, _ bool, args []string) {
 	header := http.Header{}
 	for len(args) > 1 && args[0] == "-H" {
