--- a/capacity/slopes_test.go
+++ b/capacity/slopes_test.go
@@ -1,5 +1,5 @@
-// Package capacity measures the slopes from which docs/CAPACITY.md works out what a
-// fleet costs: how time and memory of each part grow with its size.
+// Package capacity measures how time and memory of each component grow with its size.
+// docs/CAPACITY.md calculates the cost of a fleet from these slopes.
 package capacity
 
 import (
@@ -34,42 +34,43 @@
 	onlySlope   = flag.String("capacity.only", "", "with capacity.print: only slopes whose names contain this")
 )
 
-// slope is one part's cost as it grows.
+// slope is the measured cost of one component at several sizes.
 type slope struct {
 	name  string
-	per   string // what the sizes count
+	unit  string // what sizes count
 	sizes []int
-	// cost returns the time of one operation at a size, and the bytes held.
-	cost func(t testing.TB, size int) (ns, bytes float64)
+	// measure returns the time of one operation at a size in nanoseconds, and the bytes that it
+	// takes in memory, in the store or on the wire.
+	measure func(t testing.TB, size int) (ns, bytes float64)
 }
 
 func TestSlopes(t *testing.T) {
 	if !*printSlopes {
 		return
 	}
-	for _, s := range []slope{reserve(), pageSync(), pageBytes(), ledgerAppend(), witnessRun(), outboxHold(),
-		configuration(), choose(), rank(), linkCall(), meter()} {
+	for _, s := range []slope{reserveAndSettle(), pageSync(), pageBytes(), ledgerAppend(), witnessRun(), outboxMemory(),
+		applyConfiguration(), chooseUpstream(), rankRouters(), linkCall(), meterStream()} {
 		if strings.Contains(s.name, *onlySlope) {
-			report(t, s)
+			printSlope(t, s)
 		}
 	}
 }
 
-// report prints the raw figures and the least-squares line through them.
-func report(t testing.TB, s slope) {
+// printSlope prints the measurements and their least-squares line.
+func printSlope(t testing.TB, s slope) {
 	var xs, ns, bs []float64
 	for _, size := range s.sizes {
-		n, b := s.cost(t, size)
+		n, b := s.measure(t, size)
 		xs, ns, bs = append(xs, float64(size)), append(ns, n), append(bs, b)
 	}
-	nFixed, nSlope := fit(xs, ns)
-	bFixed, bSlope := fit(xs, bs)
-	fmt.Printf("%-16s per %-22s sizes %v\n", s.name, s.per, s.sizes)
+	nFixed, nSlope := linearFit(xs, ns)
+	bFixed, bSlope := linearFit(xs, bs)
+	fmt.Printf("%-16s per %-22s sizes %v\n", s.name, s.unit, s.sizes)
 	fmt.Printf("  time  ns %.0f  = %.0f + %.2f each\n", ns, nFixed, nSlope)
 	fmt.Printf("  bytes    %.0f  = %.0f + %.1f each\n", bs, bFixed, bSlope)
 }
 
-func fit(xs, ys []float64) (fixed, slope float64) {
+func linearFit(xs, ys []float64) (fixed, slope float64) {
 	var mx, my, sxy, sxx float64
 	for i := range xs {
 		mx += xs[i] / float64(len(xs))
@@ -83,8 +84,8 @@
 	return my - slope*mx, slope
 }
 
-// timed returns the time of one call of do.
-func timed(do func()) float64 {
+// timePerCall returns the average time of one call of do in nanoseconds.
+func timePerCall(do func()) float64 {
 	r := testing.Benchmark(func(b *testing.B) {
 		for b.Loop() {
 			do()
@@ -93,31 +94,31 @@
 	return float64(r.T.Nanoseconds()) / float64(r.N)
 }
 
-// held returns the heap that make keeps alive.
-func held(make func() any) (any, float64) {
+// retainedHeap returns the value that build returns and the heap bytes that it retains.
+func retainedHeap(build func() any) (any, float64) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	kept := make()
+	value := build()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	return kept, float64(after.HeapAlloc) - float64(before.HeapAlloc)
+	return value, float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
 func budgetName(i int) string { return fmt.Sprintf("team-%03d/budget-%06d", i%480, i) }
 
 var layout = account.Layout{Prefix: "budget/", Pages: 1}
 
-// reserve is a reservation and its settlement in a holder with many budgets.
-func reserve() slope {
-	return slope{name: "reserve+settle", per: "budget held", sizes: []int{250, 1000, 2000, 5000},
-		cost: func(t testing.TB, size int) (float64, float64) {
+// reserveAndSettle measures a reservation and its settlement in a holder with many budgets.
+func reserveAndSettle() slope {
+	return slope{name: "reserve+settle", unit: "budget held", sizes: []int{250, 1000, 2000, 5000},
+		measure: func(t testing.TB, size int) (float64, float64) {
 			s := memstore.New()
 			putPage(t, s, size, 1)
-			kept, bytes := held(func() any { return holder(t, s) })
-			h := kept.(*grant.Holder)
+			retained, bytes := retainedHeap(func() any { return newHolder(t, s) })
+			h := retained.(*grant.Holder)
 			i, now := 0, time.Unix(0, 0)
-			ns := timed(func() {
+			ns := timePerCall(func() {
 				i++
 				r, err := h.Reserve(now, budgetName(i%size), 100)
 				if err != nil {
@@ -125,12 +126,12 @@
 				}
 				h.Settle(now, r, 0)
 			})
-			runtime.KeepAlive(kept)
+			runtime.KeepAlive(retained)
 			return ns, bytes
 		}}
 }
 
-// putPage writes a page of budgets, each with rows of other holders.
+// putPage writes a page of budgets, each with rows of several holders.
 func putPage(t testing.TB, s *memstore.Store, budgets, rows int) {
 	p := &account.Page{Accounts: map[string]*account.Account{}}
 	for i := range budgets {
@@ -152,7 +153,7 @@
 	t.Fatalf("%d budgets do not fit one page", budgets)
 }
 
-func holder(t testing.TB, s *memstore.Store) *grant.Holder {
+func newHolder(t testing.TB, s *memstore.Store) *grant.Holder {
 	h := grant.NewHolder("bergen-router-1#1", layout, grant.FavourAvailability())
 	g := &grant.StoreGranter{Holder: h, Store: s, Layout: layout, Timing: grant.DefaultTiming(), Now: time.Now}
 	if err := g.Sync(context.Background(), layout.KeyOf(0)); err != nil {
@@ -161,15 +162,15 @@
 	return h
 }
 
-// pageSync is one look at a page without a write.
+// pageSync measures a sync of a page that needs no write.
 func pageSync() slope {
-	return slope{name: "page sync", per: "budget in the page", sizes: []int{25, 50, 100, 200, 400},
-		cost: func(t testing.TB, size int) (float64, float64) {
+	return slope{name: "page sync", unit: "budget in the page", sizes: []int{25, 50, 100, 200, 400},
+		measure: func(t testing.TB, size int) (float64, float64) {
 			s := memstore.New()
 			putPage(t, s, size, 2)
 			h := grant.NewHolder("bergen-router-1#1", layout, grant.FavourAvailability())
 			g := &grant.StoreGranter{Holder: h, Store: s, Layout: layout, Timing: grant.DefaultTiming(), Now: time.Now}
-			ns := timed(func() {
+			ns := timePerCall(func() {
 				if err := g.Sync(context.Background(), layout.KeyOf(0)); err != nil {
 					t.Fatal(err)
 				}
@@ -179,15 +180,15 @@
 		}}
 }
 
-// pageBytes is the size of one budget in a page, by the number of its holders.
+// pageBytes measures the size and the decoding of one budget in a page, by the number of its rows.
 func pageBytes() slope {
-	return slope{name: "account bytes", per: "row", sizes: []int{0, 3, 11, 33},
-		cost: func(t testing.TB, size int) (float64, float64) {
+	return slope{name: "account bytes", unit: "row", sizes: []int{0, 3, 11, 33},
+		measure: func(t testing.TB, size int) (float64, float64) {
 			s := memstore.New()
 			const budgets = 100
 			putPage(t, s, budgets, size)
 			item, _ := s.Get(context.Background(), layout.KeyOf(0))
-			ns := timed(func() {
+			ns := timePerCall(func() {
 				if _, err := account.Decode(item.Value); err != nil {
 					t.Fatal(err)
 				}
@@ -196,26 +197,26 @@
 		}}
 }
 
-// shardBudgets is how many budgets one of 64 shards has at the size of the page.
-const shardBudgets = 200_000 / 64
+// budgetsPerShard is the number of budgets of one of 64 shards in a fleet with 200,000 budgets.
+const budgetsPerShard = 200_000 / 64
 
-func charge(i int) ledger.Charge {
+func newCharge(i int) ledger.Charge {
 	return ledger.Charge{ID: fmt.Sprintf("team-%03d/KEY%023d", i%480, i), Team: fmt.Sprintf("team-%03d", i%480),
-		Budget: budgetName(i % shardBudgets), Service: "assistant", Tokens: 321, Floor: 86400, Unix: 1_790_000_000}
+		Budget: budgetName(i % budgetsPerShard), Service: "assistant", Tokens: 321, Floor: 86400, Unix: 1_790_000_000}
 }
 
-// ledgerAppend is one group commit.
+// ledgerAppend measures one group commit.
 func ledgerAppend() slope {
-	return slope{name: "ledger append", per: "charge", sizes: []int{10, 50, 200, 800},
-		cost: func(t testing.TB, size int) (float64, float64) {
+	return slope{name: "ledger append", unit: "charge", sizes: []int{10, 50, 200, 800},
+		measure: func(t testing.TB, size int) (float64, float64) {
 			s := memstore.New()
 			shard := ledger.OpenShard(s, ledger.Layout{Prefix: "l/", Shards: 1}, 0, "r#1", 1)
 			n := 0
-			ns := timed(func() {
+			ns := timePerCall(func() {
 				batch := make([]ledger.Charge, size)
 				for i := range batch {
 					n++
-					batch[i] = charge(n)
+					batch[i] = newCharge(n)
 				}
 				if err := shard.Append(context.Background(), batch); err != nil {
 					t.Fatal(err)
@@ -224,17 +225,17 @@
 			before := s.Calls()
 			var batch []ledger.Charge
 			for i := range size {
-				batch = append(batch, charge(1_000_000_000+i))
+				batch = append(batch, newCharge(1_000_000_000+i))
 			}
 			require.NoError(t, shard.Append(context.Background(), batch))
 			return ns, float64(s.Calls().WrittenBytes - before.WrittenBytes)
 		}}
 }
 
-// witnessRun is the evidence of one run, begun, ended and kept.
+// witnessRun measures the evidence of one run that begins, ends and is retained.
 func witnessRun() slope {
-	return slope{name: "witness", per: "run kept", sizes: []int{1000, 4000, 16000, 32000},
-		cost: func(t testing.TB, size int) (float64, float64) {
+	return slope{name: "witness", unit: "run kept", sizes: []int{1000, 4000, 16000, 32000},
+		measure: func(t testing.TB, size int) (float64, float64) {
 			n := 0
 			begin := func(w *witness.Witness) {
 				n++
@@ -245,57 +246,57 @@
 				}
 				w.End(id, 300)
 			}
-			kept, bytes := held(func() any {
+			retained, bytes := retainedHeap(func() any {
 				w := witness.New(1 << 30)
 				for range size {
 					begin(w)
 				}
 				return w
 			})
-			w := kept.(*witness.Witness)
-			ns := timed(func() { begin(w) })
-			runtime.KeepAlive(kept)
+			w := retained.(*witness.Witness)
+			ns := timePerCall(func() { begin(w) })
+			runtime.KeepAlive(retained)
 			return ns, bytes
 		}}
 }
 
-// outboxHold is the memory of charges that wait for the ledger.
-func outboxHold() slope {
-	return slope{name: "outbox", per: "charge kept", sizes: []int{1000, 4000, 16000, 32000},
-		cost: func(t testing.TB, size int) (float64, float64) {
+// outboxMemory measures charges that wait for the ledger.
+func outboxMemory() slope {
+	return slope{name: "outbox", unit: "charge kept", sizes: []int{1000, 4000, 16000, 32000},
+		measure: func(t testing.TB, size int) (float64, float64) {
 			n := 0
 			put := func(o *ledger.Outbox) {
 				n++
 				if err := o.Admit(); err != nil {
 					t.Fatal(err)
 				}
-				o.Put(charge(n))
+				o.Put(newCharge(n))
 			}
-			kept, bytes := held(func() any {
+			retained, bytes := retainedHeap(func() any {
 				o := ledger.NewOutbox(ledger.Layout{Shards: 64}, nil, 1<<30)
 				for range size {
 					put(o)
 				}
 				return o
 			})
-			o := kept.(*ledger.Outbox)
-			ns := timed(func() { put(o) })
-			runtime.KeepAlive(kept)
+			o := retained.(*ledger.Outbox)
+			ns := timePerCall(func() { put(o) })
+			runtime.KeepAlive(retained)
 			return ns, bytes
 		}}
 }
 
-// configuration is a document taken into force.
-func configuration() slope {
-	return slope{name: "configuration", per: "team", sizes: []int{60, 120, 240, 480},
-		cost: func(t testing.TB, size int) (float64, float64) {
+// applyConfiguration measures encoding, decoding, checking and indexing a configuration document.
+func applyConfiguration() slope {
+	return slope{name: "configuration", unit: "team", sizes: []int{60, 120, 240, 480},
+		measure: func(t testing.TB, size int) (float64, float64) {
 			d := &fleet.Document{Preset: "p", Presets: []*fleet.Preset{{Name: "p", Default: "normal"}},
 				Services: []*fleet.Service{{Name: "s", Kind: fleet.KindEngine, Models: []string{"m"}, Timeout: fleet.DefaultTimeout}}}
 			for i := range size {
 				d.Teams = append(d.Teams, &team.Team{Name: fmt.Sprintf("team-%03d", i), Budgets: map[string]string{team.DefaultBudget: budgetName(i)},
 					Keys: []string{team.HashKey(fmt.Sprint("a", i)), team.HashKey(fmt.Sprint("b", i))}})
 			}
-			ns := timed(func() {
+			ns := timePerCall(func() {
 				b, err := json.Marshal(fleet.Stored{Generation: 1, Document: d})
 				if err != nil {
 					t.Fatal(err)
@@ -311,7 +312,7 @@
 		}}
 }
 
-func manyVMs(n int) []vm.VM {
+func makeVMs(n int) []vm.VM {
 	var list []vm.VM
 	for i := range n {
 		list = append(list, vm.VM{ID: fmt.Sprintf("dc-%02d-engine-%04d", i%11, i), Role: vm.Agent, State: vm.Live,
@@ -320,47 +321,47 @@
 	return list
 }
 
-// choose is the choice of an upstream.
-func choose() slope {
-	return slope{name: "choose upstream", per: "agent of the service", sizes: []int{12, 50, 200, 400},
-		cost: func(t testing.TB, size int) (float64, float64) {
-			kept, bytes := held(func() any {
+// chooseUpstream measures the choice of an upstream.
+func chooseUpstream() slope {
+	return slope{name: "choose upstream", unit: "agent of the service", sizes: []int{12, 50, 200, 400},
+		measure: func(t testing.TB, size int) (float64, float64) {
+			retained, bytes := retainedHeap(func() any {
 				v := vm.NewView()
-				v.Set(manyVMs(size))
+				v.Set(makeVMs(size))
 				return v
 			})
-			v := kept.(*vm.View)
+			v := retained.(*vm.View)
 			c := upstream.NewChooser()
 			i := uint64(0)
-			ns := timed(func() {
+			ns := timePerCall(func() {
 				i++
 				_, done, ok := c.Pick(v.Agents("assistant"), i, nil)
 				if !ok {
-					t.Fatal("none")
+					t.Fatal("no upstream was chosen")
 				}
 				done(true)
 			})
-			runtime.KeepAlive(kept)
+			runtime.KeepAlive(retained)
 			return ns, bytes
 		}}
 }
 
-// rank is the order of routers for a page or a shard.
-func rank() slope {
-	return slope{name: "rendezvous rank", per: "router", sizes: []int{6, 30, 100, 330},
-		cost: func(_ testing.TB, size int) (float64, float64) {
+// rankRouters measures the rendezvous ranking of routers for a page or a shard.
+func rankRouters() slope {
+	return slope{name: "rendezvous rank", unit: "router", sizes: []int{6, 30, 100, 330},
+		measure: func(_ testing.TB, size int) (float64, float64) {
 			var ids []string
 			for i := range size {
 				ids = append(ids, fmt.Sprintf("dc-%02d-router-%03d", i%11, i))
 			}
-			return timed(func() { rendezvous.Rank("ledger/17", ids) }), 0
+			return timePerCall(func() { rendezvous.Rank("ledger/17", ids) }), 0
 		}}
 }
 
-// linkCall is one control message there and back on loopback, both ends here.
+// linkCall measures one round trip of a control message on loopback, including both ends.
 func linkCall() slope {
-	return slope{name: "link call", per: "charge carried", sizes: []int{0, 5, 20, 80},
-		cost: func(t testing.TB, size int) (float64, float64) {
+	return slope{name: "link call", unit: "charge carried", sizes: []int{0, 5, 20, 80},
+		measure: func(t testing.TB, size int) (float64, float64) {
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -373,9 +374,9 @@
 			defer pool.Close()
 			in := link.AppendRequest{}
 			for i := range size {
-				in.Charges = append(in.Charges, charge(i))
+				in.Charges = append(in.Charges, newCharge(i))
 			}
-			ns := timed(func() {
+			ns := timePerCall(func() {
 				var out link.AppendReply
 				if err := pool.Call(ctx, ln.Addr().String(), link.MethodAppend, in, &out); err != nil {
 					t.Fatal(err)
@@ -386,12 +387,12 @@
 		}}
 }
 
-// meter is the agent's look at one streamed token.
-func meter() slope {
-	return slope{name: "meter", per: "line of a stream", sizes: []int{1, 10, 100, 1000},
-		cost: func(_ testing.TB, size int) (float64, float64) {
+// meterStream measures how the agent meters the lines of a stream.
+func meterStream() slope {
+	return slope{name: "meter", unit: "line of a stream", sizes: []int{1, 10, 100, 1000},
+		measure: func(_ testing.TB, size int) (float64, float64) {
 			line := []byte(`data: {"id":"x","object":"chat.completion.chunk","model":"m","choices":[{"index":0,"delta":{"content":"w1 "},"finish_reason":null}]}`)
-			return timed(func() {
+			return timePerCall(func() {
 				var m openai.Meter
 				for range size {
 					m.Line(line)
