--- a/localfleet/caller.go
+++ b/localfleet/caller.go
@@ -12,68 +12,68 @@
 	"github.com/arbutusmill/arbutusmill/platform/standin"
 )
 
-// host is where all routes of the local fleet are.
+// host is the host name of all routes of the local fleet.
 const host = "tides.example"
 
-// question is what a caller asks a router.
-type question struct {
+// request is a caller's request to a router.
+type request struct {
 	id, path, key string
-	// prompt is the tokens of a prompt, 0 for plain calls; topic names what it is about. Prompts of
-	// one topic prefer the same engine.
-	prompt int64
-	topic  string
+	// promptTokens is the number of prompt tokens, 0 for plain requests. Prompts of one topic share
+	// all but uniqueTokens of them and prefer the same engine.
+	promptTokens int64
+	topic        string
 }
 
-// answer is what the caller got.
-type answer struct {
+// response is the response as the caller received it.
+type response struct {
 	status int
 	body   string
 	events int64
-	// first is the time to the first event or the whole answer.
-	first time.Duration
+	// latency is the time to the first event or to a plain response.
+	latency time.Duration
 }
 
-// tokens is what the team is charged for the answer to a prompt.
-func (a answer) tokens(q question) int64 { return q.prompt + a.events*tokensPerEvent }
+// chargedTokens returns the tokens that the team is charged for the response to a prompt.
+func (r response) chargedTokens(req request) int64 { return req.promptTokens + r.events*tokensPerEvent }
 
-// callerDeadline is how long a caller waits.
+// callerDeadline is the deadline of a caller's request.
 const callerDeadline = 5 * time.Second
 
-// ask sends a question to a router and reads the whole answer.
-func (v *vm) ask(ctx context.Context, q question) (answer, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+v.callers+q.path, strings.NewReader("tonight?"))
+// send sends a request to a router and reads the complete response.
+func (v *vm) send(ctx context.Context, r request) (response, error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+v.callers+r.path, strings.NewReader("tonight?"))
 	if err != nil {
-		return answer{}, Error.Wrap(err)
+		return response{}, Error.Wrap(err)
 	}
 	req.Host = host
-	req.Header.Set(standin.HeaderID, q.id)
-	req.Header.Set(standin.HeaderKey, q.key)
+	req.Header.Set(standin.HeaderID, r.id)
+	req.Header.Set(standin.HeaderKey, r.key)
 	req.Header.Set(standin.HeaderDeadline, fmt.Sprint(callerDeadline.Milliseconds()))
-	if q.prompt > 0 {
-		req.Header.Set(standin.HeaderUsage, fmt.Sprintf("%d,%d", q.prompt, mostOutput))
-		req.Header.Set(standin.HeaderParts, fmt.Sprintf("%x:%d,%x:%d", q.topic, q.prompt-ownTokens, q.id, ownTokens))
+	if r.promptTokens > 0 {
+		req.Header.Set(standin.HeaderUsage, fmt.Sprintf("%d,%d", r.promptTokens, maxOutput))
+		req.Header.Set(standin.HeaderParts, fmt.Sprintf("%x:%d,%x:%d", r.topic, r.promptTokens-uniqueTokens, r.id, uniqueTokens))
 	}
-	began := time.Now()
+	start := time.Now()
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return answer{}, Error.Wrap(err)
+		return response{}, Error.Wrap(err)
 	}
 	defer resp.Body.Close()
-	return readAnswer(resp, began)
+	return readResponse(resp, start)
 }
 
-func readAnswer(resp *http.Response, began time.Time) (answer, error) {
-	a := answer{status: resp.StatusCode, first: time.Since(began)}
+func readResponse(resp *http.Response, start time.Time) (response, error) {
+	r := response{status: resp.StatusCode, latency: time.Since(start)}
 	if resp.Header.Get("Content-Type") != "text/event-stream" {
 		body, err := io.ReadAll(resp.Body)
-		a.body = string(body)
-		return a, Error.Wrap(err)
+		r.body = string(body)
+		return r, Error.Wrap(err)
 	}
 	lines := bufio.NewScanner(resp.Body)
 	for lines.Scan() {
 		if strings.HasPrefix(lines.Text(), "data:") {
-			a.events++
+			r.events++
 		}
 	}
-	return a, Error.Wrap(lines.Err())
+	return r, Error.Wrap(lines.Err())
 }
--- a/localfleet/fleet.go
+++ b/localfleet/fleet.go
@@ -1,6 +1,6 @@
-// Package localfleet runs a whole fleet in one process, on loopback: routers and lenders in
-// several data centres, as the daemons run them, on stand-ins of the operators' platform and of the
-// upstreams. All of them talk over TCP.
+// Package localfleet runs a complete fleet in one process, on loopback: routers and lenders of
+// several data centres, as the daemons run them, with stand-ins of the operators' platform and of the
+// upstreams. They communicate over TCP.
 package localfleet
 
 import (
@@ -32,33 +32,34 @@
 
 // Services of a local fleet.
 const (
-	// Assistant is the service of the engines, one a data centre.
+	// Assistant is the service of the engines, with one engine per data centre.
 	Assistant = "assistant"
 	// Alerts is the plain service, with one upstream in the first two data centres.
 	Alerts = "alerts"
 )
 
 const (
-	// engineSlots is how many requests an engine runs at once.
+	// engineSlots is the number of requests that an engine runs concurrently.
 	engineSlots = 16
-	// eventPause is the time between two events of a stream, events how many it has.
-	eventPause = 5 * time.Millisecond
-	events     = 12
-	// plainTime is what a plain answer takes.
-	plainTime = 10 * time.Millisecond
-	// readyWait bounds the start of the fleet, readyPause is the pause between two looks.
-	readyWait  = 10 * time.Second
-	readyPause = 20 * time.Millisecond
+	// eventInterval is the time between two events of a stream, events their number.
+	eventInterval = 5 * time.Millisecond
+	events        = 12
+	// plainDuration is the processing time of a plain request.
+	plainDuration = 10 * time.Millisecond
+	// readyTimeout bounds the start of the fleet, readyInterval is the time between two checks.
+	readyTimeout  = 10 * time.Second
+	readyInterval = 20 * time.Millisecond
 	// stopGrace bounds a planned stop.
 	stopGrace = 3 * time.Second
-	// storeTimeout bounds an operator's call of the store.
+	// storeTimeout bounds an operator's call to the store, and the reading of request headers by the
+	// stand-ins.
 	storeTimeout = 5 * time.Second
 )
 
 // Fleet is a running local fleet.
 type Fleet struct {
 	Store *standin.Store
-	// StoreAddress is where the store's stand-in answers (host:port).
+	// StoreAddress is the address of the store's stand-in (host:port).
 	StoreAddress string
 	Engines      []*standin.Upstream
 	AlertServers []*standin.Upstream
@@ -66,42 +67,42 @@
 	regions map[string]string
 	log     io.Writer
 	ctx     context.Context
-	end     context.CancelFunc
+	cancel  context.CancelFunc
 	servers sync.WaitGroup
 	vms     []*vm
-	// killed tell when the remains of killed lives have ended.
-	killed []chan error
+	// killedDone receive the results of killed incarnations when their goroutines have ended.
+	killedDone []chan error
 
-	mu       sync.Mutex
-	reserved map[string]net.Listener
+	mu            sync.Mutex
+	reservedPorts map[string]net.Listener
 }
 
-// vm is one machine with the process on it.
+// vm is one VM with the process on it.
 type vm struct {
 	name string
-	// callers is where a router answers callers, "" on a lender's; admin where the process tells
-	// operators of itself.
+	// callers is the address of a router's listener for callers, "" for a lender; ready that of its
+	// readiness listener, "" for a lender; admin that of the process's admin listener.
 	callers, ready, admin string
-	// start makes the process of a new life, and names that.
-	start func(hosted.Network) (p process, life string)
-	// life is the one that runs now.
-	life string
-
-	link *link
-	stop context.CancelFunc
-	done chan error
+	// start creates the process of a new incarnation and returns the incarnation's name.
+	start func(hosted.Network) (p process, incarnation string)
+	// incarnation is the name of the running incarnation.
+	incarnation string
+
+	network *processNetwork
+	stop    context.CancelFunc
+	done    chan error
 }
 
 // process is a router or a lender.
 type process interface{ Run(context.Context) error }
 
-// Start starts a fleet with one router, one engine and one lender in each data centre. It has no
-// configuration yet, and routers take callers once they have one; see WaitReady. log takes the
-// processes' lines.
+// Start starts a fleet with one router, one engine and one lender in each data centre. The fleet has
+// no configuration yet; routers accept callers once they have one, see WaitReady. log receives the log
+// lines of the processes.
 func Start(ctx context.Context, datacentres []string, log io.Writer) (*Fleet, error) {
-	ctx, end := context.WithCancel(ctx)
-	f := &Fleet{Store: standin.NewStore(), regions: map[string]string{}, log: &lockedWriter{w: log}, ctx: ctx, end: end,
-		reserved: map[string]net.Listener{}}
+	ctx, cancel := context.WithCancel(ctx)
+	f := &Fleet{Store: standin.NewStore(), regions: map[string]string{}, log: &lockedWriter{w: log}, ctx: ctx, cancel: cancel,
+		reservedPorts: map[string]net.Listener{}}
 	if err := f.startAll(datacentres); err != nil {
 		return nil, errors.Join(err, f.Stop())
 	}
@@ -114,7 +115,7 @@
 	}
 	for i, dc := range datacentres {
 		f.regions[dc] = "vestland"
-		engine, err := f.startUpstream(dc, Assistant, fmt.Sprint("engine-", i+1), events, eventPause)
+		engine, err := f.startUpstream(dc, Assistant, fmt.Sprint("engine-", i+1), events, eventInterval)
 		if err != nil {
 			return err
 		}
@@ -122,7 +123,7 @@
 		f.vms = append(f.vms, f.lenderVM(dc, engine.address))
 	}
 	for i, dc := range datacentres[:min(2, len(datacentres))] {
-		alerts, err := f.startUpstream(dc, Alerts, fmt.Sprint("alerts-", i+1), 0, plainTime)
+		alerts, err := f.startUpstream(dc, Alerts, fmt.Sprint("alerts-", i+1), 0, plainDuration)
 		if err != nil {
 			return err
 		}
@@ -132,18 +133,18 @@
 		f.vms = append(f.vms, f.routerVM(dc))
 	}
 	for _, v := range f.vms {
-		f.run(v)
+		f.startProcess(v)
 	}
 	return nil
 }
 
-// servedUpstream is a stand-in of an upstream and where it answers.
+// servedUpstream is a stand-in of an upstream with its address.
 type servedUpstream struct {
 	*standin.Upstream
 	address string
 }
 
-// startUpstream starts and registers a stand-in.
+// startUpstream starts a stand-in of an upstream and registers it in the store.
 func (f *Fleet) startUpstream(dc, service, id string, events int, pause time.Duration) (servedUpstream, error) {
 	u := servedUpstream{Upstream: &standin.Upstream{ID: id, Events: events, Pause: pause}}
 	var err error
@@ -168,12 +169,12 @@
 func (f *Fleet) routerVM(dc string) *vm {
 	s := settings.DefaultGateway()
 	s.VM, s.Datacentre, s.Regions = dc+"-router", dc, f.regions
-	s.Listen = settings.GatewayListen{Callers: f.reserve(), Ready: f.reserve(), Admin: f.reserve(), Link: f.reserve()}
+	s.Listen = settings.GatewayListen{Callers: f.reservePort(), Ready: f.reservePort(), Admin: f.reservePort(), Link: f.reservePort()}
 	s.Store.Address = f.StoreAddress
 	s.Stop = settings.Stop{Notice: fleet.Duration(100 * time.Millisecond), Grace: fleet.Duration(stopGrace)}
 	return &vm{name: s.VM, callers: s.Listen.Callers, ready: s.Listen.Ready, admin: s.Listen.Admin,
 		start: func(n hosted.Network) (process, string) {
-			g := gateway.New(&s, n, f.log, noneDropped)
+			g := gateway.New(&s, n, f.log, noDroppedLines)
 			return g, g.Life
 		}}
 }
@@ -181,85 +182,85 @@
 func (f *Fleet) lenderVM(dc, engine string) *vm {
 	s := settings.DefaultLender()
 	s.VM, s.Datacentre = dc+"-engine", dc
-	s.Listen = settings.LenderListen{Admin: f.reserve(), Link: f.reserve()}
+	s.Listen = settings.LenderListen{Admin: f.reservePort(), Link: f.reservePort()}
 	s.Store.Address, s.Upstream.Address = f.StoreAddress, engine
 	s.Stop.Grace = fleet.Duration(stopGrace)
 	return &vm{name: s.VM, admin: s.Listen.Admin,
 		start: func(n hosted.Network) (process, string) {
-			l := lender.New(&s, n, f.log, noneDropped)
+			l := lender.New(&s, n, f.log, noDroppedLines)
 			return l, l.Life
 		}}
 }
 
-// noneDropped says that no log line was dropped: lines are written as they come.
-func noneDropped() uint64 { return 0 }
+// noDroppedLines is the count of dropped log lines: always 0, since lines are written synchronously.
+func noDroppedLines() uint64 { return 0 }
 
-// reserve opens a free loopback port and keeps it for the process that will have it: one that was
-// only looked up could be taken meanwhile.
-func (f *Fleet) reserve() string {
+// reservePort listens on a free loopback port and keeps the listener for the process that will use it,
+// since a port that was closed again could be taken in the meantime.
+func (f *Fleet) reservePort() string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return "127.0.0.1:0" // the process tells when it fails to listen
+		return "127.0.0.1:0" // the process reports the error when it fails to listen
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.reserved[ln.Addr().String()] = ln
+	f.reservedPorts[ln.Addr().String()] = ln
 	return ln.Addr().String()
 }
 
-// open hands a reserved port over, or opens it again for a later life.
-func (f *Fleet) open(network, address string) (net.Listener, error) {
+// listen returns the listener of a reserved port, or listens on the port again for a later incarnation.
+func (f *Fleet) listen(network, address string) (net.Listener, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if ln := f.reserved[address]; ln != nil {
-		delete(f.reserved, address)
+	if ln := f.reservedPorts[address]; ln != nil {
+		delete(f.reservedPorts, address)
 		return ln, nil
 	}
 	return net.Listen(network, address)
 }
 
-// run starts the next life of a VM's process.
-func (f *Fleet) run(v *vm) {
+// startProcess starts the next incarnation of a VM's process.
+func (f *Fleet) startProcess(v *vm) {
 	ctx, stop := context.WithCancel(f.ctx)
-	v.link, v.stop, v.done = newLink(f.open), stop, make(chan error, 1)
-	p, life := v.start(v.link.Network)
-	v.life = life
+	v.network, v.stop, v.done = newProcessNetwork(f.listen), stop, make(chan error, 1)
+	p, incarnation := v.start(v.network.Network)
+	v.incarnation = incarnation
 	done := v.done
 	go func() { done <- p.Run(ctx) }()
 }
 
-// routers are the VMs that callers come to.
+// routers returns the VMs with routers.
 func (f *Fleet) routers() []*vm {
 	return slices.DeleteFunc(slices.Clone(f.vms), func(v *vm) bool { return v.callers == "" })
 }
 
-// lives are the names of those that run now.
-func (f *Fleet) lives() map[string]bool {
-	lives := map[string]bool{}
+// incarnations returns the names of the running incarnations.
+func (f *Fleet) incarnations() map[string]bool {
+	running := map[string]bool{}
 	for _, v := range f.vms {
-		lives[v.life] = true
+		running[v.incarnation] = true
 	}
-	return lives
+	return running
 }
 
-// WaitReady waits until all routers take callers.
+// WaitReady waits until all routers accept callers. It returns an error if one is not ready in time.
 func (f *Fleet) WaitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyWait)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, v := range f.routers() {
 		for !Ready(ctx, v.ready) {
 			select {
 			case <-ctx.Done():
 				return Error.New("%s is not ready", v.name)
-			case <-time.After(readyPause):
+			case <-time.After(readyInterval):
 			}
 		}
 	}
 	return nil
 }
 
-// Ready asks a router as the balancer does whether callers should be sent there; address is that of
-// its listener for this question.
+// Ready reports whether a router is ready for callers, as a load balancer checks it; address is that of
+// the router's readiness listener.
 func Ready(ctx context.Context, address string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+platform.ReadyPath, nil)
 	if err != nil {
@@ -273,22 +274,23 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// KillAll ends all routers and lenders at once, as a loss of all power does, and starts their next
-// lives. What is left of the lives before reaches nobody, and ends by itself.
+// KillAll kills all routers and lenders at once, as a complete power loss does, and starts their next
+// incarnations. The goroutines of the killed incarnations have no network and end by themselves.
 func (f *Fleet) KillAll() {
 	for _, v := range f.vms {
-		v.link.kill()
+		v.network.kill()
 	}
 	for _, v := range f.vms {
 		v.stop()
-		f.killed = append(f.killed, v.done)
-		f.run(v)
+		f.killedDone = append(f.killedDone, v.done)
+		f.startProcess(v)
 	}
 }
 
-// Stop makes a planned stop of all processes, routers first, and then of the stand-ins.
+// Stop stops all processes as planned, routers first, and then the stand-ins. It returns the errors of
+// the processes.
 func (f *Fleet) Stop() error {
-	var failed errs.Group
+	var failures errs.Group
 	for _, role := range []func(*vm) bool{func(v *vm) bool { return v.callers != "" }, func(v *vm) bool { return v.callers == "" }} {
 		var stopping []*vm
 		for _, v := range f.vms {
@@ -298,24 +300,24 @@
 			}
 		}
 		for _, v := range stopping {
-			failed.Add(<-v.done)
+			failures.Add(<-v.done)
 		}
 	}
-	for _, done := range f.killed {
-		<-done // that it could not hand anything over is what a kill is
+	for _, done := range f.killedDone {
+		<-done // a killed process cannot hand anything over, so its error is expected
 	}
-	f.end()
+	f.cancel()
 	f.servers.Wait()
-	return failed.Err()
+	return failures.Err()
 }
 
-// Book is an operator's access to the accounts.
+// Book returns an operator's client for the accounts.
 func (f *Fleet) Book() account.Book {
 	s := &platform.Store{Address: f.StoreAddress, Client: http.DefaultClient, Timeout: storeTimeout}
 	return account.Book{Store: s, Layout: account.Layout{Prefix: prepaid.PagePrefix, Pages: settings.DefaultGateway().Budgets.Pages}}
 }
 
-// Addresses tells where callers and operators reach the processes, a line each.
+// Addresses lists the addresses of the processes for callers and operators, one line per process.
 func (f *Fleet) Addresses() string {
 	var b strings.Builder
 	for _, v := range f.vms {
@@ -328,7 +330,7 @@
 	return b.String()
 }
 
-// lockedWriter lets several processes write whole lines to one writer.
+// lockedWriter serializes the writes of several processes to one writer.
 type lockedWriter struct {
 	mu sync.Mutex
 	w  io.Writer
--- a/localfleet/network.go
+++ b/localfleet/network.go
@@ -9,129 +9,130 @@
 	"github.com/arbutusmill/arbutusmill/hosted"
 )
 
-// link is the network of one process: its listeners and connections are known, so that it can be
-// cut off from an address, or end as a process does whose VM loses power.
-type link struct {
+// processNetwork is the network of one process. It tracks the listeners and connections of the process,
+// so that the process can be disconnected from an address or killed as by a power loss of its VM.
+type processNetwork struct {
 	hosted.Network
 
-	mu    sync.Mutex
-	dead  bool
-	cut   map[string]bool
-	conns map[net.Conn]string // to the address that was dialled, "" if it was accepted
-	ports []net.Listener
+	mu        sync.Mutex
+	killed    bool
+	blocked   map[string]bool     // addresses that the process is disconnected from
+	conns     map[net.Conn]string // the dialled address of each connection, "" for an accepted one
+	listeners []net.Listener
 }
 
-// newLink makes the network of a process. open hands over listening addresses.
-func newLink(open func(network, address string) (net.Listener, error)) *link {
-	l := &link{cut: map[string]bool{}, conns: map[net.Conn]string{}}
+// newProcessNetwork returns the network of a process. open returns the listener for an address.
+func newProcessNetwork(open func(network, address string) (net.Listener, error)) *processNetwork {
+	n := &processNetwork{blocked: map[string]bool{}, conns: map[net.Conn]string{}}
 	tcp := hosted.TCP()
-	l.Network = hosted.Network{
+	n.Network = hosted.Network{
 		Listen: func(network, address string) (net.Listener, error) {
-			port, err := open(network, address)
+			ln, err := open(network, address)
 			if err != nil {
 				return nil, err
 			}
-			l.mu.Lock()
-			defer l.mu.Unlock()
-			l.ports = append(l.ports, port)
-			return &listener{Listener: port, link: l}, nil
+			n.mu.Lock()
+			defer n.mu.Unlock()
+			n.listeners = append(n.listeners, ln)
+			return &trackingListener{Listener: ln, network: n}, nil
 		},
 		Dial: func(ctx context.Context, network, address string) (net.Conn, error) {
-			if !l.reaches(address) {
+			if !n.canReach(address) {
 				return nil, &net.OpError{Op: "dial", Net: network, Err: syscall.ECONNREFUSED}
 			}
 			conn, err := tcp.Dial(ctx, network, address)
 			if err != nil {
 				return nil, err
 			}
-			return l.keep(conn, address), nil
+			return n.track(conn, address), nil
 		},
 	}
-	return l
+	return n
 }
 
-func (l *link) reaches(address string) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return !l.dead && !l.cut[address]
+func (n *processNetwork) canReach(address string) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return !n.killed && !n.blocked[address]
 }
 
-// keep remembers a connection until it is closed.
-func (l *link) keep(conn net.Conn, address string) net.Conn {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	kept := &keptConn{Conn: conn, link: l}
-	l.conns[kept] = address
-	if l.dead || l.cut[address] {
-		_ = conn.Close() // its first use tells
+// track registers a connection until it is closed.
+func (n *processNetwork) track(conn net.Conn, address string) net.Conn {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	tracked := &trackedConn{Conn: conn, network: n}
+	n.conns[tracked] = address
+	if n.killed || n.blocked[address] {
+		_ = conn.Close() // its first use fails
 	}
-	return kept
+	return tracked
 }
 
-// cutOff parts the process from an address, with the connections that it has there.
-func (l *link) cutOff(address string) {
-	l.end(func() { l.cut[address] = true }, func(to string) bool { return to == address })
+// disconnect closes the connections to an address and refuses new ones.
+func (n *processNetwork) disconnect(address string) {
+	n.closeConns(func() { n.blocked[address] = true }, func(to string) bool { return to == address })
 }
 
-// reconnect ends the cut.
-func (l *link) reconnect(address string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	delete(l.cut, address)
+// reconnect allows connections to an address again.
+func (n *processNetwork) reconnect(address string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	delete(n.blocked, address)
 }
 
-// kill parts the process from everything: for all others it has died.
-func (l *link) kill() {
-	l.end(func() { l.dead = true }, func(string) bool { return true })
-	l.mu.Lock()
-	ports := l.ports
-	l.mu.Unlock()
-	for _, p := range ports {
-		_ = p.Close() // it may have been closed
+// kill closes all connections and listeners and refuses new connections: to other processes, the
+// process has died.
+func (n *processNetwork) kill() {
+	n.closeConns(func() { n.killed = true }, func(string) bool { return true })
+	n.mu.Lock()
+	listeners := n.listeners
+	n.mu.Unlock()
+	for _, ln := range listeners {
+		_ = ln.Close() // it may be closed already
 	}
 }
 
-// end makes a change and closes the connections that it concerns.
-func (l *link) end(change func(), concerned func(address string) bool) {
-	l.mu.Lock()
+// closeConns applies a change and closes the connections whose dialled address matches.
+func (n *processNetwork) closeConns(change func(), match func(address string) bool) {
+	n.mu.Lock()
 	change()
 	var closing []net.Conn
-	for conn, address := range l.conns {
-		if concerned(address) {
+	for conn, address := range n.conns {
+		if match(address) {
 			closing = append(closing, conn)
 		}
 	}
-	l.mu.Unlock()
+	n.mu.Unlock()
 	for _, conn := range closing {
-		_ = conn.Close() // the other end may have closed it
+		_ = conn.Close() // it may be closed already
 	}
 }
 
-// keptConn forgets itself when it is closed.
-type keptConn struct {
+// trackedConn removes itself from the network's connections when it is closed.
+type trackedConn struct {
 	net.Conn
-	link *link
+	network *processNetwork
 }
 
 // Close implements net.Conn.
-func (c *keptConn) Close() error {
-	c.link.mu.Lock()
-	delete(c.link.conns, c)
-	c.link.mu.Unlock()
+func (c *trackedConn) Close() error {
+	c.network.mu.Lock()
+	delete(c.network.conns, c)
+	c.network.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// listener remembers the connections that it accepts.
-type listener struct {
+// trackingListener tracks the connections that it accepts.
+type trackingListener struct {
 	net.Listener
-	link *link
+	network *processNetwork
 }
 
 // Accept implements net.Listener.
-func (l *listener) Accept() (net.Conn, error) {
+func (l *trackingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return l.link.keep(conn, ""), nil
+	return l.network.track(conn, ""), nil
 }
--- a/localfleet/link_test.go
+++ b/localfleet/network_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// echo answers what it gets until its listener is closed.
+// echo sends back what it receives, until its listener is closed.
 func echo(l net.Listener) {
 	for {
 		conn, err := l.Accept()
@@ -21,7 +21,7 @@
 	}
 }
 
-// ping reports whether a connection still carries a byte both ways.
+// ping reports whether a connection still transmits a byte in both directions.
 func ping(conn net.Conn) bool {
 	if _, err := conn.Write([]byte{1}); err != nil {
 		return false
@@ -30,10 +30,10 @@
 	return err == nil
 }
 
-// A process is cut off from one address: its connections there end and no new ones begin, those to
-// others go on, until the cut is over.
-func TestCutOff(t *testing.T) {
-	server := newLink(net.Listen)
+// A process that is disconnected from one address must lose its connections to it and get no new ones
+// until it is reconnected, while its connections to other addresses stay open.
+func TestDisconnect(t *testing.T) {
+	server := newProcessNetwork(net.Listen)
 	var addresses []string
 	for range 2 {
 		l, err := server.Listen("tcp", "127.0.0.1:0")
@@ -41,28 +41,28 @@
 		go echo(l)
 		addresses = append(addresses, l.Addr().String())
 	}
-	client := newLink(net.Listen)
+	client := newProcessNetwork(net.Listen)
 	dial := func(address string) (net.Conn, error) { return client.Dial(context.Background(), "tcp", address) }
-	cut, err := dial(addresses[0])
+	interrupted, err := dial(addresses[0])
 	require.NoError(t, err)
 	other, err := dial(addresses[1])
 	require.NoError(t, err)
-	require.True(t, ping(cut))
+	require.True(t, ping(interrupted))
 
-	client.cutOff(addresses[0])
-	require.False(t, ping(cut))
+	client.disconnect(addresses[0])
+	require.False(t, ping(interrupted))
 	require.True(t, ping(other))
 	_, err = dial(addresses[0])
 	require.ErrorIs(t, err, syscall.ECONNREFUSED)
 
 	client.reconnect(addresses[0])
-	again, err := dial(addresses[0])
+	reconnected, err := dial(addresses[0])
 	require.NoError(t, err)
-	require.True(t, ping(again))
+	require.True(t, ping(reconnected))
 
 	server.kill()
-	require.False(t, ping(again))
+	require.False(t, ping(reconnected))
 	require.False(t, ping(other))
 	_, err = dial(addresses[1])
-	require.ErrorIs(t, err, syscall.ECONNREFUSED, "nobody listens")
+	require.ErrorIs(t, err, syscall.ECONNREFUSED, "no process listens")
 }
--- a/localfleet/scenes.go
+++ b/localfleet/scenes.go
@@ -10,172 +10,172 @@
 	"github.com/arbutusmill/arbutusmill/platform/standin"
 )
 
-func (s *show) scenes() []scene {
-	return []scene{
-		{"a prompt is streamed and billed", s.stream, "-log FILE, then arbutusmill explain show-1 FILE"},
-		{"a call that must not run twice", s.runOnce, "arbutusmill explain alert-1 FILE"},
-		{"a team that has used up its tokens is refused", s.exhaust, "arbutusmill explain skipper-2 FILE"},
-		{"a data centre is emptied and taken back", s.empty, "datacentre_emptied in FILE"},
-		{"a router is cut off from the store and goes on", s.cutOff, `"event":"lost" in FILE, arbutusmill_followed_age_seconds`},
-		{"all processes are lost at once", s.loseAll, "tokens_moved and lender_settled in FILE"},
-		{"the bill adds up", s.bill, "-keep, then arbutusmill dump ADMIN-ADDRESS"},
+func (d *demo) steps() []step {
+	return []step{
+		{"a prompt is streamed and billed", d.streamPrompt, "-log FILE, then arbutusmill explain show-1 FILE"},
+		{"a call that must not run twice is not retried", d.runOnce, "arbutusmill explain alert-1 FILE"},
+		{"a team that has exhausted its budget is refused", d.exhaustBudget, "arbutusmill explain skipper-2 FILE"},
+		{"a data centre is emptied and returned to service", d.emptyDatacentre, "datacentre_emptied in FILE"},
+		{"a router that is disconnected from the store keeps serving", d.disconnectStore, `"event":"lost" in FILE, arbutusmill_followed_age_seconds`},
+		{"all processes are killed at once", d.killAll, "tokens_moved and lender_settled in FILE"},
+		{"the bill matches the responses", d.checkBill, "-keep, then arbutusmill dump ADMIN-ADDRESS"},
 	}
 }
 
-func (s *show) stream(ctx context.Context) (string, error) {
-	a, err := s.served(ctx, s.f.routers()[0], "harbour")
+func (d *demo) streamPrompt(ctx context.Context) (string, error) {
+	resp, err := d.sendPrompt(ctx, d.f.routers()[0], "harbour")
 	if err != nil {
 		return "", err
 	}
 	return fmt.Sprintf("%d events, the first after %s; team %s is charged %d tokens of %d",
-		a.events, a.first.Round(time.Millisecond), pilots, s.answered, pilotsPrepaid), nil
+		resp.events, resp.latency.Round(time.Millisecond), pilots, d.chargedTokens, pilotsPrepaid), nil
 }
 
-// runOnce loses the answer to an alert: nobody can know then whether it went out, so it is not sent
-// again.
-func (s *show) runOnce(ctx context.Context) (string, error) {
-	q := question{id: "alert-1", path: "/alert/surge", key: pilotsKey}
-	s.setAlerts(standin.LoseAnswer)
-	a, err := s.f.routers()[1].ask(ctx, q)
-	s.setAlerts(standin.Serve)
+// runOnce loses the response to an alert. Whether the alert ran is then unknown, so it must not be
+// retried.
+func (d *demo) runOnce(ctx context.Context) (string, error) {
+	req := request{id: "alert-1", path: "/alert/surge", key: pilotsKey}
+	d.setAlertMode(standin.LoseAnswer)
+	resp, err := d.f.routers()[1].send(ctx, req)
+	d.setAlertMode(standin.Serve)
 	if err != nil {
 		return "", err
 	}
 	runs := 0
-	for _, u := range s.f.AlertServers {
-		runs += u.Runs(q.id)
+	for _, u := range d.f.AlertServers {
+		runs += u.Runs(req.id)
 	}
-	if a.status != http.StatusBadGateway || runs != 1 {
-		return "", Error.New("status %d after %d runs", a.status, runs)
+	if resp.status != http.StatusBadGateway || runs != 1 {
+		return "", Error.New("status %d after %d runs", resp.status, runs)
 	}
-	return fmt.Sprintf("its answer was lost; it ran once, and the caller hears that the outcome is unknown (%d)", a.status), nil
+	return fmt.Sprintf("its response was lost; it ran once, and the caller receives an unknown outcome (%d)", resp.status), nil
 }
 
-func (s *show) setAlerts(m standin.Mode) {
-	for _, u := range s.f.AlertServers {
+func (d *demo) setAlertMode(m standin.Mode) {
+	for _, u := range d.f.AlertServers {
 		u.SetMode(m)
 	}
 }
 
-func (s *show) exhaust(ctx context.Context) (string, error) {
-	ask := func(n int) (answer, error) {
-		q := question{id: fmt.Sprint("skipper-", n), path: "/chat/tides", key: skippersKey, prompt: promptTokens, topic: "skerry"}
-		return s.f.routers()[n%len(datacentres)].ask(ctx, q)
+func (d *demo) exhaustBudget(ctx context.Context) (string, error) {
+	send := func(n int) (response, error) {
+		req := request{id: fmt.Sprint("skipper-", n), path: "/chat/tides", key: skippersKey, promptTokens: promptTokens, topic: "skerry"}
+		return d.f.routers()[n%len(datacentres)].send(ctx, req)
 	}
-	first, err := ask(1)
+	first, err := send(1)
 	if err != nil {
 		return "", err
 	}
-	time.Sleep(inForce) // until what the first one left is back from its router
-	second, err := ask(2)
+	time.Sleep(propagationTime) // until the unused tokens of the first prompt are returned by its router
+	second, err := send(2)
 	if err != nil {
 		return "", err
 	}
 	if first.status != http.StatusOK || second.status != http.StatusPaymentRequired {
 		return "", Error.New("status %d, then %d: %s", first.status, second.status, second.body)
 	}
-	return fmt.Sprintf("of %d tokens the first prompt took %d, the second one is refused at once (%d)",
+	return fmt.Sprintf("of %d tokens the first prompt used %d, the second one is refused immediately (%d)",
 		skippersPrepaid, promptTokens+first.events*tokensPerEvent, second.status), nil
 }
 
-// topics are what the prompts of some scenes are about: enough for every engine to get some.
-const topics = 9
+// topicCount is the number of topics in some steps, enough for every engine to get some prompts.
+const topicCount = 9
 
-// spread asks prompts on different topics of a kind through all routers, and returns how many ran
-// at the first data centre's engine.
-func (s *show) spread(ctx context.Context, kind string) (here int, err error) {
-	before := len(s.f.Engines[0].Seen())
-	for n := range topics {
-		if _, err := s.served(ctx, s.f.routers()[n%len(datacentres)], fmt.Sprint(kind, "-", n)); err != nil {
+// sendTopics sends prompts on different topics through all routers, and returns how many ran on the
+// engine of the first data centre. prefix begins the names of the topics.
+func (d *demo) sendTopics(ctx context.Context, prefix string) (atFirst int, err error) {
+	before := len(d.f.Engines[0].Seen())
+	for n := range topicCount {
+		if _, err := d.sendPrompt(ctx, d.f.routers()[n%len(datacentres)], fmt.Sprint(prefix, "-", n)); err != nil {
 			return 0, err
 		}
 	}
-	return len(s.f.Engines[0].Seen()) - before, nil
+	return len(d.f.Engines[0].Seen()) - before, nil
 }
 
-func (s *show) empty(ctx context.Context) (string, error) {
-	if err := s.f.Store.Empty(datacentres[0]); err != nil {
+func (d *demo) emptyDatacentre(ctx context.Context) (string, error) {
+	if err := d.f.Store.Empty(datacentres[0]); err != nil {
 		return "", err
 	}
-	time.Sleep(inForce)
-	during, err := s.spread(ctx, "evening")
+	time.Sleep(propagationTime)
+	during, err := d.sendTopics(ctx, "evening")
 	if err != nil {
 		return "", err
 	}
-	if err := s.f.Store.EndEmptying(datacentres[0]); err != nil {
+	if err := d.f.Store.EndEmptying(datacentres[0]); err != nil {
 		return "", err
 	}
-	time.Sleep(inForce)
-	after, err := s.spread(ctx, "morning")
+	time.Sleep(propagationTime)
+	after, err := d.sendTopics(ctx, "morning")
 	if err != nil {
 		return "", err
 	}
 	if during != 0 || after == 0 {
-		return "", Error.New("its engine got %d prompts while emptied, %d after", during, after)
+		return "", Error.New("its engine received %d prompts while emptied, %d after", during, after)
 	}
-	return fmt.Sprintf("%s got none of %d prompts, then %d of %d; all were answered", datacentres[0], topics, after, topics), nil
+	return fmt.Sprintf("%s received none of %d prompts, then %d of %d; all were answered", datacentres[0], topicCount, after, topicCount), nil
 }
 
-func (s *show) cutOff(ctx context.Context) (string, error) {
-	router := s.f.routers()[1]
-	router.link.cutOff(s.f.StoreAddress)
-	defer router.link.reconnect(s.f.StoreAddress)
-	for n := range topics {
-		if _, err := s.served(ctx, router, fmt.Sprint("night-", n)); err != nil {
+func (d *demo) disconnectStore(ctx context.Context) (string, error) {
+	router := d.f.routers()[1]
+	router.network.disconnect(d.f.StoreAddress)
+	defer router.network.reconnect(d.f.StoreAddress)
+	for n := range topicCount {
+		if _, err := d.sendPrompt(ctx, router, fmt.Sprint("night-", n)); err != nil {
 			return "", err
 		}
 	}
-	return fmt.Sprintf("%s answered %d prompts with tokens that lenders hold", router.name, topics), nil
+	return fmt.Sprintf("%s answered %d prompts with tokens that lenders hold", router.name, topicCount), nil
 }
 
-func (s *show) loseAll(ctx context.Context) (string, error) {
-	began := time.Now()
-	s.f.KillAll()
-	if err := s.f.WaitReady(ctx); err != nil {
+func (d *demo) killAll(ctx context.Context) (string, error) {
+	start := time.Now()
+	d.f.KillAll()
+	if err := d.f.WaitReady(ctx); err != nil {
 		return "", err
 	}
-	ready := time.Since(began)
-	if _, err := s.served(ctx, s.f.routers()[2], "harbour"); err != nil {
+	ready := time.Since(start)
+	if _, err := d.sendPrompt(ctx, d.f.routers()[2], "harbour"); err != nil {
 		return "", err
 	}
-	return fmt.Sprintf("ready again after %s; nothing is kept on a VM, and the next prompt is answered", ready.Round(time.Millisecond)), nil
+	return fmt.Sprintf("ready again after %s; VMs keep no state, and the next prompt is answered", ready.Round(time.Millisecond)), nil
 }
 
-// billWait bounds the wait for the last reports of use, billPause is the pause between two looks.
+// billTimeout bounds the wait for the last usage reports, billInterval is the time between two checks.
 const (
-	billWait  = 5 * time.Second
-	billPause = 50 * time.Millisecond
+	billTimeout  = 5 * time.Second
+	billInterval = 50 * time.Millisecond
 )
 
-// bill compares the account with what callers got. What dead processes held available is spent by
-// nobody any more, since nobody can prove that they had not.
-func (s *show) bill(ctx context.Context) (string, error) {
-	deadline := time.Now().Add(billWait)
+// checkBill compares the account with the tokens charged for responses. Tokens that dead processes
+// held are lost, since no process can prove that they were not spent.
+func (d *demo) checkBill(ctx context.Context) (string, error) {
+	deadline := time.Now().Add(billTimeout)
 	for {
-		a, err := s.f.Book().Get(ctx, pilots)
+		a, err := d.f.Book().Get(ctx, pilots)
 		if err == nil {
 			err = a.Check()
 		}
 		if err != nil {
 			return "", err
 		}
-		left := a.Free() + s.held(a)
-		switch spent := pilotsPrepaid - left; {
-		case spent >= s.answered:
-			return fmt.Sprintf("of %d tokens %d were answered, %d are lost with the processes that died, %d are left",
-				pilotsPrepaid, s.answered, spent-s.answered, left), nil
+		remaining := a.Free() + d.spendable(a)
+		switch spent := pilotsPrepaid - remaining; {
+		case spent >= d.chargedTokens:
+			return fmt.Sprintf("of %d tokens %d were charged for responses, %d were lost with the killed processes, %d remain",
+				pilotsPrepaid, d.chargedTokens, spent-d.chargedTokens, remaining), nil
 		case time.Now().After(deadline):
-			return "", Error.New("answered %d tokens, but spent only %d of %d", s.answered, spent, pilotsPrepaid)
+			return "", Error.New("%d tokens were charged for responses, but only %d of %d are spent", d.chargedTokens, spent, pilotsPrepaid)
 		}
-		time.Sleep(billPause)
+		time.Sleep(billInterval)
 	}
 }
 
-// held is what the processes that run now may still spend.
-func (s *show) held(a *account.Account) (tokens int64) {
-	lives := s.f.lives()
-	for life, row := range a.Rows {
-		if lives[life] {
+// spendable returns the tokens that the running processes may still spend.
+func (d *demo) spendable(a *account.Account) (tokens int64) {
+	running := d.f.incarnations()
+	for incarnation, row := range a.Rows {
+		if running[incarnation] {
 			tokens += row.Balance()
 		}
 	}
--- a/localfleet/show.go
+++ b/localfleet/show.go
@@ -9,66 +9,69 @@
 	"github.com/arbutusmill/arbutusmill/platform/standin"
 )
 
-// What the teams of the show ask and have paid for, in tokens.
+// Teams of the demo, with their prepaid tokens and the tokens of a prompt.
 const (
 	pilots, pilotsKey     = "pilots", "k-pilots"
 	skippers, skippersKey = "skippers", "k-skippers"
 	pilotsPrepaid         = 1_000_000
 	skippersPrepaid       = 1_500
 	promptTokens          = 1000
-	// ownTokens of a prompt are the caller's own, the rest is shared by all of its topic.
-	ownTokens      = 100
-	mostOutput     = 60
+	// uniqueTokens is the part of a prompt that differs between requests; the rest is shared by all
+	// prompts of a topic.
+	uniqueTokens   = 100
+	maxOutput      = 60
 	tokensPerEvent = 3
 )
 
-// inForce is how long the show waits for what operators did to be in force at all routers.
-const inForce = 1500 * time.Millisecond
+// propagationTime is how long the demo waits until a change by operators or a returned balance has
+// taken effect everywhere.
+const propagationTime = 1500 * time.Millisecond
 
-// Options are those of a show.
+// Options configures a demo.
 type Options struct {
-	// Out takes what is shown, Log the processes' lines.
+	// Out receives the demo's output, Log the log lines of the processes.
 	Out, Log io.Writer
-	// Colour marks results on a terminal.
+	// Colour enables coloured output for a terminal.
 	Colour bool
-	// Keep leaves the fleet running until the context ends.
+	// Keep leaves the fleet running after the last step until the context ends.
 	Keep bool
 }
 
-// datacentres are those of the show.
+// datacentres are the data centres of the demo.
 var datacentres = []string{"bergen", "alesund", "floro"}
 
-// scene is one thing that is shown.
-type scene struct {
+// step demonstrates one behaviour.
+type step struct {
 	title string
-	// play returns what was seen, or an error if it was not what was promised.
-	play func(context.Context) (string, error)
-	// closer says how to look closer.
-	closer string
+	// run returns a description of the result, or an error if the behaviour was not as expected.
+	run func(context.Context) (string, error)
+	// hint names a command or a log event that shows the details.
+	hint string
 }
 
-// show is a run of all scenes.
-type show struct {
+// demo is one run of all steps.
+type demo struct {
 	Options
 	f *Fleet
-	// answered is the tokens of the prompts that pilots got whole answers to.
-	answered int64
-	asked    int
+	// chargedTokens is the sum of tokens charged to the pilots for complete responses.
+	chargedTokens int64
+	// sent counts the prompts of the pilots.
+	sent int
 }
 
-// Show starts a local fleet and shows the main job: prompts that are streamed and billed, calls
-// that run once, budgets that end, and what happens when operators and failures intervene. It
-// fails if any of it is not as promised.
+// Show starts a local fleet and demonstrates its main functions: prompts that are streamed and
+// billed, calls that run at most once, exhausted budgets, operator actions and failures. It returns
+// an error if any step fails.
 func Show(ctx context.Context, o Options) error {
-	began := time.Now()
+	start := time.Now()
 	f, err := Start(ctx, datacentres, o.Log)
 	if err != nil {
 		return err
 	}
-	s := &show{Options: o, f: f}
-	err = s.run(ctx, began)
+	d := &demo{Options: o, f: f}
+	err = d.run(ctx, start)
 	if err == nil && o.Keep {
-		s.printf("\nThe fleet runs until Ctrl-C; key of team %s: %s, host %s.\n%s", pilots, pilotsKey, host, f.Addresses())
+		d.printf("\nThe fleet runs until Ctrl-C; key of team %s: %s, host %s.\n%s", pilots, pilotsKey, host, f.Addresses())
 		<-ctx.Done()
 	}
 	if stopErr := f.Stop(); err == nil {
@@ -77,41 +80,41 @@
 	return err
 }
 
-func (s *show) printf(format string, args ...any) { _, _ = fmt.Fprintf(s.Out, format, args...) }
+func (d *demo) printf(format string, args ...any) { _, _ = fmt.Fprintf(d.Out, format, args...) }
 
-func (s *show) run(ctx context.Context, began time.Time) error {
-	if err := s.f.Store.Configure(configuration()); err != nil {
+func (d *demo) run(ctx context.Context, start time.Time) error {
+	if err := d.f.Store.Configure(configuration()); err != nil {
 		return err
 	}
-	if err := s.f.WaitReady(ctx); err != nil {
+	if err := d.f.WaitReady(ctx); err != nil {
 		return err
 	}
-	s.printf("%d routers and %d lenders in %d data centres, on loopback, after %s\n",
-		len(datacentres), len(datacentres), len(datacentres), time.Since(began).Round(time.Millisecond))
-	for _, scene := range s.scenes() {
-		seen, err := scene.play(ctx)
+	d.printf("%d routers and %d lenders in %d data centres, on loopback, after %s\n",
+		len(datacentres), len(datacentres), len(datacentres), time.Since(start).Round(time.Millisecond))
+	for _, st := range d.steps() {
+		result, err := st.run(ctx)
 		if err != nil {
-			return Error.New("%s: %v", scene.title, err)
+			return Error.New("%s: %v", st.title, err)
 		}
-		s.tell(scene, seen)
+		d.printResult(st, result)
 	}
-	s.printf("all as promised, after %s\n", time.Since(began).Round(100*time.Millisecond))
+	d.printf("all steps passed after %s\n", time.Since(start).Round(100*time.Millisecond))
 	return nil
 }
 
-// tell prints a scene.
-func (s *show) tell(sc scene, seen string) {
-	mark, plain := "", ""
-	if s.Colour {
-		mark, plain = "\x1b[32m", "\x1b[0m"
+// printResult prints the result of a step.
+func (d *demo) printResult(st step, result string) {
+	colour, reset := "", ""
+	if d.Colour {
+		colour, reset = "\x1b[32m", "\x1b[0m"
 	}
-	s.printf("%s✓ %s%s: %s\n", mark, sc.title, plain, seen)
-	if sc.closer != "" {
-		s.printf("    look closer: %s\n", sc.closer)
+	d.printf("%s✓ %s%s: %s\n", colour, st.title, reset, result)
+	if st.hint != "" {
+		d.printf("    for details: %s\n", st.hint)
 	}
 }
 
-// configuration is what operators of the show put in force.
+// configuration returns the configuration of the demo.
 func configuration() standin.Configuration {
 	return standin.Configuration{
 		Version: 1,
@@ -130,22 +133,22 @@
 	}
 }
 
-// prompt is the next prompt of the pilots, about a topic.
-func (s *show) prompt(topic string) question {
-	s.asked++
-	return question{id: fmt.Sprint("show-", s.asked), path: "/chat/tides", key: pilotsKey, prompt: promptTokens, topic: topic}
+// newPrompt returns the next prompt of the pilots on a topic.
+func (d *demo) newPrompt(topic string) request {
+	d.sent++
+	return request{id: fmt.Sprint("show-", d.sent), path: "/chat/tides", key: pilotsKey, promptTokens: promptTokens, topic: topic}
 }
 
-// served asks a router a prompt of the pilots and checks that the whole answer came.
-func (s *show) served(ctx context.Context, router *vm, topic string) (answer, error) {
-	q := s.prompt(topic)
-	a, err := router.ask(ctx, q)
+// sendPrompt sends a prompt of the pilots to a router and checks that the response is complete.
+func (d *demo) sendPrompt(ctx context.Context, router *vm, topic string) (response, error) {
+	req := d.newPrompt(topic)
+	resp, err := router.send(ctx, req)
 	if err != nil {
-		return a, err
+		return resp, err
 	}
-	if a.status != 200 || a.events != events {
-		return a, Error.New("%s of %s: status %d after %d of %d events: %s", q.id, router.name, a.status, a.events, events, a.body)
+	if resp.status != 200 || resp.events != events {
+		return resp, Error.New("%s of %s: status %d after %d of %d events: %s", req.id, router.name, resp.status, resp.events, events, resp.body)
 	}
-	s.answered += a.tokens(q)
-	return a, nil
+	d.chargedTokens += resp.chargedTokens(req)
+	return resp, nil
 }
