--- a/agent/agent.go
+++ b/agent/agent.go
@@ -38,7 +38,7 @@
 	queue       *Queue
 	witness     *witness.Witness
 	outbox      *ledger.Outbox
-	claims      claim.Register
+	claims      claim.Registry
 	upstream    *upstreamCaller
 	metrics     *agentMetrics
 	nonce       atomic.Int64
@@ -77,7 +77,7 @@
 		queue:   NewQueue(s.Upstream.Slots, s.Upstream.Queue),
 		witness: witness.New(witnessRuns),
 		outbox:  ledger.NewOutbox(layout, sender, s.Ledger.Backlog),
-		claims:  claim.Register{Store: base.Store, Prefix: process.ClaimPrefix},
+		claims:  claim.Registry{Store: base.Store, Prefix: process.ClaimPrefix},
 		upstream: &upstreamCaller{url: s.Upstream.URL, client: &http.Client{
 			Transport: &http.Transport{MaxIdleConnsPerHost: s.Upstream.Slots, DisableCompression: true}}},
 		idle: make(chan struct{}),
@@ -146,7 +146,7 @@
 	for {
 		upTo, err := a.base.Fences.Load(ctx)
 		if err == nil {
-			a.witness.Restore(upTo)
+			a.witness.RestoreFences(upTo)
 			break
 		}
 		a.log.Warn().Err(err).Msg("fences_not_read")
@@ -222,7 +222,7 @@
 	left := a.outbox.Waiting()
 	runs := a.witness.State().Runs
 	if left == 0 && runs == 0 {
-		if err := a.base.Lives.EndClean(ctx, a.incarnation); err != nil {
+		if err := a.base.Lives.MarkClean(ctx, a.incarnation); err != nil {
 			a.log.Warn().Err(err).Msg("clean_end_not_recorded")
 		}
 	}
--- a/agent/once.go
+++ b/agent/once.go
@@ -89,7 +89,7 @@
 	}
 	want := claim.Claim{Owner: a.incarnation, Nonce: a.nonce.Add(1), Digest: digest(t.r, body)}
 	take, cancel := context.WithTimeout(ctx, min(claimTimeout, t.work.Timeout()))
-	got, mine, err := a.claims.Take(take, t.work.ID, want)
+	got, mine, err := a.claims.Acquire(take, t.work.ID, want)
 	cancel()
 	a.claimCounts.note(mine, err)
 	if err != nil {
--- a/capacity/slopes_test.go
+++ b/capacity/slopes_test.go
@@ -146,7 +146,7 @@
 	value, err := json.Marshal(p)
 	require.NoError(t, err)
 	if len(value) <= store.MaxValueBytes {
-		_, err = s.CompareAndSwap(context.Background(), layout.KeyOf(0), 0, value, 0)
+		_, err = s.CompareAndSwap(context.Background(), layout.PageKey(0), 0, value, 0)
 		require.NoError(t, err)
 		return
 	}
@@ -156,7 +156,7 @@
 func newHolder(t testing.TB, s *memstore.Store) *grant.Holder {
 	h := grant.NewHolder("bergen-router-1#1", layout, grant.FavourAvailability())
 	g := &grant.StoreGranter{Holder: h, Store: s, Layout: layout, Timing: grant.DefaultTiming(), Now: time.Now}
-	if err := g.Sync(context.Background(), layout.KeyOf(0)); err != nil {
+	if err := g.Sync(context.Background(), layout.PageKey(0)); err != nil {
 		t.Fatal(err)
 	}
 	return h
@@ -171,11 +171,11 @@
 			h := grant.NewHolder("bergen-router-1#1", layout, grant.FavourAvailability())
 			g := &grant.StoreGranter{Holder: h, Store: s, Layout: layout, Timing: grant.DefaultTiming(), Now: time.Now}
 			ns := timePerCall(func() {
-				if err := g.Sync(context.Background(), layout.KeyOf(0)); err != nil {
+				if err := g.Sync(context.Background(), layout.PageKey(0)); err != nil {
 					t.Fatal(err)
 				}
 			})
-			item, _ := s.Get(context.Background(), layout.KeyOf(0))
+			item, _ := s.Get(context.Background(), layout.PageKey(0))
 			return ns, float64(len(item.Value))
 		}}
 }
@@ -187,7 +187,7 @@
 			s := memstore.New()
 			const budgets = 100
 			putPage(t, s, budgets, size)
-			item, _ := s.Get(context.Background(), layout.KeyOf(0))
+			item, _ := s.Get(context.Background(), layout.PageKey(0))
 			ns := timePerCall(func() {
 				if _, err := account.Decode(item.Value); err != nil {
 					t.Fatal(err)
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -77,13 +77,13 @@
 	MaxConnections int
 	// Engine is nil for plain services.
 	Engine *Engine
-	Cold   Cold
+	Cold   ColdStart
 }
 
-// Cold is what upstreams bear that have just started.
-type Cold struct {
-	// For is how long an upstream is cold after its start.
-	For time.Duration
+// ColdStart is what upstreams bear that have just started.
+type ColdStart struct {
+	// Duration is how long an upstream is cold after its start.
+	Duration time.Duration
 	// PerSecond is the requests a second that a cold one bears; 0 is no bound.
 	PerSecond float64
 }
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -35,8 +35,8 @@
 func TestVersionsOnlyRise(t *testing.T) {
 	var c Current
 	require.Nil(t, c.Load())
-	require.True(t, c.Raise(NewTable(&Config{Version: 7})))
-	require.False(t, c.Raise(NewTable(&Config{Version: 5})))
-	require.False(t, c.Raise(NewTable(&Config{Version: 7})))
+	require.True(t, c.UpdateIfNewer(NewTable(&Config{Version: 7})))
+	require.False(t, c.UpdateIfNewer(NewTable(&Config{Version: 5})))
+	require.False(t, c.UpdateIfNewer(NewTable(&Config{Version: 7})))
 	require.EqualValues(t, 7, c.Load().Version)
 }
--- a/catalog/current.go
+++ b/catalog/current.go
@@ -8,11 +8,11 @@
 // Load returns the table in force, or nil before the first one.
 func (c *Current) Load() *Table { return c.table.Load() }
 
-// Raise puts a table in force if its version is higher than the one in force, and
+// UpdateIfNewer puts a table in force if its version is higher than the one in force, and
 // reports whether it did. A read that is answered late, by a slow store or on another
 // connection, would otherwise put an older version in force again: callers would see
 // a route or key return that was taken away.
-func (c *Current) Raise(t *Table) bool {
+func (c *Current) UpdateIfNewer(t *Table) bool {
 	for {
 		have := c.table.Load()
 		if have != nil && have.Version >= t.Version {
--- a/catalog/regions.go
+++ b/catalog/regions.go
@@ -5,8 +5,8 @@
 // Regions are those in which requests may be served; nil is any.
 type Regions []string
 
-// Both are the regions that are allowed by both: a request obeys its route and its team.
-func (r Regions) Both(other Regions) Regions {
+// Intersect are the regions that are allowed by both: a request obeys its route and its team.
+func (r Regions) Intersect(other Regions) Regions {
 	if r == nil {
 		return other
 	}
--- a/coord/account/account.go
+++ b/coord/account/account.go
@@ -25,13 +25,13 @@
 	ErrExists = errs.New("budget exists for another team")
 	// ErrCreditDiffers says that the id of a top-up was used with another amount.
 	ErrCreditDiffers = errs.New("top-up id was used with another amount")
-	// ErrBroken says that a page breaks the invariant; it is never written
+	// ErrInvariantViolated says that a page breaks the invariant; it is never written
 	// and never spent from.
-	ErrBroken = errs.New("invariant broken")
+	ErrInvariantViolated = errs.New("invariant broken")
 	// ErrNoRow says that the holder has no row.
 	ErrNoRow = errs.New("holder has no row")
-	// ErrBackwards says that a report would lower a total that only grows.
-	ErrBackwards = errs.New("report goes backwards")
+	// ErrTotalDecreased says that a report would lower a total that only grows.
+	ErrTotalDecreased = errs.New("report goes backwards")
 	// ErrBadAmount says that an amount is not positive or too large.
 	ErrBadAmount = errs.New("amount must be positive and below 2^53")
 )
@@ -119,7 +119,7 @@
 	}
 	for _, n := range amounts {
 		if n < 0 || n > MaxTokens {
-			return Error.Wrap(ErrBroken)
+			return Error.Wrap(ErrInvariantViolated)
 		}
 	}
 	return nil
@@ -176,12 +176,12 @@
 		return Error.Wrap(ErrNoRow)
 	}
 	if r.Settled < have.Settled || r.Through < have.Through || r.Returned < have.Returned {
-		return Error.Wrap(ErrBackwards)
+		return Error.Wrap(ErrTotalDecreased)
 	}
 	have.Settled, have.Through, have.Returned = r.Settled, r.Through, r.Returned
 	have.Since, have.Demand = r.Since, r.Demand
 	if have.Balance() < 0 {
-		return Error.Wrap(ErrBroken)
+		return Error.Wrap(ErrInvariantViolated)
 	}
 	return nil
 }
@@ -262,6 +262,6 @@
 	return n
 }
 
-// Join makes an empty row for the holder, so that its demand counts before it
+// AddHolder makes an empty row for the holder, so that its demand counts before it
 // has tokens.
-func (a *Account) Join(holder string) { a.row(holder) }
+func (a *Account) AddHolder(holder string) { a.row(holder) }
--- a/coord/account/account_test.go
+++ b/coord/account/account_test.go
@@ -62,7 +62,7 @@
 	require.NoError(t, err)
 	a.Grant("r#1", 100)
 	require.NoError(t, a.Report("r#1", account.Row{Settled: 60, Through: 6}))
-	require.ErrorIs(t, a.Report("r#1", account.Row{Settled: 40, Through: 9}), account.ErrBackwards)
+	require.ErrorIs(t, a.Report("r#1", account.Row{Settled: 40, Through: 9}), account.ErrTotalDecreased)
 	require.Error(t, a.Report("r#1", account.Row{Settled: 101, Through: 9}))
 }
 
@@ -70,7 +70,7 @@
 // refused on reading: granting from it could overspend.
 func TestBrokenPageIsRefused(t *testing.T) {
 	_, err := account.Decode([]byte(`{"accounts":{"b":{"team":"t","credits":{"x":10},"rows":{"r#1":{"g":11}}}}}`))
-	require.ErrorIs(t, err, account.ErrBroken)
+	require.ErrorIs(t, err, account.ErrInvariantViolated)
 	require.ErrorContains(t, err, `"b"`)
 }
 
@@ -79,7 +79,7 @@
 // more would stop every team on it.
 func TestPageNearTheMegabyte(t *testing.T) {
 	ctx := t.Context()
-	book := account.Book{Store: memstore.New(), Layout: account.Layout{Prefix: "p/", Pages: 1}}
+	book := account.AdminClient{Store: memstore.New(), Layout: account.Layout{Prefix: "p/", Pages: 1}}
 	id := func(i int) string { return fmt.Sprintf("team/%0200d", i) }
 	old := &account.Page{Accounts: map[string]*account.Account{}}
 	for i := range 2300 {
@@ -88,7 +88,7 @@
 	value, err := old.Encode()
 	require.NoError(t, err)
 	require.Greater(t, len(value), account.PageFullBytes)
-	_, err = book.Store.CompareAndSwap(ctx, book.Layout.KeyOf(0), 0, value, 0)
+	_, err = book.Store.CompareAndSwap(ctx, book.Layout.PageKey(0), 0, value, 0)
 	require.NoError(t, err)
 	require.ErrorIs(t, book.Create(ctx, "team/new", "team"), account.ErrPageFull)
 	require.NoError(t, book.Create(ctx, id(7), "team"), "one that is there already")
@@ -100,7 +100,7 @@
 		})
 		require.NoError(t, err)
 	}
-	item, err := book.Store.Get(ctx, book.Layout.KeyOf(0))
+	item, err := book.Store.Get(ctx, book.Layout.PageKey(0))
 	require.NoError(t, err)
 	require.Less(t, len(item.Value), store.MaxValueBytes)
 }
--- a/coord/account/page.go
+++ b/coord/account/page.go
@@ -38,11 +38,11 @@
 
 // Key returns the store key of the budget's page.
 func (l Layout) Key(budget string) string {
-	return l.KeyOf(rendezvous.Bucket(budget, l.Pages))
+	return l.PageKey(rendezvous.Bucket(budget, l.Pages))
 }
 
-// KeyOf returns the store key of the numbered page.
-func (l Layout) KeyOf(page int) string { return fmt.Sprintf("%s%05d", l.Prefix, page) }
+// PageKey returns the store key of the numbered page.
+func (l Layout) PageKey(page int) string { return fmt.Sprintf("%s%05d", l.Prefix, page) }
 
 // Decode reads a page and refuses one that breaks the invariant. A nil value
 // is an empty page.
@@ -90,14 +90,14 @@
 	return a, nil
 }
 
-// Book is the operators' access to the accounts of a fleet.
-type Book struct {
+// AdminClient is the operators' access to the accounts of a fleet.
+type AdminClient struct {
 	Store  store.Store
 	Layout Layout
 }
 
 // Load reads the page of a budget.
-func (b Book) Load(ctx context.Context, budget string) (*Page, error) {
+func (b AdminClient) Load(ctx context.Context, budget string) (*Page, error) {
 	item, err := b.Store.Get(ctx, b.Layout.Key(budget))
 	if err != nil {
 		return nil, err
@@ -106,7 +106,7 @@
 }
 
 // Get reads one account.
-func (b Book) Get(ctx context.Context, budget string) (*Account, error) {
+func (b AdminClient) Get(ctx context.Context, budget string) (*Account, error) {
 	p, err := b.Load(ctx, budget)
 	if err != nil {
 		return nil, err
@@ -116,7 +116,7 @@
 
 // Update applies change to the budget's account until it is durable. Change
 // must be idempotent.
-func (b Book) Update(ctx context.Context, budget string, change func(*Account) error) error {
+func (b AdminClient) Update(ctx context.Context, budget string, change func(*Account) error) error {
 	return b.updatePage(ctx, budget, func(p *Page, _ int) error {
 		a, err := p.Get(budget)
 		if err != nil {
@@ -127,7 +127,7 @@
 }
 
 // Create makes an empty budget for a team. Making it again is no error.
-func (b Book) Create(ctx context.Context, budget, team string) error {
+func (b AdminClient) Create(ctx context.Context, budget, team string) error {
 	return b.updatePage(ctx, budget, func(p *Page, size int) error {
 		if a := p.Accounts[budget]; a != nil {
 			if a.Team != team {
@@ -145,7 +145,7 @@
 
 // TopUp credits the budget, once for each id; when it returns nil the credit is
 // durable.
-func (b Book) TopUp(ctx context.Context, budget, id string, tokens int64) error {
+func (b AdminClient) TopUp(ctx context.Context, budget, id string, tokens int64) error {
 	return b.Update(ctx, budget, func(a *Account) error {
 		_, err := a.TopUp(id, tokens)
 		return err
@@ -153,7 +153,7 @@
 }
 
 // Release gives forfeited tokens back by an operator's order, once for each id.
-func (b Book) Release(ctx context.Context, budget, id string, tokens int64) (int64, error) {
+func (b AdminClient) Release(ctx context.Context, budget, id string, tokens int64) (int64, error) {
 	var given int64
 	err := b.Update(ctx, budget, func(a *Account) (err error) {
 		given, err = a.Release(id, tokens)
@@ -162,7 +162,7 @@
 	return given, err
 }
 
-func (b Book) updatePage(ctx context.Context, budget string, change func(p *Page, size int) error) error {
+func (b AdminClient) updatePage(ctx context.Context, budget string, change func(p *Page, size int) error) error {
 	_, err := store.Update(ctx, b.Store, b.Layout.Key(budget), func(old store.Item) ([]byte, error) {
 		p, err := Decode(old.Value)
 		if err != nil {
--- a/coord/claim/claim.go
+++ b/coord/claim/claim.go
@@ -49,8 +49,8 @@
 	Answer json.RawMessage `json:"answer,omitempty"`
 }
 
-// Register is where claims are kept.
-type Register struct {
+// Registry is where claims are kept.
+type Registry struct {
 	Store  store.Store
 	Prefix string
 }
@@ -61,10 +61,10 @@
 	pauseMax = 200 * time.Millisecond
 )
 
-// Take claims the request. When mine is true the caller, and nobody else, may run
+// Acquire claims the request. When mine is true the caller, and nobody else, may run
 // it. Else the returned claim is another's, as it stands. ErrUnavailable means that
 // nobody was given the right by this call.
-func (r Register) Take(ctx context.Context, id string, want Claim) (got Claim, mine bool, err error) {
+func (r Registry) Acquire(ctx context.Context, id string, want Claim) (got Claim, mine bool, err error) {
 	want.State = Started
 	value, err := json.Marshal(want)
 	if err != nil {
@@ -80,7 +80,7 @@
 }
 
 // takeOnce reads first: after a lost answer it finds its own claim there.
-func (r Register) takeOnce(ctx context.Context, id string, want Claim, value []byte) (Claim, bool, error) {
+func (r Registry) takeOnce(ctx context.Context, id string, want Claim, value []byte) (Claim, bool, error) {
 	item, err := r.Store.Get(ctx, r.Prefix+id)
 	if err != nil {
 		return Claim{}, false, Error.Wrap(errors.Join(ErrUnavailable, err))
@@ -104,7 +104,7 @@
 }
 
 // End records how the claimed request ended. Only the owner's own claim is changed.
-func (r Register) End(ctx context.Context, id string, mine Claim, state State, answer json.RawMessage) error {
+func (r Registry) End(ctx context.Context, id string, mine Claim, state State, answer json.RawMessage) error {
 	_, err := store.Update(ctx, r.Store, r.Prefix+id, func(old store.Item) ([]byte, error) {
 		var have Claim
 		if err := json.Unmarshal(old.Value, &have); err != nil {
--- a/coord/grant/acquirer.go
+++ b/coord/grant/acquirer.go
@@ -20,7 +20,7 @@
 // ErrUnreachable, ErrNoBudget and ErrFenced; after each of them nothing is reserved.
 func (q *Acquirer) Acquire(ctx context.Context, budget string, n int64) (Reservation, error) {
 	r, err := q.Holder.Reserve(q.Now(), budget, n)
-	if err == nil || !errors.Is(err, ErrShort) {
+	if err == nil || !errors.Is(err, ErrInsufficientTokens) {
 		return r, err
 	}
 	defer q.Holder.wait(budget, n)()
@@ -34,11 +34,11 @@
 	for fills := 0; ; {
 		l, err := q.Holder.lend(q.Now(), budget, id, borrower, need, need, want)
 		switch {
-		case errors.Is(err, ErrUnexposed):
+		case errors.Is(err, ErrExposureLimit):
 			// Lots that came meanwhile may take a raise; this one waits for the next as long
 			// as its request does.
 			err = q.Exposer.Expose(ctx, budget, borrower, need)
-		case errors.Is(err, ErrShort) && fills < mostFills:
+		case errors.Is(err, ErrInsufficientTokens) && fills < mostFills:
 			fills++
 			done := q.Holder.wait(budget, need)
 			err = q.fill(ctx, budget, need)
@@ -58,7 +58,7 @@
 	for try := 1; ; try++ {
 		obtained := g.Obtain(ctx, budget, lack)
 		r, err := q.Holder.Reserve(q.Now(), budget, n)
-		if err == nil || !errors.Is(err, ErrShort) {
+		if err == nil || !errors.Is(err, ErrInsufficientTokens) {
 			return r, err
 		}
 		if obtained != nil {
@@ -77,7 +77,7 @@
 
 // fill asks along the chain until one way brought what the own row lacks for need.
 func (q *Acquirer) fill(ctx context.Context, budget string, need int64) error {
-	verdict := Error.Wrap(ErrShort)
+	verdict := Error.Wrap(ErrInsufficientTokens)
 	for _, g := range q.Chain {
 		err := g.Obtain(ctx, budget, q.Holder.ownShortage(budget, need))
 		if err == nil || q.Holder.ownShortage(budget, need) <= 0 {
@@ -110,7 +110,7 @@
 			verdict = err
 			break
 		}
-		if errors.Is(err, ErrHeld) {
+		if errors.Is(err, ErrAllReserved) {
 			break
 		}
 	}
--- a/coord/grant/borrowed.go
+++ b/coord/grant/borrowed.go
@@ -38,7 +38,7 @@
 // from then on. The guard is against a lender that only seemed to be gone: what it lends
 // after this word is used by nobody, so that the word stays true.
 func (h *Holder) BorrowedFrom(lender string) Borrowed {
-	h.ShutOut(lender)
+	h.ExcludeHolder(lender)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	out := Borrowed{Known: !h.forgotLenders, Used: map[string]int64{}}
--- a/coord/grant/exposure.go
+++ b/coord/grant/exposure.go
@@ -9,9 +9,9 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrUnexposed says that a row has the tokens, but may not lend them to this borrower before its
+// ErrExposureLimit says that a row has the tokens, but may not lend them to this borrower before its
 // limit is raised.
-var ErrUnexposed = errs.New("beyond the limit of exposure")
+var ErrExposureLimit = errs.New("beyond the limit of exposure")
 
 // ExposureLimits bound what each borrower used and may still use of a holder's present rows, by
 // budget and borrower in tokens. They may count earlier rows too, and never fall with them.
--- a/coord/grant/fleet_test.go
+++ b/coord/grant/fleet_test.go
@@ -145,7 +145,7 @@
 		},
 		"return": func(ctx context.Context, f *lab.Fleet, n *lab.Node) {
 			n.Holder.ReturnAll()
-			n.SyncPage(ctx, f.Layout.KeyOf(0))
+			n.SyncPage(ctx, f.Layout.PageKey(0))
 		},
 	}
 	for name, step := range steps {
@@ -153,7 +153,7 @@
 			virtualtime.Test(t, func(t *testing.T) {
 				f, near, far := newFleet(t, 1000)
 				ctx := t.Context()
-				f.Store.SetFaults(memstore.Faults{LoseWrites: 1})
+				f.Store.SetFaults(memstore.Faults{LoseResponses: 1})
 				step(ctx, f, near)
 				require.False(t, near.Holder.Fenced())
 				f.Now = f.Now.Add(time.Minute)
@@ -188,7 +188,7 @@
 		far.Audit()
 		require.Empty(t, far.Holder.LentLots())
 		near.Holder.Borrow(f.Now, budget, grant.Lot{Part: lots[0]}) // late
-		require.Equal(t, int64(0), near.Holder.State(f.Now)[0].AtHand)
+		require.Equal(t, int64(0), near.Holder.State(f.Now)[0].Spendable)
 		total := drain(ctx, f, near)
 		f.Now = f.Now.Add(time.Minute)
 		near.ReturnLots(time.Second)
@@ -234,7 +234,7 @@
 	virtualtime.Test(t, func(t *testing.T) {
 		f, _, _ := newFleet(t, 0)
 		ctx := t.Context()
-		f.Store.SetFaults(memstore.Faults{LoseWrites: 1})
+		f.Store.SetFaults(memstore.Faults{LoseResponses: 1})
 		done := make(chan error, 2)
 		for range 2 {
 			go func() { done <- f.Book().TopUp(ctx, budget, "invoice-1", 700) }()
@@ -348,7 +348,7 @@
 	now := time.Unix(1000, 0)
 	layout := account.Layout{Prefix: "b/", Pages: 1}
 	st := memstore.New()
-	book := account.Book{Store: st, Layout: layout}
+	book := account.AdminClient{Store: st, Layout: layout}
 	require.NoError(t, book.Create(t.Context(), "b", "pilots"))
 	require.NoError(t, book.TopUp(t.Context(), "b", "one", 1000))
 	h := grant.NewHolder("router-1/b", layout, grant.RequestPolicy{})
@@ -360,11 +360,11 @@
 	h.Settle(now, r, 0)
 
 	_, err = h.Lend(now, "b", "id", "router-1/b", 500, 0)
-	require.ErrorIs(t, err, grant.ErrShort)
+	require.ErrorIs(t, err, grant.ErrInsufficientTokens)
 	h.Borrow(now, "b", grant.Lot{Part: grant.Part{Holder: "router-1/b", Seq: 9, Tokens: 500}})
 	one, err := h.Reserve(now, "b", 600)
 	require.NoError(t, err)
 	_, err = h.Reserve(now, "b", 1)
-	require.ErrorIs(t, err, grant.ErrShort, "more than was granted")
+	require.ErrorIs(t, err, grant.ErrInsufficientTokens, "more than was granted")
 	h.Settle(now, one, 600)
 }
--- a/coord/grant/granter.go
+++ b/coord/grant/granter.go
@@ -41,21 +41,21 @@
 	// decided elsewhere, before the holder plans on it; it reports whether it
 	// changed the page. It must be idempotent.
 	Prepare func(key string, p *account.Page) bool
-	// Moved, if set, is told of tokens that were taken or given back, once that is
+	// OnTransfer, if set, is told of tokens that were taken or given back, once that is
 	// durable, and of what decided it.
-	Moved func(d Decision, v View)
-	// UsedUp, if set, is told when a page has too little left for a request that waits.
-	UsedUp func(v View)
-	// Ended, if set, is told how each sync ended and how long it took, whoever waited for it.
-	Ended func(took time.Duration, err error)
-	// KeepPages is how long a page that was read or written is used again without
+	OnTransfer func(d Decision, v View)
+	// OnExhausted, if set, is told when a page has too little left for a request that waits.
+	OnExhausted func(v View)
+	// OnSyncEnd, if set, is told how each sync ended and how long it took, whoever waited for it.
+	OnSyncEnd func(took time.Duration, err error)
+	// PageCacheTTL is how long a page that was read or written is used again without
 	// reading it; 0 reads each time. It suits pages that one process writes: a write
 	// on a page that others changed meanwhile only fails and is tried again on a
 	// fresh read.
-	KeepPages time.Duration
-	// Fresh is how old a kept page may be to tell that tokens lack. It bounds the
+	PageCacheTTL time.Duration
+	// MaxFreshAge is how old a kept page may be to tell that tokens lack. It bounds the
 	// reads of a budget near its end, of which each request would make one else.
-	Fresh time.Duration
+	MaxFreshAge time.Duration
 	// Now is the clock.
 	Now func() time.Time
 
@@ -108,7 +108,7 @@
 	case s.empty:
 		return false, Error.Wrap(ErrExhausted)
 	}
-	return !s.lacking, Error.Wrap(ErrShort)
+	return !s.lacking, Error.Wrap(ErrInsufficientTokens)
 }
 
 // Sync reports to the page, takes and gives back. A caller that comes while a
@@ -128,8 +128,8 @@
 	return f.wait(ctx)
 }
 
-// Changed makes the next sync of a page read it: somebody else wrote it.
-func (g *StoreGranter) Changed(key string) { g.forget(key) }
+// InvalidatePage makes the next sync of a page read it: somebody else wrote it.
+func (g *StoreGranter) InvalidatePage(key string) { g.forget(key) }
 
 // Wait waits for the calls that are on their way; call it when no more are begun.
 func (g *StoreGranter) Wait() { g.flying.Wait() }
@@ -140,14 +140,14 @@
 	own, cancel := context.WithTimeout(context.WithoutCancel(ctx), cmp.Or(g.SyncTimeout, g.Timeout))
 	defer cancel()
 	f.err = g.sync(own, key)
-	if g.Ended != nil {
-		g.Ended(g.Now().Sub(f.began), f.err)
+	if g.OnSyncEnd != nil {
+		g.OnSyncEnd(g.Now().Sub(f.began), f.err)
 	}
 	g.leave(key, f)
 }
 
-// Lagging reports whether a sync that has not ended began so long ago.
-func (g *StoreGranter) Lagging(d time.Duration) bool {
+// SyncOverdue reports whether a sync that has not ended began so long ago.
+func (g *StoreGranter) SyncOverdue(d time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, f := range g.flights {
@@ -240,14 +240,14 @@
 	g.keep(key, item, known.Revision == item.Revision)
 	for _, c := range commits {
 		lacking = lacking || c.lacking
-		if c.empty && fresh && g.UsedUp != nil {
-			g.UsedUp(c.view)
+		if c.empty && fresh && g.OnExhausted != nil {
+			g.OnExhausted(c.view)
 		}
 	}
-	if write && g.Moved != nil {
+	if write && g.OnTransfer != nil {
 		for _, c := range commits {
 			if c.decision.Take != 0 || c.decision.Give != 0 {
-				g.Moved(c.decision, c.view)
+				g.OnTransfer(c.decision, c.view)
 			}
 		}
 	}
@@ -264,15 +264,15 @@
 	defer g.mu.Unlock()
 	k := g.kept[key]
 	age := g.Now().Sub(k.at)
-	if age >= g.KeepPages {
+	if age >= g.PageCacheTTL {
 		return store.Item{}, false
 	}
-	return k.item, age < g.Fresh
+	return k.item, age < g.MaxFreshAge
 }
 
 // keep notes a page; one that was neither read nor written goes on ageing.
 func (g *StoreGranter) keep(key string, item store.Item, untouched bool) {
-	if g.KeepPages == 0 || untouched {
+	if g.PageCacheTTL == 0 || untouched {
 		return
 	}
 	g.mu.Lock()
--- a/coord/grant/holder.go
+++ b/coord/grant/holder.go
@@ -83,31 +83,31 @@
 // ID returns the holder's id.
 func (h *Holder) ID() string { return h.id }
 
-// Expect tells how many holders the fleet has. Without it the first holder that
+// SetExpectedHolders tells how many holders the fleet has. Without it the first holder that
 // comes to a new budget would take all of it, and every other one would have to
 // borrow until the next rebalance.
-func (h *Holder) Expect(holders int) {
+func (h *Holder) SetExpectedHolders(holders int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.expected = holders
 }
 
-// AverageDemand sets the time constant of the average of demand, before the first
+// SetDemandWindow sets the time constant of the average of demand, before the first
 // request. A short one follows a team whose traffic jumps, a long one spares calls.
-func (h *Holder) AverageDemand(window time.Duration) {
+func (h *Holder) SetDemandWindow(window time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.window = window
 }
 
-// Lean makes rows as small as they can be, for fleets that take a dead life's rest as
+// UseMinimalRows makes rows as small as they can be, for fleets that take a dead life's rest as
 // spent instead of recovering it by evidence. A row is made with the first grant and not
 // before. Reports count every settled reservation, also those numbered after one that is
 // still open; that keeps small what a dead life leaves unreported, but such a row does
 // not say which reservations it covers. Demand is counted when tokens are set aside: a
 // cut may come before the first long streams have ended. What rows of dead holders have
 // left counts as spent; dead reports whether a holder is known to be so.
-func (h *Holder) Lean(dead func(holder string) bool) {
+func (h *Holder) UseMinimalRows(dead func(holder string) bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.lean, h.dead = true, dead
@@ -150,7 +150,7 @@
 	b.lastUse = now
 	b.worst = max(n, b.worst-b.worst/worstDecay)
 	if n <= 0 || b.atHand() < n {
-		return Reservation{}, Error.Wrap(ErrShort)
+		return Reservation{}, Error.Wrap(ErrInsufficientTokens)
 	}
 	if h.lean {
 		b.spend(now, n)
@@ -263,15 +263,15 @@
 	})
 }
 
-// Others lists the other holders that had rows on the pages seen lately.
-func (h *Holder) Others() []string {
+// OtherHolders lists the other holders that had rows on the pages seen lately.
+func (h *Holder) OtherHolders() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Sorted(maps.Keys(h.others))
 }
 
-// Recovered forgets a holder whose recovery is complete.
-func (h *Holder) Recovered(holder string) {
+// ForgetRecovered forgets a holder whose recovery is complete.
+func (h *Holder) ForgetRecovered(holder string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.others, holder)
@@ -308,7 +308,7 @@
 	Settled   int64   `json:"settled"`
 	Reserved  int64   `json:"reserved"`
 	Available int64   `json:"available"`
-	AtHand    int64   `json:"at_hand"`
+	Spendable    int64   `json:"at_hand"`
 	Lots      int     `json:"lots"`
 	Lent      int     `json:"lent"`
 	Through   int64   `json:"through"`
@@ -323,7 +323,7 @@
 	for _, b := range h.books {
 		out = append(out, BudgetState{
 			Budget: b.budget, Granted: b.granted, Returned: b.returned, Settled: b.settled,
-			Reserved: b.reserved, Available: b.available(), AtHand: b.atHand(),
+			Reserved: b.reserved, Available: b.available(), Spendable: b.atHand(),
 			Lots: len(b.lots), Lent: len(b.lent), Through: b.through, Demand: b.demandNow(now),
 		})
 	}
--- a/coord/grant/horizon.go
+++ b/coord/grant/horizon.go
@@ -17,31 +17,31 @@
 type HorizonPolicy struct {
 	// Horizon is the longest cut that held tokens should outlast.
 	Horizon time.Duration
-	// Worsts is how many of the largest recent requests a holder keeps room for
+	// LargestRequests is how many of the largest recent requests a holder keeps room for
 	// beside that: a single request may need more than many seconds of demand.
-	Worsts float64
+	LargestRequests float64
 	// Role says what this holder is to a budget; nil stands for HomeOf.
 	Role func(budget string) Role
-	// Asking reports whether a request of this holder has turned to the store
+	// UsingStore reports whether a request of this holder has turned to the store
 	// itself, its peers being out of reach; nil stands for always. A borrower takes
 	// nothing from the store otherwise: its requests wait for what peers lend.
-	Asking func(budget string) bool
-	// StandIn is the horizon of a holder that stands in for a home: it is asked for
+	UsingStore func(budget string) bool
+	// StandbyHorizon is the horizon of a holder that stands in for a home: it is asked for
 	// some seconds only, and what it holds is held twice.
-	StandIn time.Duration
+	StandbyHorizon time.Duration
 	// Share is the most of a full budget that is held beyond what is set aside (0..1):
 	// what one death can cost. The share of the rest shrinks as the budget is used
 	// up: a power loss late in a budget must leave enough to serve those who come
 	// after it. The bound also limits what a few large requests in a holder's first
 	// second make of the demand.
 	Share float64
-	// MostLost is the most that a holder has available while the store answers well, as a
+	// MaxLoss is the most that a holder has available while the store answers well, as a
 	// share of what is left of the budget (0..1), and Wary reports that it was slow or silent
 	// lately. What is available is lost with a dead life. Early in a budget the bound leaves
 	// room for an outage without a warning; the less there is left, the more each later
 	// request depends on it, and the less is put at stake. 0 is no such bound.
-	MostLost float64
-	Wary     func() bool
+	MaxLoss float64
+	StoreDegraded     func() bool
 	// Refill is the demand that one take may add while Recovering reports a cut that
 	// ended lately; 0 takes all at once. After a cut the holder so gets back to its
 	// target over some seconds: a second cut is then less likely than a power loss
@@ -58,27 +58,27 @@
 
 // The roles.
 const (
-	// HomeOf a budget lends to all others.
-	HomeOf Role = iota
-	// StandInFor a home lends to those who do not reach it.
-	StandInFor
-	// BorrowerOf a budget takes what waits, and gives the rest back at once.
-	BorrowerOf
+	// RolePrimary a budget lends to all others.
+	RolePrimary Role = iota
+	// RoleStandby a home lends to those who do not reach it.
+	RoleStandby
+	// RoleBorrower a budget takes what waits, and gives the rest back at once.
+	RoleBorrower
 )
 
 // Decide implements Policy.
 func (p HorizonPolicy) Decide(v View) Decision {
-	if p.role(v.Budget) == BorrowerOf {
+	if p.role(v.Budget) == RoleBorrower {
 		return p.borrower(v)
 	}
 	need := v.Waiting - v.Available
 	target := p.target(v)
 	slack := int64(p.Slack * float64(target))
-	if v.Written {
+	if v.PageWritten {
 		slack = 0
 	}
 	switch {
-	case v.Waiting > 0 && v.Free+v.Available < v.Smallest:
+	case v.Waiting > 0 && v.Free+v.Available < v.SmallestWaiting:
 		// What does not suffice for any waiting request would be missing when a
 		// smaller one comes elsewhere.
 		return Decision{}
@@ -93,10 +93,10 @@
 // borrower takes what waits for the store, and else gives its row up: each row of a page
 // is looked after with reads and writes.
 func (p HorizonPolicy) borrower(v View) Decision {
-	if p.Asking == nil || p.Asking(v.Budget) {
+	if p.UsingStore == nil || p.UsingStore(v.Budget) {
 		return exact(v)
 	}
-	return Decision{Give: v.Available, Fold: true}
+	return Decision{Give: v.Available, RemoveRow: true}
 }
 
 // refill is how much a holder may take towards its target at once.
@@ -110,21 +110,21 @@
 
 // target is what a home or its stand-in should have available.
 func (p HorizonPolicy) target(v View) int64 {
-	if p.role(v.Budget) == StandInFor {
-		return int64(v.Demand * p.StandIn.Seconds())
+	if p.role(v.Budget) == RoleStandby {
+		return int64(v.Demand * p.StandbyHorizon.Seconds())
 	}
-	wanted := v.Demand*p.Horizon.Seconds() + p.Worsts*float64(v.Worst)
+	wanted := v.Demand*p.Horizon.Seconds() + p.LargestRequests*float64(v.LargestRecent)
 	rest := float64(v.Unspent)
 	bound := p.Share * rest * math.Sqrt(rest/float64(max(1, v.Credit)))
-	if p.MostLost > 0 && !p.Wary() {
-		bound = min(bound, max(p.MostLost*rest, float64(v.Worst)))
+	if p.MaxLoss > 0 && !p.StoreDegraded() {
+		bound = min(bound, max(p.MaxLoss*rest, float64(v.LargestRecent)))
 	}
 	return int64(min(wanted, bound))
 }
 
 func (p HorizonPolicy) role(budget string) Role {
 	if p.Role == nil {
-		return HomeOf
+		return RolePrimary
 	}
 	return p.Role(budget)
 }
@@ -134,7 +134,7 @@
 
 // LowWater implements Policy.
 func (p HorizonPolicy) LowWater(budget string, demand float64, worst int64) int64 {
-	if p.role(budget) != HomeOf {
+	if p.role(budget) != RolePrimary {
 		return 0
 	}
 	return int64(demand*p.Horizon.Seconds()*(1-p.Slack)) + worst
--- a/coord/grant/lean_property_test.go
+++ b/coord/grant/lean_property_test.go
@@ -25,7 +25,7 @@
 // leanFleet is two lenders and two routers on one page, whose dead are not recovered: what
 // they held counts as spent.
 type leanFleet struct {
-	words   settlement.Words
+	words   settlement.AnswerCache
 	t       *rapid.T
 	store   *memstore.Store
 	faults  memstore.Faults
@@ -65,7 +65,7 @@
 	// cut lives reach nobody, aside ones are no homes, asking ones turn to the store.
 	cut, aside, asking bool
 	open               []leanRequest
-	register           settlement.Register
+	register           settlement.BorrowerRegistry
 	exposure           settlement.Exposure
 	witness            settlement.Witness
 }
@@ -116,27 +116,27 @@
 	f.lives++
 	l := &leanLife{fleet: f, id: fmt.Sprint(kind, "/", f.lives)}
 	f.all = append(f.all, l)
-	l.register = settlement.Register{Store: cutStore{f.store, l}, Key: listPrefix + l.id}
-	l.exposure = settlement.Exposure{Register: &l.register, Tell: l.tell, Timeout: 100 * time.Millisecond,
-		Ahead: 250 * time.Millisecond, Now: time.Now}
+	l.register = settlement.BorrowerRegistry{Store: cutStore{f.store, l}, Key: listPrefix + l.id}
+	l.exposure = settlement.Exposure{Register: &l.register, Notify: l.tell, Timeout: 100 * time.Millisecond,
+		Lookahead: 250 * time.Millisecond, Now: time.Now}
 	role := func(string) grant.Role {
 		if kind == "router" || l.aside {
-			return grant.BorrowerOf
+			return grant.RoleBorrower
 		}
 		if f.lenders[0] == l {
-			return grant.HomeOf
+			return grant.RolePrimary
 		}
-		return grant.StandInFor
+		return grant.RoleStandby
 	}
-	l.holder = grant.NewHolder(l.id, f.layout, grant.HorizonPolicy{Horizon: 4 * time.Second, StandIn: 2 * time.Second,
-		Worsts: 1, Share: 0.9, Slack: 0.25, Role: role, Asking: func(string) bool { return l.asking }})
+	l.holder = grant.NewHolder(l.id, f.layout, grant.HorizonPolicy{Horizon: 4 * time.Second, StandbyHorizon: 2 * time.Second,
+		LargestRequests: 1, Share: 0.9, Slack: 0.25, Role: role, UsingStore: func(string) bool { return l.asking }})
 	l.exposure.Holder = l.holder
-	l.holder.AverageDemand(10 * time.Second)
-	l.holder.Lean(func(id string) bool { return f.dead[id] })
+	l.holder.SetDemandWindow(10 * time.Second)
+	l.holder.UseMinimalRows(func(id string) bool { return f.dead[id] })
 	l.pages = &grant.StoreGranter{Holder: l.holder, Store: cutStore{f.store, l}, Layout: f.layout, Now: time.Now,
-		Timeout: 100 * time.Millisecond, KeepPages: 10 * time.Second, Fresh: 500 * time.Millisecond,
-		Timing: grant.Timing{Rebalance: time.Second, Report: time.Second, Fold: time.Minute, Empty: 10 * time.Millisecond,
-			LowPause: 300 * time.Millisecond},
+		Timeout: 100 * time.Millisecond, PageCacheTTL: 10 * time.Second, MaxFreshAge: 500 * time.Millisecond,
+		Timing: grant.Timing{Rebalance: time.Second, Report: time.Second, RemoveIdleAfter: time.Minute, ExhaustedBackoff: 10 * time.Millisecond,
+			LowBackoff: 300 * time.Millisecond},
 		Prepare: func(_ string, p *account.Page) bool {
 			a := p.Accounts[budget]
 			if a == nil {
@@ -180,7 +180,7 @@
 func (l *leanLife) sync(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 	defer cancel()
-	_ = l.pages.Sync(ctx, l.fleet.layout.KeyOf(0)) // failures are part of the world
+	_ = l.pages.Sync(ctx, l.fleet.layout.PageKey(0)) // failures are part of the world
 }
 
 func (f *leanFleet) router() *leanLife { return rapid.SampledFrom(f.routers[:]).Draw(f.t, "router") }
@@ -216,7 +216,7 @@
 	case 13:
 		f.loseAnswers = !f.loseAnswers
 	case 14:
-		f.faults = memstore.Faults{Down: rapid.Bool().Draw(f.t, "down"), LoseWrites: rapid.IntRange(0, 2).Draw(f.t, "lose")}
+		f.faults = memstore.Faults{Down: rapid.Bool().Draw(f.t, "down"), LoseResponses: rapid.IntRange(0, 2).Draw(f.t, "lose")}
 		f.store.SetFaults(f.faults)
 	case 15:
 		f.audit()
@@ -228,7 +228,7 @@
 	case 23, 24:
 		f.appoint(ctx)
 	case 25:
-		_ = f.lender().exposure.Keep(ctx) // failures are part of the world
+		_ = f.lender().exposure.RaiseLimits(ctx) // failures are part of the world
 	case 26:
 		f.disturbWitness()
 	case 27:
@@ -317,9 +317,9 @@
 	if len(lenders) == 0 {
 		return
 	}
-	s := settlement.Settler{Store: f.store, Prefix: listPrefix, Words: &f.words,
-		Over: func(borrower string) bool { return f.dead[borrower] },
-		Ask: func(_ context.Context, borrower, lender string) (grant.Borrowed, error) {
+	s := settlement.Settler{Store: f.store, Prefix: listPrefix, Answers: &f.words,
+		Ended: func(borrower string) bool { return f.dead[borrower] },
+		AskBorrower: func(_ context.Context, borrower, lender string) (grant.Borrowed, error) {
 			for _, r := range f.routers {
 				if r.id == borrower && !r.cut {
 					word := r.holder.BorrowedFrom(lender)
@@ -335,7 +335,7 @@
 	defer cancel()
 	s.AskWitness = f.askWitness
 	lender := rapid.SampledFrom(lenders).Draw(f.t, "settled")
-	done, _ := s.Settle(ctx, lender, f.layout.KeyOf(0), rapid.Bool().Draw(f.t, "patient")) // failures are part of the world
+	done, _ := s.Settle(ctx, lender, f.layout.PageKey(0), rapid.Bool().Draw(f.t, "patient")) // failures are part of the world
 	if used, ended := done.Used[budget]; ended {
 		require.GreaterOrEqual(f.t, used, f.usedOf[lender], "tokens of a row count as used")
 	}
--- a/coord/grant/lots.go
+++ b/coord/grant/lots.go
@@ -18,13 +18,13 @@
 		return Lot{}, Error.Wrap(ErrFenced)
 	}
 	if h.stopping {
-		return Lot{}, Error.Wrap(ErrShort)
+		return Lot{}, Error.Wrap(ErrInsufficientTokens)
 	}
 	b := h.books[budget]
 	// Guard against a holder that asks itself, at the address of an earlier life: a
 	// lot of its own row would be settled whole with the first request on it.
 	if _, dead := h.shutOut[borrower]; dead || b == nil || borrower == h.id {
-		return Lot{}, Error.Wrap(ErrShort)
+		return Lot{}, Error.Wrap(ErrInsufficientTokens)
 	}
 	b.worst = max(need, b.worst-b.worst/worstDecay)
 	b.lastUse = now
@@ -35,9 +35,9 @@
 	n := min(lendable, max(need, min(want, lendable/2)))
 	switch {
 	case n < least && b.available() >= least:
-		return Lot{}, Error.Wrap(ErrUnexposed)
+		return Lot{}, Error.Wrap(ErrExposureLimit)
 	case n < least:
-		return Lot{}, Error.Wrap(ErrShort)
+		return Lot{}, Error.Wrap(ErrInsufficientTokens)
 	}
 	if h.lean {
 		b.spend(now, n)
@@ -221,11 +221,11 @@
 	}
 }
 
-// ShutOut uses the lots of a holder that was found dead no more, since agents refuse
+// ExcludeHolder uses the lots of a holder that was found dead no more, since agents refuse
 // them now, and lends it nothing: what is lent to it at this moment is what its
 // recovery settles. Its lots are still settled with it, for it may be alive after
 // all: forgetting them would let it take them back as unused and spend them again.
-func (h *Holder) ShutOut(lender string) {
+func (h *Holder) ExcludeHolder(lender string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.shutOut[lender] = struct{}{}
--- a/coord/grant/pages_test.go
+++ b/coord/grant/pages_test.go
@@ -27,16 +27,16 @@
 	layout := account.Layout{Prefix: "p/", Pages: 1}
 	role := func(string) grant.Role {
 		if h.borrows {
-			return grant.BorrowerOf
+			return grant.RoleBorrower
 		}
-		return grant.HomeOf
+		return grant.RolePrimary
 	}
-	holder := grant.NewHolder("home/1", layout, grant.HorizonPolicy{Horizon: time.Second, Worsts: 1, Share: 1, Slack: 0.25,
-		Role: role, Asking: func(string) bool { return h.asking }})
-	holder.Lean(func(string) bool { return false })
+	holder := grant.NewHolder("home/1", layout, grant.HorizonPolicy{Horizon: time.Second, LargestRequests: 1, Share: 1, Slack: 0.25,
+		Role: role, UsingStore: func(string) bool { return h.asking }})
+	holder.UseMinimalRows(func(string) bool { return false })
 	h.pages = &grant.StoreGranter{Holder: holder, Store: h.store, Layout: layout, Timeout: 400 * time.Millisecond,
-		KeepPages: 10 * time.Second, Fresh: 500 * time.Millisecond, Now: time.Now,
-		Timing: grant.Timing{Rebalance: time.Second, Report: time.Second, Fold: time.Hour, Empty: time.Millisecond, LowPause: time.Second},
+		PageCacheTTL: 10 * time.Second, MaxFreshAge: 500 * time.Millisecond, Now: time.Now,
+		Timing: grant.Timing{Rebalance: time.Second, Report: time.Second, RemoveIdleAfter: time.Hour, ExhaustedBackoff: time.Millisecond, LowBackoff: time.Second},
 		Prepare: func(_ string, p *account.Page) bool {
 			if p.Accounts["team"] != nil {
 				return false
@@ -78,7 +78,7 @@
 	virtualtime.Test(t, func(t *testing.T) {
 		h := newHome(t, 100)
 		var ended []error
-		h.pages.Ended = func(_ time.Duration, err error) { ended = append(ended, err) }
+		h.pages.OnSyncEnd = func(_ time.Duration, err error) { ended = append(ended, err) }
 		h.store.SetFaults(memstore.Faults{Delay: 50 * time.Millisecond})
 		a := h.acquirer()
 		go func() {
@@ -172,7 +172,7 @@
 		h := newHome(t, 100_000)
 		h.pages.CallTimeout, h.pages.SyncTimeout = 700*time.Millisecond, 2*time.Second
 		var ended []error
-		h.pages.Ended = func(_ time.Duration, err error) { ended = append(ended, err) }
+		h.pages.OnSyncEnd = func(_ time.Duration, err error) { ended = append(ended, err) }
 		h.store.SetFaults(memstore.Faults{Delay: 450 * time.Millisecond})
 		a := h.acquirer()
 		began := time.Now()
@@ -255,10 +255,10 @@
 // four seconds.
 func TestLittleIsHeldWhileTheStoreAnswers(t *testing.T) {
 	wary := false
-	p := grant.HorizonPolicy{Horizon: 4 * time.Second, Worsts: 1, Share: 0.9, MostLost: 0.1, Wary: func() bool { return wary }}
-	v := grant.View{Credit: 2_000_000, Free: 400_000, Unspent: 400_000, Demand: 20_000, Worst: 10_000}
+	p := grant.HorizonPolicy{Horizon: 4 * time.Second, LargestRequests: 1, Share: 0.9, MaxLoss: 0.1, StoreDegraded: func() bool { return wary }}
+	v := grant.View{Credit: 2_000_000, Free: 400_000, Unspent: 400_000, Demand: 20_000, LargestRecent: 10_000}
 	require.EqualValues(t, 40_000, p.Decide(v).Take)
-	v.Worst = 60_000
+	v.LargestRecent = 60_000
 	require.EqualValues(t, 60_000, p.Decide(v).Take)
 	wary = true
 	require.EqualValues(t, 140_000, p.Decide(v).Take)
--- a/coord/grant/peergranter.go
+++ b/coord/grant/peergranter.go
@@ -30,16 +30,16 @@
 // Obtain implements Granter.
 func (g *PeerGranter) Obtain(ctx context.Context, budget string, lack int64) error {
 	want := g.Holder.lotWant(g.Now(), budget)
-	verdict := Error.Wrap(ErrShort)
+	verdict := Error.Wrap(ErrInsufficientTokens)
 	for _, peer := range g.Peers(budget) {
 		began := g.Now()
 		l, err := g.ask(ctx, peer, budget, lack, want)
 		NoteAsked(ctx, peer, g.Now().Sub(began), err)
-		if errors.Is(err, ErrExhausted) || errors.Is(err, ErrNoBudget) || errors.Is(err, ErrHeld) {
+		if errors.Is(err, ErrExhausted) || errors.Is(err, ErrNoBudget) || errors.Is(err, ErrAllReserved) {
 			return err // a peer has just looked at the whole budget
 		}
 		if err != nil {
-			if !errors.Is(err, ErrShort) {
+			if !errors.Is(err, ErrInsufficientTokens) {
 				verdict = Error.Wrap(ErrUnreachable)
 			}
 			continue
--- a/coord/grant/plan.go
+++ b/coord/grant/plan.go
@@ -17,20 +17,20 @@
 	Rebalance time.Duration
 	// Report is the longest time that settled tokens stay unreported.
 	Report time.Duration
-	// Fold is the time without use after which the row is removed.
-	Fold time.Duration
-	// Empty is the time for which an exhausted budget is not asked for again.
-	Empty time.Duration
-	// LowPause is the shortest time between two looks at the page of a budget
+	// RemoveIdleAfter is the time without use after which the row is removed.
+	RemoveIdleAfter time.Duration
+	// ExhaustedBackoff is the time for which an exhausted budget is not asked for again.
+	ExhaustedBackoff time.Duration
+	// LowBackoff is the shortest time between two looks at the page of a budget
 	// that runs low. It doubles up to Rebalance while there is nothing to take,
 	// which bounds the store calls when the pool is empty.
-	LowPause time.Duration
+	LowBackoff time.Duration
 }
 
 // DefaultTiming suits a fleet of a few routers.
 func DefaultTiming() Timing {
-	return Timing{Rebalance: time.Minute, Report: 5 * time.Minute, Fold: 30 * time.Minute,
-		Empty: time.Second, LowPause: 2 * time.Second}
+	return Timing{Rebalance: time.Minute, Report: 5 * time.Minute, RemoveIdleAfter: 30 * time.Minute,
+		ExhaustedBackoff: time.Second, LowBackoff: 2 * time.Second}
 }
 
 // commit is what a planned page write changes in the books once it is durable.
@@ -148,13 +148,13 @@
 		return commit{book: b, view: h.view(now, a, b), lacking: lacks, empty: lacks && h.unspentLocked(a) < b.smallest()}, nil
 	}
 	if join {
-		a.Join(h.id)
+		a.AddHolder(h.id)
 		row = a.Rows[h.id]
 	}
 	// A write whose answer was lost shows here: the row has more than the book.
 	b.granted = max(b.granted, row.Granted)
 	v := h.view(now, a, b)
-	v.Written = written
+	v.PageWritten = written
 	d := h.policy.Decide(v)
 	b.returned += d.Give
 	report := h.reportLocked(now, b)
@@ -170,10 +170,10 @@
 	c.lacking = b.waiting() > b.available()+took
 	c.empty = took == 0 && len(b.waits) > 0 && h.unspentLocked(a) < b.smallest()
 	if c.empty {
-		c.view.Unspent, c.view.Dead = h.leftLocked(a) // the report above counts
+		c.view.Unspent, c.view.HeldByDead = h.leftLocked(a) // the report above counts
 	}
-	unused := now.Sub(b.lastUse) > t.Fold && !b.lastUse.IsZero()
-	if b.idle() && (unused || h.stopping) || d.Fold && b.rowIdle() {
+	unused := now.Sub(b.lastUse) > t.RemoveIdleAfter && !b.lastUse.IsZero()
+	if b.idle() && (unused || h.stopping) || d.RemoveRow && b.rowIdle() {
 		c.folded = h.foldLocked(a, b)
 	}
 	c.wrote = join || took > 0 || returned || due || c.folded
@@ -225,12 +225,12 @@
 	v := View{
 		Now: now, Budget: b.budget, Credit: a.Credit(), Free: a.Free(),
 		Granted: b.granted, Available: b.available(), Reserved: b.reserved,
-		Waiting: b.waiting(), Smallest: b.smallest(), Worst: b.worst, Demand: b.demandNow(now), Holders: max(len(a.Rows), h.expected),
+		Waiting: b.waiting(), SmallestWaiting: b.smallest(), LargestRecent: b.worst, Demand: b.demandNow(now), Holders: max(len(a.Rows), h.expected),
 	}
-	v.Unspent, v.Dead = h.leftLocked(a)
+	v.Unspent, v.HeldByDead = h.leftLocked(a)
 	for id, r := range a.Rows {
 		if id != h.id {
-			v.Others += r.Demand
+			v.OthersDemand += r.Demand
 		}
 	}
 	if !b.lastUse.IsZero() {
@@ -247,13 +247,13 @@
 	for _, c := range commits {
 		b := c.book
 		b.lastSync, b.lacking = now, c.lacking
-		b.lowPause = min(max(t.LowPause, 2*b.lowPause), t.Rebalance)
+		b.lowPause = min(max(t.LowBackoff, 2*b.lowPause), t.Rebalance)
 		if c.took {
-			b.lowPause = t.LowPause
+			b.lowPause = t.LowBackoff
 		}
 		b.nextSync = now.Add(t.Rebalance - h.phase(b.budget, t.Rebalance/4))
 		if c.empty {
-			b.emptyUntil = now.Add(t.Empty)
+			b.emptyUntil = now.Add(t.ExhaustedBackoff)
 		}
 		if !wrote {
 			continue
--- a/coord/grant/policy.go
+++ b/coord/grant/policy.go
@@ -11,31 +11,31 @@
 	// Credit is the sum of top-ups; Free may be granted; Unspent is left
 	// anywhere, in grants or free.
 	Credit, Free, Unspent int64
-	// Dead is what lives hold that have ended; it counts as spent and is not in Unspent.
-	Dead int64
+	// HeldByDead is what lives hold that have ended; it counts as spent and is not in Unspent.
+	HeldByDead int64
 	// Granted, Available and Reserved are the holder's own.
 	Granted, Available, Reserved int64
 	// Waiting is what requests wait for at this moment, Smallest the least that
 	// one of them wants; Worst is the largest recent reservation.
-	Waiting, Smallest, Worst int64
+	Waiting, SmallestWaiting, LargestRecent int64
 	// Demand is the holder's recent use, Others the sum of all other rows'
 	// (tokens a second).
-	Demand, Others float64
+	Demand, OthersDemand float64
 	// Holders counts the holders of the budget that there are or may be.
 	Holders int
 	// IdleFor is the time since the last use here.
 	IdleFor time.Duration
-	// Written says that the page is written anyway, for another budget: to take or give then
+	// PageWritten says that the page is written anyway, for another budget: to take or give then
 	// costs no call.
-	Written bool
+	PageWritten bool
 }
 
 // Decision is what a policy wants changed: tokens to take from the free pool,
 // or to give back to it. At most one of them is positive.
 type Decision struct {
 	Take, Give int64
-	// Fold says that the row is of no more use once nothing of it is set aside.
-	Fold bool
+	// RemoveRow says that the row is of no more use once nothing of it is set aside.
+	RemoveRow bool
 }
 
 // Policy decides the sizes of grants. It changes sizes and order only; the
@@ -97,7 +97,7 @@
 // Decide implements Policy.
 func (p DemandPolicy) Decide(v View) Decision {
 	target := p.target(v)
-	if target < int64(p.EndFactor*float64(v.Worst)) {
+	if target < int64(p.EndFactor*float64(v.LargestRecent)) {
 		return exact(v)
 	}
 	mine := v.Available + v.Reserved
@@ -118,10 +118,10 @@
 	n := max(1, v.Holders)
 	even := 1 / float64(n)
 	share := even
-	if all := v.Demand + v.Others; all > 0 {
+	if all := v.Demand + v.OthersDemand; all > 0 {
 		share = p.Floor*even + (1-p.Floor)*v.Demand/all
 	}
-	if v.IdleFor > p.IdleAfter && v.Others > 0 {
+	if v.IdleFor > p.IdleAfter && v.OthersDemand > 0 {
 		share = p.Floor * even
 	}
 	return int64(share * float64(v.Unspent))
@@ -136,7 +136,7 @@
 	switch {
 	case need <= 0:
 		return Decision{Give: -need}
-	case v.Free+v.Available < v.Smallest:
+	case v.Free+v.Available < v.SmallestWaiting:
 		return Decision{}
 	}
 	return Decision{Take: min(v.Free, need)}
--- a/coord/grant/property_test.go
+++ b/coord/grant/property_test.go
@@ -92,7 +92,7 @@
 	case 11:
 		w.recover()
 	case 12:
-		w.Store.SetFaults(memstore.Faults{LoseWrites: rapid.IntRange(0, 2).Draw(w.t, "lose"), Down: rapid.IntRange(0, 5).Draw(w.t, "down") == 0})
+		w.Store.SetFaults(memstore.Faults{LoseResponses: rapid.IntRange(0, 2).Draw(w.t, "lose"), Down: rapid.IntRange(0, 5).Draw(w.t, "down") == 0})
 		w.DropLots = rapid.IntRange(0, 2).Draw(w.t, "drop")
 	case 13:
 		for _, n := range w.Nodes {
@@ -154,7 +154,7 @@
 			if !n.Dead {
 				n.ReturnLots(0)
 				n.Audit()
-				n.SyncPage(w.ctx, w.Layout.KeyOf(0))
+				n.SyncPage(w.ctx, w.Layout.PageKey(0))
 			}
 		}
 	}
--- a/coord/grant/reservation.go
+++ b/coord/grant/reservation.go
@@ -17,14 +17,14 @@
 var Error = errs.Class("grant")
 
 var (
-	// ErrShort says that the holder has too few tokens at hand.
-	ErrShort = errs.New("too few tokens at hand")
+	// ErrInsufficientTokens says that the holder has too few tokens at hand.
+	ErrInsufficientTokens = errs.New("too few tokens at hand")
 	// ErrExhausted says that the whole budget has too few tokens left,
 	// wherever they lie.
 	ErrExhausted = errs.New("budget exhausted")
-	// ErrHeld says that what is left of the budget is set aside for requests in
+	// ErrAllReserved says that what is left of the budget is set aside for requests in
 	// progress. Some of it may come back, and nobody else has any.
-	ErrHeld = errs.New("all tokens left are set aside")
+	ErrAllReserved = errs.New("all tokens left are set aside")
 	// ErrUnreachable says that the budget may have tokens left, but none that
 	// can be reached now.
 	ErrUnreachable = errs.New("no tokens within reach")
--- a/coord/grant/witness_property_test.go
+++ b/coord/grant/witness_property_test.go
@@ -42,7 +42,7 @@
 func (f *leanFleet) noteFolded(ctx context.Context) {
 	f.store.SetFaults(memstore.Faults{})
 	defer f.store.SetFaults(f.faults)
-	item, err := f.store.Get(ctx, f.layout.KeyOf(0))
+	item, err := f.store.Get(ctx, f.layout.PageKey(0))
 	require.NoError(f.t, err)
 	p, err := account.Decode(item.Value)
 	require.NoError(f.t, err)
@@ -81,11 +81,11 @@
 		if w.id != witness || w.cut || l.cut {
 			continue
 		}
-		again := func() { _ = w.witness.Note(time.Now(), notice) } // a witness may refuse what is late
+		again := func() { _ = w.witness.Apply(time.Now(), notice) } // a witness may refuse what is late
 		f.mu.Lock()
 		f.late = append(f.late, again)
 		f.mu.Unlock()
-		if err := w.witness.Note(time.Now(), notice); err != nil || !f.loseAnswers {
+		if err := w.witness.Apply(time.Now(), notice); err != nil || !f.loseAnswers {
 			return err
 		}
 	}
@@ -100,11 +100,11 @@
 	f.late[i]()
 }
 
-func (f *leanFleet) askWitness(_ context.Context, witness, lender string, term int64) (settlement.Testimony, error) {
+func (f *leanFleet) askWitness(_ context.Context, witness, lender string, term int64) (settlement.WitnessAnswer, error) {
 	for _, w := range f.witnesses {
 		if w.id == witness && !w.cut && !f.loseAnswers {
-			return w.witness.Testify(lender, term), nil
+			return w.witness.Limits(lender, term), nil
 		}
 	}
-	return settlement.Testimony{}, errLost
+	return settlement.WitnessAnswer{}, errLost
 }
--- a/coord/incarnation/incarnation.go
+++ b/coord/incarnation/incarnation.go
@@ -90,8 +90,8 @@
 	rec.Clean, rec.Gone = false, false
 }
 
-// EndClean records that a life ended by a planned stop and left nothing behind.
-func (r Registry) EndClean(ctx context.Context, name string) error {
+// MarkClean records that a life ended by a planned stop and left nothing behind.
+func (r Registry) MarkClean(ctx context.Context, name string) error {
 	vm, count, err := Parse(name)
 	if err != nil {
 		return err
--- a/coord/internal/lab/experiment.go
+++ b/coord/internal/lab/experiment.go
@@ -373,7 +373,7 @@
 		}
 		for _, b := range m.Holder.State(x.f.Now) {
 			if b.Budget == budgetOf(team) {
-				have += b.AtHand
+				have += b.Spendable
 			}
 		}
 	}
--- a/coord/internal/lab/lab.go
+++ b/coord/internal/lab/lab.go
@@ -85,7 +85,7 @@
 }
 
 // Book is the operator's access to the accounts.
-func (f *Fleet) Book() account.Book { return account.Book{Store: f.Store, Layout: f.Layout} }
+func (f *Fleet) Book() account.AdminClient { return account.AdminClient{Store: f.Store, Layout: f.Layout} }
 
 // Quiesce waits for the calls of the store that are on their way, so that nothing of one
 // step goes on in the next. No request may be beginning meanwhile.
@@ -159,7 +159,7 @@
 	if err != nil {
 		return nil, err
 	}
-	a.Witness.Restore(upTo)
+	a.Witness.RestoreFences(upTo)
 	f.Agents = append(f.Agents, a)
 	return a, nil
 }
@@ -171,7 +171,7 @@
 		return nil, err
 	}
 	n := &Node{VM: vm, DC: dc, fleet: f, Holder: grant.NewHolder(life, f.Layout, f.Opt.Policy())}
-	n.Holder.Expect(f.Opt.Expect)
+	n.Holder.SetExpectedHolders(f.Opt.Expect)
 	now := func() time.Time { return f.Now }
 	n.Pages = &grant.StoreGranter{Holder: n.Holder, Store: f.gate(dc), Layout: f.Layout, Timing: f.Opt.Timing,
 		Timeout: CallTimeout / 2, Now: now}
@@ -312,7 +312,7 @@
 // Place syncs all pages of a node once.
 func (n *Node) Place(ctx context.Context) {
 	for p := range n.fleet.Layout.Pages {
-		n.SyncPage(ctx, n.fleet.Layout.KeyOf(p))
+		n.SyncPage(ctx, n.fleet.Layout.PageKey(p))
 	}
 }
 
@@ -349,7 +349,7 @@
 	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
 	r := &recovery.Recoverer{Store: f.gate(dc), Layout: f.Layout,
-		Lives:  incarnation.Registry{Store: f.gate(dc), Prefix: f.Lives.Prefix},
+		Incarnations:  incarnation.Registry{Store: f.gate(dc), Prefix: f.Lives.Prefix},
 		Fences: recovery.Fences{Store: f.gate(dc), Key: f.Fences.Key}, Fleet: access{f, dc, holder}}
 	return r.Recover(ctx, holder, forfeit)
 }
@@ -415,7 +415,7 @@
 	if err != nil {
 		return recovery.PeerEvidence{}, err
 	}
-	n.Holder.ShutOut(holder)
+	n.Holder.ExcludeHolder(holder)
 	return recovery.PeerEvidence{Lots: n.Holder.LentTo(holder)}, nil
 }
 
--- a/coord/ledger/charge.go
+++ b/coord/ledger/charge.go
@@ -18,9 +18,9 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("ledger")
 
-// ErrFull says that as many charges wait as may be kept; the caller must take no new
+// ErrBacklogFull says that as many charges wait as may be kept; the caller must take no new
 // work rather than lose one.
-var ErrFull = errs.New("too many charges wait for the ledger")
+var ErrBacklogFull = errs.New("too many charges wait for the ledger")
 
 // Charge is the bill of one request.
 type Charge struct {
--- a/coord/ledger/group.go
+++ b/coord/ledger/group.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Group collects the charges that reach a shard's owner during one interval and
+// Batcher collects the charges that reach a shard's owner during one interval and
 // appends them together, so that the store sees about one write a second for a
 // shard whatever the request rate is.
-type Group struct {
+type Batcher struct {
 	shard    *Shard
 	interval time.Duration
 	requests chan groupRequest
@@ -22,13 +22,13 @@
 // groupQueue bounds the appends that wait for a flush.
 const groupQueue = 1024
 
-// NewGroup returns the group commit of a shard. Run must be running for Append.
-func NewGroup(s *Shard, interval time.Duration) *Group {
-	return &Group{shard: s, interval: interval, requests: make(chan groupRequest, groupQueue)}
+// NewBatcher returns the group commit of a shard. Run must be running for Append.
+func NewBatcher(s *Shard, interval time.Duration) *Batcher {
+	return &Batcher{shard: s, interval: interval, requests: make(chan groupRequest, groupQueue)}
 }
 
 // Append waits until the charges are durable and returns the last segment.
-func (g *Group) Append(ctx context.Context, charges []Charge) (int64, error) {
+func (g *Batcher) Append(ctx context.Context, charges []Charge) (int64, error) {
 	r := groupRequest{charges: charges, done: make(chan error, 1)}
 	select {
 	case g.requests <- r:
@@ -45,10 +45,10 @@
 
 // Waiting counts the appends that wait for a flush, and the most that may. More than
 // that are not dropped: their callers wait, within their contexts.
-func (g *Group) Waiting() (n, most int) { return len(g.requests), cap(g.requests) }
+func (g *Batcher) Waiting() (n, most int) { return len(g.requests), cap(g.requests) }
 
 // Run flushes once an interval until the context ends.
-func (g *Group) Run(ctx context.Context) {
+func (g *Batcher) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -60,7 +60,7 @@
 }
 
 // collect gathers what comes within the interval after the first request.
-func (g *Group) collect(ctx context.Context, first groupRequest) []groupRequest {
+func (g *Batcher) collect(ctx context.Context, first groupRequest) []groupRequest {
 	batch := []groupRequest{first}
 	t := time.NewTimer(g.interval)
 	defer t.Stop()
@@ -77,7 +77,7 @@
 	return batch
 }
 
-func (g *Group) flush(ctx context.Context, batch []groupRequest) {
+func (g *Batcher) flush(ctx context.Context, batch []groupRequest) {
 	var all []Charge
 	for _, r := range batch {
 		all = append(all, r.charges...)
--- a/coord/ledger/ledger_test.go
+++ b/coord/ledger/ledger_test.go
@@ -57,7 +57,7 @@
 func TestLostAnswerOfASegment(t *testing.T) {
 	s, ctx := memstore.New(), t.Context()
 	shard := ledger.OpenShard(s, layout, 0, "r#1", 100)
-	s.SetFaults(memstore.Faults{LoseWrites: 1})
+	s.SetFaults(memstore.Faults{LoseResponses: 1})
 	batch := []ledger.Charge{charge("a", 5), charge("b", 7)}
 	require.Error(t, shard.Append(ctx, batch))
 	require.NoError(t, shard.Append(ctx, append(batch, charge("c", 1))))
@@ -130,7 +130,7 @@
 			require.NoError(t, o.Admit())
 			o.Put(charge(fmt.Sprint(i), 1))
 		}
-		require.ErrorIs(t, o.Admit(), ledger.ErrFull)
+		require.ErrorIs(t, o.Admit(), ledger.ErrBacklogFull)
 		time.Sleep(10 * time.Minute)
 		require.Equal(t, 3, o.Waiting())
 		d.down.Store(false)
@@ -148,7 +148,7 @@
 func TestGroupCommit(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		s := memstore.New()
-		g := ledger.NewGroup(ledger.OpenShard(s, layout, 0, "r#1", 100), time.Second)
+		g := ledger.NewBatcher(ledger.OpenShard(s, layout, 0, "r#1", 100), time.Second)
 		ctx, cancel := context.WithCancel(t.Context())
 		go g.Run(ctx)
 		for i := range 500 {
@@ -174,7 +174,7 @@
 			case 0:
 				owners = append(owners, ledger.OpenShard(s, layout, 0, fmt.Sprintf("o#%d", len(owners)), 2))
 			case 1:
-				s.SetFaults(memstore.Faults{LoseWrites: 1})
+				s.SetFaults(memstore.Faults{LoseResponses: 1})
 			default:
 				appendUntilDurable(ctx, t, rapid.SampledFrom(owners).Draw(t, "owner"), drawCharges(t, want))
 			}
--- a/coord/ledger/outbox.go
+++ b/coord/ledger/outbox.go
@@ -55,7 +55,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.count+o.admitted >= o.limit {
-		return Error.Wrap(ErrFull)
+		return Error.Wrap(ErrBacklogFull)
 	}
 	o.admitted++
 	return nil
@@ -82,10 +82,10 @@
 	}
 }
 
-// Prime learns the last segment of each shard. A process calls it before it takes
+// LoadFloors learns the last segment of each shard. A process calls it before it takes
 // work: with a floor of 0 the owner would have to look through the whole log for a
 // repeat of each of its first charges.
-func (o *Outbox) Prime(ctx context.Context) error {
+func (o *Outbox) LoadFloors(ctx context.Context) error {
 	var group errgroup.Group
 	for shard := range o.layout.Shards {
 		group.Go(func() error {
--- a/coord/member/lease.go
+++ b/coord/member/lease.go
@@ -25,8 +25,8 @@
 	tidyPause = time.Second
 )
 
-// Keep registers this process and renews its lease until the context ends.
-func (g *Group) Keep(ctx context.Context) {
+// KeepAlive registers this process and renews its lease until the context ends.
+func (g *Group) KeepAlive(ctx context.Context) {
 	g.init()
 	tidy := time.NewTicker(tidyPause)
 	defer tidy.Stop()
@@ -61,16 +61,16 @@
 	return retry.Next()
 }
 
-// Find reads the list at the start until there is somebody else in it, or for a third of a second: whom
+// FindPeers reads the list at the start until there is somebody else in it, or for a third of a second: whom
 // to follow is not known before, and if each process of a fleet that starts followed the store
 // meanwhile, they would ask for more than it takes.
-func (g *Group) Find(ctx context.Context) {
+func (g *Group) FindPeers(ctx context.Context) {
 	for try := range findTries {
 		if try > 0 && backoff.Sleep(ctx, findPause) != nil {
 			return
 		}
 		reading, cancel := context.WithTimeout(ctx, findTimeout)
-		items, err := g.Store.Peek(reading, g.Prefix)
+		items, err := g.Store.StaleSnapshot(reading, g.Prefix)
 		cancel()
 		if err == nil {
 			g.Reset(items)
@@ -96,9 +96,9 @@
 	}
 }
 
-// StepAside takes this process off the list, or puts it back, and keeps it so. A process
+// SetWithdrawn takes this process off the list, or puts it back, and keeps it so. A process
 // that is about to lose its VM steps aside while it can still hand over what it has.
-func (g *Group) StepAside(aside bool) {
+func (g *Group) SetWithdrawn(aside bool) {
 	g.mu.Lock()
 	changed := g.aside != aside
 	g.aside = aside
@@ -110,7 +110,7 @@
 
 // renew renews the lease, or registers anew when it has ended.
 func (g *Group) renew(ctx context.Context) error {
-	if g.Aside() {
+	if g.Withdrawn() {
 		return g.withdraw(ctx)
 	}
 	if id := g.current(); id != 0 {
@@ -162,8 +162,8 @@
 	return g.lease
 }
 
-// Aside reports whether this process has stepped aside.
-func (g *Group) Aside() bool {
+// Withdrawn reports whether this process has stepped aside.
+func (g *Group) Withdrawn() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.aside
--- a/coord/member/member.go
+++ b/coord/member/member.go
@@ -23,10 +23,10 @@
 	Datacentre string `json:"datacentre"`
 	// Address is where it takes messages of other members.
 	Address string `json:"address"`
-	// Beside is the address of the upstream on its VM, "" if there is none.
-	Beside string `json:"beside,omitempty"`
-	// Relays says that its VM is strong enough to relay the store's changes to many others.
-	Relays bool `json:"relays,omitempty"`
+	// UpstreamAddress is the address of the upstream on its VM, "" if there is none.
+	UpstreamAddress string `json:"beside,omitempty"`
+	// CanRelay says that its VM is strong enough to relay the store's changes to many others.
+	CanRelay bool `json:"relays,omitempty"`
 	// revision is that of the key; of two lives of one VM the newer has the higher.
 	revision store.Revision
 	// created is the revision at which the key was created; see store.Item.
@@ -71,7 +71,7 @@
 	missing map[string]Member
 	// kept are the keys of members that outlived the last loss of the store.
 	kept   map[string]bool
-	lapses lapse.Judge
+	lapses lapse.Detector
 	lease  store.LeaseID
 	// registered is when that lease's entry was written.
 	registered time.Time
@@ -152,8 +152,8 @@
 	return m.Address, ok
 }
 
-// Beside returns the member on the VM of the upstream with that address.
-func (g *Group) Beside(upstream string) (Member, bool) {
+// ByUpstream returns the member on the VM of the upstream with that address.
+func (g *Group) ByUpstream(upstream string) (Member, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.beside == nil {
@@ -218,8 +218,8 @@
 func besides(members map[string]Member) map[string]Member {
 	out := map[string]Member{}
 	for _, m := range members {
-		if have, ok := out[m.Beside]; m.Beside != "" && (!ok || have.revision < m.revision) {
-			out[m.Beside] = m
+		if have, ok := out[m.UpstreamAddress]; m.UpstreamAddress != "" && (!ok || have.revision < m.revision) {
+			out[m.UpstreamAddress] = m
 		}
 	}
 	return out
--- a/coord/member/member_test.go
+++ b/coord/member/member_test.go
@@ -30,7 +30,7 @@
 
 // run keeps a group, and follows the members in the store.
 func run(ctx context.Context, s *memstore.Store, g *Group) {
-	go g.Keep(ctx)
+	go g.KeepAlive(ctx)
 	go (&mirror.Mirror{Store: s, Prefix: g.Prefix, Reader: g}).Run(ctx)
 }
 
@@ -69,16 +69,16 @@
 		run(ctx, s, g)
 		time.Sleep(2 * time.Minute)
 		listed := func() int {
-			items, err := s.Peek(ctx, "m/")
+			items, err := s.StaleSnapshot(ctx, "m/")
 			require.NoError(t, err)
 			return len(items)
 		}
 		require.Equal(t, 1, listed())
-		g.StepAside(true)
+		g.SetWithdrawn(true)
 		synctest.Wait()
 		require.Zero(t, listed())
 		require.Empty(t, g.Members(), "its own view follows")
-		g.StepAside(false)
+		g.SetWithdrawn(false)
 		synctest.Wait()
 		require.Equal(t, 1, listed())
 	})
@@ -265,13 +265,13 @@
 		time.Sleep(5 * time.Second)
 		require.Equal(t, 3, sharers(groups[0]))
 		_, before := groups[2].Sharers()
-		groups[2].StepAside(true)
+		groups[2].SetWithdrawn(true)
 		time.Sleep(rememberFor - time.Second)
 		require.Equal(t, 3, sharers(groups[0]))
 		require.Zero(t, sharers(groups[2]))
 		time.Sleep(3 * time.Second)
 		require.Equal(t, 2, sharers(groups[0]))
-		groups[2].StepAside(false)
+		groups[2].SetWithdrawn(false)
 		time.Sleep(time.Second)
 		require.Equal(t, 3, sharers(groups[2]))
 		_, after := groups[2].Sharers()
--- a/coord/member/view.go
+++ b/coord/member/view.go
@@ -43,7 +43,7 @@
 		}
 		if g.lost {
 			g.lost = false
-			g.lapses.StoreIsBack(now, returnGrace)
+			g.lapses.StartGrace(now, returnGrace)
 		}
 		g.judgeReadLocked(listed)
 		for key := range g.members {
@@ -152,7 +152,7 @@
 			again++
 		}
 	}
-	g.lapses.Read(len(g.kept), again)
+	g.lapses.RecordRead(len(g.kept), again)
 }
 
 // missLocked notes that a member is listed no longer. It leaves the view at once, unless it may
@@ -162,8 +162,8 @@
 	_, missing := g.missing[key]
 	switch {
 	case !known || missing:
-	case g.lapses.Possible(now):
-		g.lapses.Miss(g.kept[key])
+	case g.lapses.InGrace(now):
+		g.lapses.RecordMissing(g.kept[key])
 		delete(g.kept, key)
 		g.missing[key] = m
 	default:
@@ -173,7 +173,7 @@
 
 // judgeMissingLocked puts missing members into the view, or takes them out of it.
 func (g *Group) judgeMissingLocked(now time.Time) {
-	lapsed, over := g.lapses.Lapsed(now), !g.lapses.Possible(now)
+	lapsed, over := g.lapses.Lapsed(now), !g.lapses.InGrace(now)
 	for key, m := range g.missing {
 		if lapsed {
 			g.members[key] = m
--- a/coord/mirror/mirror.go
+++ b/coord/mirror/mirror.go
@@ -12,8 +12,8 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrCut says that a watch ended; the keys are read again.
-var ErrCut = errs.New("watch was cut")
+// ErrWatchInterrupted says that a watch ended; the keys are read again.
+var ErrWatchInterrupted = errs.New("watch was cut")
 
 // Reader takes what a Mirror reads. Its methods are called from one goroutine.
 type Reader interface {
@@ -40,9 +40,9 @@
 	Store  store.Store
 	Prefix string
 	Reader Reader
-	// Complete, if set, is called after each answer of the store with the revision up to
+	// OnProgress, if set, is called after each answer of the store with the revision up to
 	// which the Reader has all changes.
-	Complete func(at store.Revision)
+	OnProgress func(at store.Revision)
 }
 
 // Run follows the prefix until the context ends.
@@ -81,11 +81,11 @@
 			m.Reader.Changed(e)
 		}
 	}
-	return store.Error.Wrap(ErrCut)
+	return store.Error.Wrap(ErrWatchInterrupted)
 }
 
 func (m *Mirror) complete(at store.Revision) {
-	if m.Complete != nil {
-		m.Complete(at)
+	if m.OnProgress != nil {
+		m.OnProgress(at)
 	}
 }
--- a/coord/recovery/recovery.go
+++ b/coord/recovery/recovery.go
@@ -71,7 +71,7 @@
 type Recoverer struct {
 	Store  store.Store
 	Layout account.Layout
-	Lives  incarnation.Registry
+	Incarnations  incarnation.Registry
 	Fences Fences
 	Fleet  Fleet
 }
@@ -101,7 +101,7 @@
 	}
 	res := Result{Holder: holder}
 	for page := range r.Layout.Pages {
-		if err := r.page(ctx, r.Layout.KeyOf(page), c, &res); err != nil {
+		if err := r.page(ctx, r.Layout.PageKey(page), c, &res); err != nil {
 			return res, err
 		}
 	}
@@ -128,7 +128,7 @@
 func (r *Recoverer) collect(ctx context.Context, holder string) (*collected, error) {
 	c := &collected{holder: holder, uses: map[Use]int64{}, lots: map[string][]grant.LotReturn{}, answered: map[string]bool{}}
 	var err error
-	if c.lives, err = r.Lives.All(ctx); err != nil {
+	if c.lives, err = r.Incarnations.All(ctx); err != nil {
 		return nil, err
 	}
 	var mu sync.Mutex
--- a/coord/recovery/recovery_test.go
+++ b/coord/recovery/recovery_test.go
@@ -119,7 +119,7 @@
 		f.bergen.Frozen = false
 		_, err = f.bergen.Serve(f.ctx, "late", budget, 100)
 		require.Error(t, err, "its tokens belong to others now")
-		f.bergen.SyncPage(f.ctx, f.Layout.KeyOf(0))
+		f.bergen.SyncPage(f.ctx, f.Layout.PageKey(0))
 		require.True(t, f.bergen.Holder.Fenced(), "it notices that its row is gone")
 		require.Equal(t, int64(1000), f.Served(budget))
 	})
--- a/coord/relay/follower.go
+++ b/coord/relay/follower.go
@@ -82,8 +82,8 @@
 	Source string `json:"source"`
 	// Revisions are those up to which the readers have all changes, by prefix.
 	Revisions map[string]store.Revision `json:"revisions"`
-	// Heard is when a source answered last, and Age how old (ns) what it had was then.
-	Heard time.Time     `json:"heard"`
+	// LastReply is when a source answered last, and Age how old (ns) what it had was then.
+	LastReply time.Time     `json:"heard"`
 	Age   time.Duration `json:"age_ns"`
 }
 
@@ -102,7 +102,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.told = FollowerState{Source: f.current, Revisions: revisions, Heard: f.Now(), Age: age}
+	f.told = FollowerState{Source: f.current, Revisions: revisions, LastReply: f.Now(), Age: age}
 }
 
 // progress is how far one reader is.
@@ -220,7 +220,7 @@
 	a := f.coolDown(source, 0)
 	a.until = f.Now().Add(backoff.Jitter(min(cooldownMax, cooldownMin<<min(a.fails, 8))))
 	a.fails, a.lost = a.fails+1, false
-	if errors.Is(err, ErrNonsense) || errors.Is(err, ErrLeftOut) || errors.Is(err, ErrOtherStore) {
+	if errors.Is(err, ErrInvalidReply) || errors.Is(err, ErrMissingUpdate) || errors.Is(err, ErrOtherStore) {
 		f.Report.SourceRefused(source, err)
 	}
 }
@@ -268,7 +268,7 @@
 func (f *Follower) take(r Reply) error {
 	for prefix := range f.copies {
 		if !slices.ContainsFunc(r.Updates, func(u Update) bool { return u.Prefix == prefix }) {
-			return Error.Wrap(ErrLeftOut)
+			return Error.Wrap(ErrMissingUpdate)
 		}
 	}
 	for _, u := range r.Updates {
@@ -299,13 +299,13 @@
 	case u.Whole && u.At < c.at:
 		return Error.Wrap(ErrBehind)
 	case u.At == 0 && len(u.Changes) > 0:
-		return Error.Wrap(ErrNonsense)
+		return Error.Wrap(ErrInvalidReply)
 	}
 	last := c.at
 	for _, ch := range u.Changes {
 		inOrder := u.Whole || ch.Revision >= last && ch.Revision > c.at
 		if !strings.HasPrefix(ch.Key, u.Prefix) || ch.Revision <= 0 || !inOrder || u.Whole && ch.Removed {
-			return Error.Wrap(ErrNonsense)
+			return Error.Wrap(ErrInvalidReply)
 		}
 		last = ch.Revision
 	}
--- a/coord/relay/hub.go
+++ b/coord/relay/hub.go
@@ -37,8 +37,8 @@
 	Store string
 	// Prefixes are those that may be asked for.
 	Prefixes []Prefix
-	// MostFollowers bounds those that wait at the same time.
-	MostFollowers int
+	// MaxFollowers bounds those that wait at the same time.
+	MaxFollowers int
 	// Now is the clock.
 	Now func() time.Time
 
@@ -95,7 +95,7 @@
 func (f *followed) run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, f.end)
 	defer stop()
-	m := &mirror.Mirror{Store: f.prefix.Store, Prefix: f.prefix.Name, Reader: f.feed, Complete: f.complete}
+	m := &mirror.Mirror{Store: f.prefix.Store, Prefix: f.prefix.Name, Reader: f.feed, OnProgress: f.complete}
 	m.Run(f.ctx)
 }
 
@@ -163,8 +163,8 @@
 func (h *Hub) enter() error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.waiting >= h.MostFollowers {
-		return Error.Wrap(ErrFull)
+	if h.waiting >= h.MaxFollowers {
+		return Error.Wrap(ErrTooManyFollowers)
 	}
 	h.waiting++
 	return nil
--- a/coord/relay/pack.go
+++ b/coord/relay/pack.go
@@ -77,10 +77,10 @@
 			limited := io.LimitReader(flate.NewReader(bytes.NewReader(c.Packed)), store.MaxValueBytes+1)
 			value, err := io.ReadAll(limited)
 			if err != nil {
-				return Error.Wrap(fmt.Errorf("%w: %s: %w", ErrNonsense, c.Key, err))
+				return Error.Wrap(fmt.Errorf("%w: %s: %w", ErrInvalidReply, c.Key, err))
 			}
 			if len(value) > store.MaxValueBytes {
-				return Error.Wrap(fmt.Errorf("%w: %s is too large", ErrNonsense, c.Key))
+				return Error.Wrap(fmt.Errorf("%w: %s is too large", ErrInvalidReply, c.Key))
 			}
 			u.Changes[i].Value, u.Changes[i].Packed = value, nil
 		}
--- a/coord/relay/pack_test.go
+++ b/coord/relay/pack_test.go
@@ -75,6 +75,6 @@
 	bomb := p.packed(Change{Key: "k", Value: make([]byte, 2*store.MaxValueBytes)})
 	for _, b := range [][]byte{[]byte("nonsense"), bomb} {
 		r := Reply{Updates: []Update{{Changes: []Change{{Key: "k", Packed: b}}}}}
-		require.ErrorIs(t, r.Unpack(), ErrNonsense)
+		require.ErrorIs(t, r.Unpack(), ErrInvalidReply)
 	}
 }
--- a/coord/relay/relay.go
+++ b/coord/relay/relay.go
@@ -27,20 +27,20 @@
 	ErrUnknownPrefix = errs.New("keys that are not followed here")
 	// ErrOtherStore says that a relay follows another store than the one asked about.
 	ErrOtherStore = errs.New("another store is followed here")
-	// ErrFull says that a relay has as many followers as it takes.
-	ErrFull = errs.New("too many followers")
+	// ErrTooManyFollowers says that a relay has as many followers as it takes.
+	ErrTooManyFollowers = errs.New("too many followers")
 	// ErrStopping says that a relay is about to end.
 	ErrStopping = errs.New("the relay is stopping")
 	// ErrBehind says that a relay offered an older copy than the follower has.
 	ErrBehind = errs.New("the relay is behind")
 	// ErrStale says that a relay has not heard from the store for long.
 	ErrStale = errs.New("the relay has not heard from the store for long")
-	// ErrNonsense says that an answer breaks the rules of this package.
-	ErrNonsense = errs.New("the relay's answer makes no sense")
+	// ErrInvalidReply says that an answer breaks the rules of this package.
+	ErrInvalidReply = errs.New("the relay's answer makes no sense")
 	// ErrStoreLost says that the store cannot be followed now.
 	ErrStoreLost = errs.New("the store is not followed now")
-	// ErrLeftOut says that an answer is silent about keys that were asked for.
-	ErrLeftOut = errs.New("the relay left keys out")
+	// ErrMissingUpdate says that an answer is silent about keys that were asked for.
+	ErrMissingUpdate = errs.New("the relay left keys out")
 )
 
 // Position is how far a follower is with the keys under a prefix.
--- a/coord/relay/relay_test.go
+++ b/coord/relay/relay_test.go
@@ -203,7 +203,7 @@
 		})
 	}
 	f := &Follower{copies: map[string]*progress{keys: {}}}
-	require.ErrorIs(t, f.take(Reply{}), ErrLeftOut)
+	require.ErrorIs(t, f.take(Reply{}), ErrMissingUpdate)
 }
 
 // A relay has lost one of two prefixes and follows the other. The follower is told of that loss
@@ -216,7 +216,7 @@
 		defer cancel()
 		s := memstore.New()
 		way := &wayTo{Store: s}
-		h := &Hub{Store: "s", MostFollowers: 1, Now: time.Now, Prefixes: []Prefix{
+		h := &Hub{Store: "s", MaxFollowers: 1, Now: time.Now, Prefixes: []Prefix{
 			{Name: "lost/", Store: way, StaleAfter: 1600 * time.Millisecond},
 			{Name: keys, Store: s, StaleAfter: 1600 * time.Millisecond}}}
 		wg.Go(func() { h.Run(ctx) })
@@ -254,7 +254,7 @@
 
 // A hub refuses what it cannot serve, with the reason.
 func TestHubRefuses(t *testing.T) {
-	h := &Hub{Store: "s", Prefixes: []Prefix{{Name: keys, Store: memstore.New(), StaleAfter: time.Second}}, MostFollowers: 1, Now: time.Now}
+	h := &Hub{Store: "s", Prefixes: []Prefix{{Name: keys, Store: memstore.New(), StaleAfter: time.Second}}, MaxFollowers: 1, Now: time.Now}
 	ask := func(store, prefix string) error {
 		_, err := h.Follow(t.Context(), Request{Store: store, Positions: []Position{{Prefix: prefix}}})
 		return err
@@ -262,7 +262,7 @@
 	require.ErrorIs(t, ask("another fleet's", keys), ErrOtherStore)
 	require.ErrorIs(t, ask("s", "not/followed/"), ErrUnknownPrefix)
 	h.waiting = 1
-	require.ErrorIs(t, ask("s", keys), ErrFull)
+	require.ErrorIs(t, ask("s", keys), ErrTooManyFollowers)
 	h.waiting = 0
 	h.Stop()
 	require.ErrorIs(t, ask("s", keys), ErrStopping)
@@ -273,7 +273,7 @@
 	virtualtime.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		s := memstore.New()
-		h := &Hub{Store: "s", Prefixes: []Prefix{{Name: keys, Store: s, StaleAfter: time.Second}}, MostFollowers: 1, Now: time.Now}
+		h := &Hub{Store: "s", Prefixes: []Prefix{{Name: keys, Store: s, StaleAfter: time.Second}}, MaxFollowers: 1, Now: time.Now}
 		done := make(chan struct{})
 		go func() { defer close(done); h.Run(ctx) }()
 		_, err := h.Follow(ctx, Request{Store: "s", Positions: []Position{{Prefix: keys}}, Wait: time.Second})
@@ -296,7 +296,7 @@
 	first := map[string]int{}
 	for n := range 263 {
 		name := fmt.Sprint("process-", n)
-		order := Order(name, candidates, 263, 100, 3)
+		order := RankRelays(name, candidates, 263, 100, 3)
 		require.Len(t, order, 3)
 		first[order[0]]++
 	}
@@ -304,9 +304,9 @@
 	for _, n := range first {
 		require.Greater(t, n, 50)
 	}
-	require.Len(t, Order("a", candidates[:1], 16, 100, 2), 1)
-	require.Empty(t, Order("a", nil, 16, 100, 2))
-	require.Equal(t, Order("a", candidates, 16, 100, 2), Order("b", candidates, 16, 100, 2), "a small fleet has one relay")
+	require.Len(t, RankRelays("a", candidates[:1], 16, 100, 2), 1)
+	require.Empty(t, RankRelays("a", nil, 16, 100, 2))
+	require.Equal(t, RankRelays("a", candidates, 16, 100, 2), RankRelays("b", candidates, 16, 100, 2), "a small fleet has one relay")
 }
 
 // The store, the ways to it and the relays fail and return in any order while keys change and
--- a/coord/relay/world_test.go
+++ b/coord/relay/world_test.go
@@ -202,7 +202,7 @@
 func (w *world) hub() *Hub {
 	way := &wayTo{Store: w.store}
 	w.ways = append(w.ways, way)
-	h := &Hub{Store: "s", Prefixes: []Prefix{{Name: keys, Store: way, StaleAfter: 1600 * time.Millisecond}}, MostFollowers: 10, Now: time.Now}
+	h := &Hub{Store: "s", Prefixes: []Prefix{{Name: keys, Store: way, StaleAfter: 1600 * time.Millisecond}}, MaxFollowers: 10, Now: time.Now}
 	w.wg.Go(func() { h.Run(w.ctx) })
 	return h
 }
--- a/coord/retrybudget/retrybudget.go
+++ b/coord/retrybudget/retrybudget.go
@@ -31,8 +31,8 @@
 
 // Share is how a process takes part in Extra.
 type Share struct {
-	// Among is the number of processes that share it, 0 if it is not known.
-	Among int
+	// Processes is the number of processes that share it, 0 if it is not known.
+	Processes int
 	// Since is when this process became one of them.
 	Since time.Time
 }
@@ -40,10 +40,10 @@
 // Decision is whether one more send of a request was allowed, and what decided it.
 type Decision struct {
 	Allowed bool
-	// Paid is how many repeats the process's own requests had paid for.
-	Paid float64
-	// Used is how many of its part of Extra it had used, of Part.
-	Used, Part int
+	// Balance is how many repeats the process's own requests had paid for.
+	Balance float64
+	// ExtraUsed is how many of its part of Extra it had used, of Part.
+	ExtraUsed, ExtraShare int
 }
 
 // payment is what the requests of a part of a window paid for, in repeats.
@@ -61,11 +61,11 @@
 	used []time.Time
 }
 
-// Request counts one request of a caller. It pays for half of what Ratio allows, and the
+// RecordRequest counts one request of a caller. It pays for half of what Ratio allows, and the
 // payment ends before a window does: what arrives in a window was then paid for in that
 // window and in the one before it, half in each, and never exceeds Ratio of the larger. The sum
 // over all processes is bounded likewise, however callers move between them.
-func (b *Budget) Request(now time.Time, r Rule) {
+func (b *Budget) RecordRequest(now time.Time, r Rule) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.expireLocked(now, r)
@@ -75,18 +75,18 @@
 	b.paid[len(b.paid)-1].repeats += r.Ratio / 2
 }
 
-// Repeat decides whether one more repeat fits, and counts it if so. It is paid for by this
+// TryRetry decides whether one more repeat fits, and counts it if so. It is paid for by this
 // process's own requests or taken from its part of Extra, so that no message is needed.
-func (b *Budget) Repeat(now time.Time, r Rule, share Share) Decision {
+func (b *Budget) TryRetry(now time.Time, r Rule, share Share) Decision {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.expireLocked(now, r)
-	d := Decision{Paid: b.sumLocked(), Used: b.usedSinceLocked(now.Add(-r.Window - transit)), Part: r.part(now, share)}
+	d := Decision{Balance: b.sumLocked(), ExtraUsed: b.usedSinceLocked(now.Add(-r.Window - transit)), ExtraShare: r.part(now, share)}
 	switch {
-	case d.Paid >= 1-rounding:
+	case d.Balance >= 1-rounding:
 		b.payLocked()
 		d.Allowed = true
-	case d.Used < d.Part:
+	case d.ExtraUsed < d.ExtraShare:
 		b.takeLocked(now, r)
 		d.Allowed = true
 	}
@@ -95,12 +95,12 @@
 
 // part is how many repeats of Extra a process may use in a window.
 func (r Rule) part(now time.Time, share Share) int {
-	if share.Among <= 0 || now.Sub(share.Since) < r.Window+transit {
+	if share.Processes <= 0 || now.Sub(share.Since) < r.Window+transit {
 		// Nobody knows what an earlier life of this process used in the window, and
 		// whether the others divide by one more already.
 		return 0
 	}
-	return int(r.Extra / float64(share.Among))
+	return int(r.Extra / float64(share.Processes))
 }
 
 // expireLocked drops payments whose time has passed.
--- a/coord/retrybudget/retrybudget_test.go
+++ b/coord/retrybudget/retrybudget_test.go
@@ -46,8 +46,8 @@
 // failing sends a request that fails, and again as long as that is allowed.
 func (s *service) failing(now time.Time, b *retrybudget.Budget, r retrybudget.Rule, share retrybudget.Share) {
 	s.requests = append(s.requests, now)
-	b.Request(now, r)
-	for b.Repeat(now, r, share).Allowed {
+	b.RecordRequest(now, r)
+	for b.TryRetry(now, r, share).Allowed {
 		s.repeats = append(s.repeats, now)
 	}
 }
@@ -61,7 +61,7 @@
 		budgets := make([]retrybudget.Budget, processes)
 		share := make([]retrybudget.Share, processes)
 		for i := range share {
-			share[i] = retrybudget.Share{Among: processes, Since: start}
+			share[i] = retrybudget.Share{Processes: processes, Since: start}
 		}
 		var s service
 		now := start
@@ -80,8 +80,8 @@
 					i = luck.IntN(processes)
 				}
 				s.requests = append(s.requests, now)
-				budgets[i].Request(now, rule)
-				for fails && budgets[i].Repeat(now, rule, share[i]).Allowed {
+				budgets[i].RecordRequest(now, rule)
+				for fails && budgets[i].TryRetry(now, rule, share[i]).Allowed {
 					s.repeats = append(s.repeats, now.Add(time.Duration(luck.Int64N(int64(travel)))))
 				}
 			}
@@ -101,12 +101,12 @@
 	for offset := time.Duration(0); offset < time.Second; offset += 50 * time.Millisecond {
 		var b retrybudget.Budget
 		var s service
-		share := retrybudget.Share{Among: 1, Since: start.Add(-time.Hour)}
+		share := retrybudget.Share{Processes: 1, Since: start.Add(-time.Hour)}
 		for at := offset; at < 40*time.Second; at += 25 * time.Millisecond {
 			now := start.Add(at)
 			if at < 2*window {
 				s.requests = append(s.requests, now)
-				b.Request(now, rule)
+				b.RecordRequest(now, rule)
 				continue
 			}
 			s.failing(now, &b, rule, share)
@@ -126,7 +126,7 @@
 		for range processes {
 			var b retrybudget.Budget
 			for at := began; at.Before(began.Add(2 * time.Second)); at = at.Add(200 * time.Millisecond) {
-				s.failing(at, &b, rule, retrybudget.Share{Among: processes, Since: began})
+				s.failing(at, &b, rule, retrybudget.Share{Processes: processes, Since: began})
 			}
 		}
 	}
@@ -142,7 +142,7 @@
 		changed.Window = window
 		var b retrybudget.Budget
 		var s service
-		share := retrybudget.Share{Among: 1, Since: start.Add(-time.Hour)}
+		share := retrybudget.Share{Processes: 1, Since: start.Add(-time.Hour)}
 		for at := time.Duration(0); at < 15*time.Second; at += 100 * time.Millisecond {
 			now := start.Add(at)
 			if at < 8*time.Second {
@@ -160,11 +160,11 @@
 // A service with few requests may still repeat some, up to the process's share of the fixed part.
 func TestFewRequestsMayStillRepeat(t *testing.T) {
 	var b retrybudget.Budget
-	share := retrybudget.Share{Among: 4, Since: start.Add(-time.Hour)}
-	b.Request(start, rule)
+	share := retrybudget.Share{Processes: 4, Since: start.Add(-time.Hour)}
+	b.RecordRequest(start, rule)
 	for range 5 {
-		require.True(t, b.Repeat(start, rule, share).Allowed)
+		require.True(t, b.TryRetry(start, rule, share).Allowed)
 	}
-	require.False(t, b.Repeat(start, rule, share).Allowed)
-	require.True(t, b.Repeat(start.Add(11*time.Second), rule, share).Allowed)
+	require.False(t, b.TryRetry(start, rule, share).Allowed)
+	require.True(t, b.TryRetry(start.Add(11*time.Second), rule, share).Allowed)
 }
--- a/coord/settlement/exposure.go
+++ b/coord/settlement/exposure.go
@@ -24,13 +24,13 @@
 // or that the lender never reached, leaves the limits unknown.
 type Exposure struct {
 	Holder   *grant.Holder
-	Register *Register
-	// Tell brings limits to a witness and returns nil when it has taken them.
-	Tell func(ctx context.Context, witness string, notice Notice) error
+	Register *BorrowerRegistry
+	// Notify brings limits to a witness and returns nil when it has taken them.
+	Notify func(ctx context.Context, witness string, notice Notice) error
 	// Timeout bounds one message. A slower witness is told also after the first one has answered.
 	Timeout time.Duration
-	// Ahead is for how long limits are raised ahead of what a borrower is lent.
-	Ahead time.Duration
+	// Lookahead is for how long limits are raised ahead of what a borrower is lent.
+	Lookahead time.Duration
 	// Now is the clock.
 	Now func() time.Time
 
@@ -72,9 +72,9 @@
 	return nil
 }
 
-// Keep raises the limits that are nearly reached.
-func (e *Exposure) Keep(ctx context.Context) error {
-	wanted := e.Holder.ExposureWanted(e.Now(), e.Ahead)
+// RaiseLimits raises the limits that are nearly reached.
+func (e *Exposure) RaiseLimits(ctx context.Context) error {
+	wanted := e.Holder.ExposureWanted(e.Now(), e.Lookahead)
 	if len(wanted) == 0 {
 		return nil
 	}
@@ -88,7 +88,7 @@
 	e.wait(lots, n)
 	defer e.wait(lots, -n)
 	done := e.exposing.DoChan(budget+" "+borrower, func() (any, error) {
-		limits := e.Holder.ExposureFor(e.Now(), budget, borrower, e.waitingFor(lots), e.Ahead)
+		limits := e.Holder.ExposureFor(e.Now(), budget, borrower, e.waitingFor(lots), e.Lookahead)
 		return nil, e.raise(ctx, limits)
 	})
 	select {
@@ -159,10 +159,10 @@
 	defer cancel()
 	in := Notice{Lender: e.Holder.ID(), Term: term, Limits: limits}
 	if !e.isTold(witness, term) {
-		in.Whole, in.Limits = true, e.Holder.ExposureLimits()
+		in.Full, in.Limits = true, e.Holder.ExposureLimits()
 		in.Limits.Merge(limits)
 	}
-	err := e.Tell(ctx, witness, in)
+	err := e.Notify(ctx, witness, in)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.term == term {
--- a/coord/settlement/register.go
+++ b/coord/settlement/register.go
@@ -28,10 +28,10 @@
 var (
 	// ErrSealed says that the lender's list is closed: it was taken for dead.
 	ErrSealed = errs.New("the list of borrowers is sealed")
-	// ErrUnsettled says that what a lender held can never be settled.
-	ErrUnsettled = errs.New("a borrower's word is missing for good")
-	// ErrNotYet says that a later try may settle it.
-	ErrNotYet = errs.New("a borrower's word is missing now")
+	// ErrUsageUnknown says that what a lender held can never be settled.
+	ErrUsageUnknown = errs.New("a borrower's word is missing for good")
+	// ErrUsagePending says that a later try may settle it.
+	ErrUsagePending = errs.New("a borrower's word is missing now")
 )
 
 // list is the durable list of those that one lender ever lent to.
@@ -52,8 +52,8 @@
 	return l, Error.Wrap(json.Unmarshal(value, &l))
 }
 
-// Register is a lender's own list. It is safe for concurrent use.
-type Register struct {
+// BorrowerRegistry is a lender's own list. It is safe for concurrent use.
+type BorrowerRegistry struct {
 	Store store.Store
 	// Key is where the list lies: the settler's prefix and the lender's life.
 	Key string
@@ -66,7 +66,7 @@
 
 // Admit returns nil when the store durably has all the names. Its errors are ErrSealed and
 // those of the store.
-func (r *Register) Admit(ctx context.Context, borrowers ...string) error {
+func (r *BorrowerRegistry) Admit(ctx context.Context, borrowers ...string) error {
 	if r.Has(borrowers...) {
 		return nil
 	}
@@ -84,7 +84,7 @@
 }
 
 // appoint names witnesses in a new term, which it returns. Its errors are those of Admit.
-func (r *Register) appoint(ctx context.Context, witnesses []string) (term int64, err error) {
+func (r *BorrowerRegistry) appoint(ctx context.Context, witnesses []string) (term int64, err error) {
 	r.writing.Lock()
 	defer r.writing.Unlock()
 	now, err := r.writeLocked(ctx, func(l *list) {
@@ -95,7 +95,7 @@
 }
 
 // writeLocked changes the list in the store. An answer may be lost, so that a change is made twice.
-func (r *Register) writeLocked(ctx context.Context, change func(*list)) (list, error) {
+func (r *BorrowerRegistry) writeLocked(ctx context.Context, change func(*list)) (list, error) {
 	var now list
 	item, err := store.UpdateFrom(ctx, r.Store, r.Key, r.last, func(old store.Item) ([]byte, error) {
 		var err error
@@ -115,15 +115,15 @@
 	return now, nil
 }
 
-// Used reports whether anybody was admitted.
-func (r *Register) Used() bool {
+// HasBorrowers reports whether anybody was admitted.
+func (r *BorrowerRegistry) HasBorrowers() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.known) > 0
 }
 
 // Remove deletes the list of a lender that has given everything back.
-func (r *Register) Remove(ctx context.Context) error {
+func (r *BorrowerRegistry) Remove(ctx context.Context) error {
 	item, err := r.Store.Get(ctx, r.Key)
 	if err != nil || item.Revision == 0 {
 		return err
@@ -132,13 +132,13 @@
 }
 
 // Has reports whether all the names are known to be in the store.
-func (r *Register) Has(names ...string) bool {
+func (r *BorrowerRegistry) Has(names ...string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !slices.ContainsFunc(names, func(name string) bool { return !r.known[name] })
 }
 
-func (r *Register) note(names []string) {
+func (r *BorrowerRegistry) note(names []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.known = map[string]bool{}
--- a/coord/settlement/settlement_test.go
+++ b/coord/settlement/settlement_test.go
@@ -25,7 +25,7 @@
 	store     *memstore.Store
 	lender    *grant.Holder
 	pages     *grant.StoreGranter
-	register  *settlement.Register
+	register  *settlement.BorrowerRegistry
 	borrowers map[string]*grant.Holder
 	over      map[string]bool
 	settler   *settlement.Settler
@@ -34,8 +34,8 @@
 func newWorld(t *testing.T) *world {
 	w := &world{t: t, store: memstore.New(), borrowers: map[string]*grant.Holder{}, over: map[string]bool{}}
 	layout := account.Layout{Prefix: "p/", Pages: 1}
-	w.lender = grant.NewHolder("lender/1", layout, grant.HorizonPolicy{Horizon: time.Second, Worsts: 1, Share: 1})
-	w.lender.Lean(func(string) bool { return false })
+	w.lender = grant.NewHolder("lender/1", layout, grant.HorizonPolicy{Horizon: time.Second, LargestRequests: 1, Share: 1})
+	w.lender.UseMinimalRows(func(string) bool { return false })
 	w.pages = &grant.StoreGranter{Holder: w.lender, Store: w.store, Layout: layout, Timeout: time.Second, Now: time.Now,
 		Prepare: func(_ string, p *account.Page) bool {
 			if p.Accounts[budget] != nil {
@@ -44,9 +44,9 @@
 			p.Accounts[budget] = &account.Account{Team: budget}
 			return p.Accounts[budget].SetPrepaid(1, 100)
 		}}
-	w.register = &settlement.Register{Store: w.store, Key: prefix + "lender/1"}
-	w.settler = &settlement.Settler{Store: w.store, Prefix: prefix, Words: &settlement.Words{}, Over: func(b string) bool { return w.over[b] },
-		Ask: func(_ context.Context, borrower, lender string) (grant.Borrowed, error) {
+	w.register = &settlement.BorrowerRegistry{Store: w.store, Key: prefix + "lender/1"}
+	w.settler = &settlement.Settler{Store: w.store, Prefix: prefix, Answers: &settlement.AnswerCache{}, Ended: func(b string) bool { return w.over[b] },
+		AskBorrower: func(_ context.Context, borrower, lender string) (grant.Borrowed, error) {
 			if w.borrowers[borrower] == nil {
 				return grant.Borrowed{}, errors.New("no answer")
 			}
@@ -102,7 +102,7 @@
 	_, err := w.borrowers["router/1"].Reserve(time.Now(), budget, 40)
 	require.NoError(t, err)
 	_, err = w.settler.Settle(t.Context(), "lender/1", page, true)
-	require.ErrorIs(t, err, settlement.ErrNotYet)
+	require.ErrorIs(t, err, settlement.ErrUsagePending)
 	done, err := w.settler.Settle(t.Context(), "lender/1", page, false)
 	require.NoError(t, err)
 	require.EqualValues(t, 40, done.Used[budget])
@@ -122,7 +122,7 @@
 	require.NoError(t, err, "it does not know yet")
 	w.borrowers["router/1"].Borrow(time.Now(), budget, l)
 	_, err = w.borrowers["router/1"].Reserve(time.Now(), budget, 10)
-	require.ErrorIs(t, err, grant.ErrShort)
+	require.ErrorIs(t, err, grant.ErrInsufficientTokens)
 	require.ErrorIs(t, w.pages.Sync(t.Context(), page), grant.ErrFenced)
 }
 
@@ -139,7 +139,7 @@
 	first := w.borrowers["router/1"]
 	delete(w.borrowers, "router/1")
 	_, err = w.settler.Settle(t.Context(), "lender/1", page, true)
-	require.ErrorIs(t, err, settlement.ErrNotYet)
+	require.ErrorIs(t, err, settlement.ErrUsagePending)
 	w.borrowers["router/2"].Settle(time.Now(), r, 5)
 	delete(w.borrowers, "router/2")
 	w.over["router/2"] = true
@@ -157,8 +157,8 @@
 	_, err := w.borrowers["router/1"].Reserve(time.Now(), budget, 40)
 	require.NoError(t, err)
 	_, err = w.settler.Settle(t.Context(), "lender/1", page, true)
-	require.ErrorIs(t, err, settlement.ErrNotYet)
-	w.settler.Ask = func(context.Context, string, string) (grant.Borrowed, error) { return grant.Borrowed{}, nil }
+	require.ErrorIs(t, err, settlement.ErrUsagePending)
+	w.settler.AskBorrower = func(context.Context, string, string) (grant.Borrowed, error) { return grant.Borrowed{}, nil }
 	w.over["router/1"] = true
 	done, err := w.settler.Settle(t.Context(), "lender/1", page, true)
 	require.NoError(t, err)
@@ -173,11 +173,11 @@
 	require.NoError(t, w.borrow("router/2", 40))
 	delete(w.borrowers, "router/2")
 	_, err := w.settler.Settle(t.Context(), "lender/1", page, false)
-	require.ErrorIs(t, err, settlement.ErrNotYet)
+	require.ErrorIs(t, err, settlement.ErrUsagePending)
 	w.over["router/2"] = true
 	_, err = w.settler.Settle(t.Context(), "lender/1", page, false)
-	require.ErrorIs(t, err, settlement.ErrUnsettled)
+	require.ErrorIs(t, err, settlement.ErrUsageUnknown)
 	require.NoError(t, w.register.Remove(t.Context()))
 	_, err = w.settler.Settle(t.Context(), "lender/1", page, false)
-	require.ErrorIs(t, err, settlement.ErrUnsettled)
+	require.ErrorIs(t, err, settlement.ErrUsageUnknown)
 }
--- a/coord/settlement/settler.go
+++ b/coord/settlement/settler.go
@@ -15,16 +15,16 @@
 	Store store.Store
 	// Prefix begins the keys of lists; a lender's life follows.
 	Prefix string
-	// Ask asks a borrower for its final word on a lender. An error means that it did not
+	// AskBorrower asks a borrower for its final word on a lender. An error means that it did not
 	// answer.
-	Ask func(ctx context.Context, borrower, lender string) (grant.Borrowed, error)
+	AskBorrower func(ctx context.Context, borrower, lender string) (grant.Borrowed, error)
 	// AskWitness asks a witness for a lender's limits of exposure in a term. An error means that
 	// it did not answer. It may be nil: then a borrower's word that is missing is missing for good.
-	AskWitness func(ctx context.Context, witness, lender string, term int64) (Testimony, error)
-	// Over reports whether the life of a borrower or witness has certainly ended.
-	Over func(life string) bool
-	// Words keeps what borrowers told, between tries.
-	Words *Words
+	AskWitness func(ctx context.Context, witness, lender string, term int64) (WitnessAnswer, error)
+	// Ended reports whether the life of a borrower or witness has certainly ended.
+	Ended func(life string) bool
+	// Answers keeps what borrowers told, between tries.
+	Answers *AnswerCache
 }
 
 // mostAsked bounds the borrowers that are asked at the same time.
@@ -71,15 +71,15 @@
 	used = map[string]int64{}
 	var wait bool
 	for _, borrower := range borrowers {
-		word, heard := s.Words.of(lender, borrower)
-		over := s.Over(borrower)
+		word, heard := s.Answers.of(lender, borrower)
+		over := s.Ended(borrower)
 		switch {
 		case over && (!heard || !word.Known):
 			missing = append(missing, borrower)
 			continue
 		case !heard, !word.Known:
 			// A borrower that does not know may go on spending until it is over.
-			return nil, nil, Error.Wrap(ErrNotYet)
+			return nil, nil, Error.Wrap(ErrUsagePending)
 		case word.Open && patient && !over:
 			wait = true
 		}
@@ -88,7 +88,7 @@
 		}
 	}
 	if wait {
-		return nil, nil, Error.Wrap(ErrNotYet)
+		return nil, nil, Error.Wrap(ErrUsagePending)
 	}
 	return used, missing, nil
 }
@@ -105,7 +105,7 @@
 // limits are a dead lender's limits of exposure by all its witnesses.
 func (s *Settler) limits(ctx context.Context, lender string, sealed list) (grant.ExposureLimits, error) {
 	if s.AskWitness == nil || len(sealed.Witnesses) == 0 {
-		return nil, Error.Wrap(ErrUnsettled)
+		return nil, Error.Wrap(ErrUsageUnknown)
 	}
 	limits := grant.ExposureLimits{}
 	for _, witness := range sealed.Witnesses {
@@ -121,17 +121,17 @@
 // testimony asks one witness, unless its answer is kept: that one is final, for nothing that the
 // lender tells later was lent to anyone.
 func (s *Settler) testimony(ctx context.Context, witness, lender string, term int64) (grant.ExposureLimits, error) {
-	if limits, ok := s.Words.limitsOf(lender, witness); ok {
+	if limits, ok := s.Answers.limitsOf(lender, witness); ok {
 		return limits, nil
 	}
 	told, err := s.AskWitness(ctx, witness, lender, term)
 	switch {
-	case err != nil && s.Over(witness), err == nil && !told.Known:
-		return nil, Error.Wrap(ErrUnsettled)
+	case err != nil && s.Ended(witness), err == nil && !told.Known:
+		return nil, Error.Wrap(ErrUsageUnknown)
 	case err != nil:
-		return nil, Error.Wrap(ErrNotYet)
+		return nil, Error.Wrap(ErrUsagePending)
 	}
-	s.Words.keepLimits(lender, witness, told.Limits)
+	s.Answers.keepLimits(lender, witness, told.Limits)
 	return told.Limits, nil
 }
 
@@ -142,14 +142,14 @@
 	var wg sync.WaitGroup
 	places := make(chan struct{}, mostAsked)
 	for _, borrower := range borrowers {
-		if word, heard := s.Words.of(lender, borrower); heard && !word.Open {
+		if word, heard := s.Answers.of(lender, borrower); heard && !word.Open {
 			continue
 		}
 		places <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-places }()
-			if word, err := s.Ask(ctx, borrower, lender); err == nil {
-				s.Words.keep(lender, borrower, word)
+			if word, err := s.AskBorrower(ctx, borrower, lender); err == nil {
+				s.Answers.keep(lender, borrower, word)
 			}
 		})
 	}
@@ -162,7 +162,7 @@
 	var sealed list
 	_, err := store.Update(ctx, s.Store, s.Prefix+lender, func(old store.Item) ([]byte, error) {
 		if old.Revision == 0 {
-			return nil, Error.Wrap(ErrUnsettled)
+			return nil, Error.Wrap(ErrUsageUnknown)
 		}
 		var err error
 		if sealed, err = decodeList(old.Value); err != nil {
@@ -219,6 +219,6 @@
 			}
 		}
 	}
-	register := Register{Store: s.Store, Key: s.Prefix + lender}
+	register := BorrowerRegistry{Store: s.Store, Key: s.Prefix + lender}
 	return register.Remove(ctx)
 }
--- a/coord/settlement/witness.go
+++ b/coord/settlement/witness.go
@@ -26,13 +26,13 @@
 	Lender string `json:"lender"`
 	// Term numbers the lender's appointments of witnesses, from 1.
 	Term int64 `json:"term"`
-	// Whole says that the lender has no other limits; else these are the changed ones.
-	Whole  bool                 `json:"whole,omitempty"`
+	// Full says that the lender has no other limits; else these are the changed ones.
+	Full  bool                 `json:"whole,omitempty"`
 	Limits grant.ExposureLimits `json:"limits"`
 }
 
-// Testimony is what a witness knows of a lender.
-type Testimony struct {
+// WitnessAnswer is what a witness knows of a lender.
+type WitnessAnswer struct {
 	// Known says that the lender has told all its limits in the term that was asked for.
 	Known  bool                 `json:"known"`
 	Limits grant.ExposureLimits `json:"limits,omitempty"`
@@ -52,14 +52,14 @@
 	heard  time.Time
 }
 
-// Note takes limits. They are merged, so that a message may come late or twice.
-func (w *Witness) Note(now time.Time, in Notice) error {
+// Apply takes limits. They are merged, so that a message may come late or twice.
+func (w *Witness) Apply(now time.Time, in Notice) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	known := w.byLender[in.Lender]
 	switch {
 	case known != nil && in.Term < known.term,
-		!in.Whole && (known == nil || known.term != in.Term):
+		!in.Full && (known == nil || known.term != in.Term):
 		return Error.Wrap(ErrNotAppointed)
 	case known == nil:
 		if len(w.byLender) >= mostWitnessed {
@@ -76,15 +76,15 @@
 	return nil
 }
 
-// Testify tells what is known of a lender in a term.
-func (w *Witness) Testify(lender string, term int64) Testimony {
+// Limits tells what is known of a lender in a term.
+func (w *Witness) Limits(lender string, term int64) WitnessAnswer {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	known := w.byLender[lender]
 	if known == nil || known.term != term {
-		return Testimony{}
+		return WitnessAnswer{}
 	}
-	return Testimony{Known: true, Limits: known.limits.Clone()}
+	return WitnessAnswer{Known: true, Limits: known.limits.Clone()}
 }
 
 // Forget drops the lenders that were last heard before a time and for which gone holds.
--- a/coord/settlement/witness_test.go
+++ b/coord/settlement/witness_test.go
@@ -33,17 +33,17 @@
 	w := &witnessed{world: newWorld(t), cut: map[string]bool{},
 		witnesses: map[string]*settlement.Witness{"lender/2": {}, "lender/3": {}}}
 	w.exposure = &settlement.Exposure{Holder: w.lender, Register: w.register, Timeout: time.Second, Now: time.Now,
-		Tell: func(_ context.Context, witness string, n settlement.Notice) error {
+		Notify: func(_ context.Context, witness string, n settlement.Notice) error {
 			if w.cut[witness] {
 				return errNoAnswer
 			}
-			return w.witnesses[witness].Note(time.Now(), n)
+			return w.witnesses[witness].Apply(time.Now(), n)
 		}}
-	w.settler.AskWitness = func(_ context.Context, witness, lender string, term int64) (settlement.Testimony, error) {
+	w.settler.AskWitness = func(_ context.Context, witness, lender string, term int64) (settlement.WitnessAnswer, error) {
 		if w.cut[witness] {
-			return settlement.Testimony{}, errNoAnswer
+			return settlement.WitnessAnswer{}, errNoAnswer
 		}
-		return w.witnesses[witness].Testify(lender, term), nil
+		return w.witnesses[witness].Limits(lender, term), nil
 	}
 	return w
 }
@@ -133,7 +133,7 @@
 			require.NoError(t, w.use("router/1", 30, 30))
 			w.die("router/1")
 			_, err := w.settle()
-			require.ErrorIs(t, err, settlement.ErrNotYet, "the one that is cut off may know more")
+			require.ErrorIs(t, err, settlement.ErrUsagePending, "the one that is cut off may know more")
 			w.cut[cut] = false
 			used, err := w.settle()
 			require.NoError(t, err)
@@ -154,7 +154,7 @@
 		require.NoError(t, w.exposure.Appoint(t.Context(), "lender/2"))
 		w.die("router/1")
 		_, err := w.settle()
-		require.ErrorIs(t, err, settlement.ErrUnsettled)
+		require.ErrorIs(t, err, settlement.ErrUsageUnknown)
 	})
 }
 
@@ -184,10 +184,10 @@
 		router := w.borrowers["router/1"]
 		delete(w.borrowers, "router/1")
 		_, err := w.settle()
-		require.ErrorIs(t, err, settlement.ErrNotYet, "no answer")
-		w.settler.Ask = func(context.Context, string, string) (grant.Borrowed, error) { return grant.Borrowed{}, nil }
+		require.ErrorIs(t, err, settlement.ErrUsagePending, "no answer")
+		w.settler.AskBorrower = func(context.Context, string, string) (grant.Borrowed, error) { return grant.Borrowed{}, nil }
 		_, err = w.settle()
-		require.ErrorIs(t, err, settlement.ErrNotYet, "another life answers")
+		require.ErrorIs(t, err, settlement.ErrUsagePending, "another life answers")
 		w.borrowers["router/1"] = router
 		w.over["router/1"] = true
 		used, err := w.settle()
@@ -220,10 +220,10 @@
 		w.die("router/1")
 		w.over["lender/3"] = true
 		_, err := w.settle()
-		require.ErrorIs(t, err, settlement.ErrUnsettled, "it is gone")
+		require.ErrorIs(t, err, settlement.ErrUsageUnknown, "it is gone")
 		w.cut["lender/3"] = false
 		_, err = w.settle()
-		require.ErrorIs(t, err, settlement.ErrUnsettled, "it was never told")
+		require.ErrorIs(t, err, settlement.ErrUsageUnknown, "it was never told")
 	})
 }
 
@@ -231,25 +231,25 @@
 func TestNoticesThatComeLate(t *testing.T) {
 	var w settlement.Witness
 	notice := func(term int64, whole bool, limit int64) settlement.Notice {
-		return settlement.Notice{Lender: "lender/1", Term: term, Whole: whole,
+		return settlement.Notice{Lender: "lender/1", Term: term, Full: whole,
 			Limits: grant.ExposureLimits{budget: {"router/1": limit}}}
 	}
 	now := time.Now()
-	require.ErrorIs(t, w.Note(now, notice(2, false, 5)), settlement.ErrNotAppointed, "a change before the whole")
-	require.NoError(t, w.Note(now, notice(2, true, 20)))
-	require.NoError(t, w.Note(now, notice(2, false, 30)))
-	require.NoError(t, w.Note(now, notice(2, false, 25)))
-	require.NoError(t, w.Note(now, notice(2, true, 20)))
-	require.ErrorIs(t, w.Note(now, notice(1, true, 50)), settlement.ErrNotAppointed)
-	require.ErrorIs(t, w.Note(now, notice(3, false, 50)), settlement.ErrNotAppointed)
-	require.Equal(t, settlement.Testimony{Known: true, Limits: notice(2, true, 30).Limits}, w.Testify("lender/1", 2))
-	require.Equal(t, settlement.Testimony{}, w.Testify("lender/1", 3))
+	require.ErrorIs(t, w.Apply(now, notice(2, false, 5)), settlement.ErrNotAppointed, "a change before the whole")
+	require.NoError(t, w.Apply(now, notice(2, true, 20)))
+	require.NoError(t, w.Apply(now, notice(2, false, 30)))
+	require.NoError(t, w.Apply(now, notice(2, false, 25)))
+	require.NoError(t, w.Apply(now, notice(2, true, 20)))
+	require.ErrorIs(t, w.Apply(now, notice(1, true, 50)), settlement.ErrNotAppointed)
+	require.ErrorIs(t, w.Apply(now, notice(3, false, 50)), settlement.ErrNotAppointed)
+	require.Equal(t, settlement.WitnessAnswer{Known: true, Limits: notice(2, true, 30).Limits}, w.Limits("lender/1", 2))
+	require.Equal(t, settlement.WitnessAnswer{}, w.Limits("lender/1", 3))
 	w.Forget(now, func(string) bool { return true })
-	require.True(t, w.Testify("lender/1", 2).Known, "it was heard lately")
+	require.True(t, w.Limits("lender/1", 2).Known, "it was heard lately")
 	w.Forget(now.Add(time.Second), func(string) bool { return false })
-	require.True(t, w.Testify("lender/1", 2).Known, "it is listed")
+	require.True(t, w.Limits("lender/1", 2).Known, "it is listed")
 	w.Forget(now.Add(time.Second), func(string) bool { return true })
-	require.False(t, w.Testify("lender/1", 2).Known)
+	require.False(t, w.Limits("lender/1", 2).Known)
 }
 
 // Guards against a witness that forgot a lender and then takes none of its changes for good.
@@ -274,8 +274,8 @@
 		w := newWitnessed(t)
 		require.NoError(t, w.exposure.Appoint(t.Context(), "lender/2"))
 		require.NoError(t, w.use("router/1", 1, 1))
-		tell, raises := w.exposure.Tell, 0
-		w.exposure.Tell = func(ctx context.Context, witness string, n settlement.Notice) error {
+		tell, raises := w.exposure.Notify, 0
+		w.exposure.Notify = func(ctx context.Context, witness string, n settlement.Notice) error {
 			raises++
 			time.Sleep(time.Millisecond)
 			return tell(ctx, witness, n)
--- a/coord/settlement/words.go
+++ b/coord/settlement/words.go
@@ -6,11 +6,11 @@
 	"github.com/arbutusmill/arbutusmill/coord/grant"
 )
 
-// Words are what borrowers told of dead lenders. Each is kept although its borrower may die: from
+// AnswerCache are what borrowers told of dead lenders. Each is kept although its borrower may die: from
 // its first word on a borrower takes nothing more of that lender, so that what it told last, with
 // all that its running requests had set aside, is the most that it can ever have used. The zero
 // value is empty; it is safe for concurrent use.
-type Words struct {
+type AnswerCache struct {
 	mu sync.Mutex
 	// byLender has the last words by lender and borrower.
 	byLender map[string]map[string]grant.Borrowed
@@ -18,7 +18,7 @@
 	limits map[string]map[string]grant.ExposureLimits
 }
 
-func (w *Words) of(lender, borrower string) (word grant.Borrowed, heard bool) {
+func (w *AnswerCache) of(lender, borrower string) (word grant.Borrowed, heard bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	word, heard = w.byLender[lender][borrower]
@@ -27,7 +27,7 @@
 
 // keep notes a borrower's word. One that knows nothing does not replace one that did: the next life
 // on a borrower's VM answers so when it is asked at the address of the life before.
-func (w *Words) keep(lender, borrower string, word grant.Borrowed) {
+func (w *AnswerCache) keep(lender, borrower string, word grant.Borrowed) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.byLender[lender][borrower].Known && !word.Known {
@@ -43,21 +43,21 @@
 }
 
 // Forget drops what was told of a lender: it is settled, or can never be.
-func (w *Words) Forget(lender string) {
+func (w *AnswerCache) Forget(lender string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.byLender, lender)
 	delete(w.limits, lender)
 }
 
-func (w *Words) limitsOf(lender, witness string) (limits grant.ExposureLimits, heard bool) {
+func (w *AnswerCache) limitsOf(lender, witness string) (limits grant.ExposureLimits, heard bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	limits, heard = w.limits[lender][witness]
 	return limits, heard
 }
 
-func (w *Words) keepLimits(lender, witness string, limits grant.ExposureLimits) {
+func (w *AnswerCache) keepLimits(lender, witness string, limits grant.ExposureLimits) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.limits == nil {
--- a/coord/store/memstore/memstore.go
+++ b/coord/store/memstore/memstore.go
@@ -18,9 +18,9 @@
 type Faults struct {
 	// Down makes every call fail without effect.
 	Down bool `json:"down"`
-	// LoseWrites makes that many next writes take effect and then lose
+	// LoseResponses makes that many next writes take effect and then lose
 	// their answers.
-	LoseWrites int `json:"lose_writes"`
+	LoseResponses int `json:"lose_writes"`
 	// Delay is added to each call.
 	Delay time.Duration `json:"delay_ns"`
 }
@@ -125,10 +125,10 @@
 
 // loseLocked reports whether the answer of the write just made is lost.
 func (s *Store) loseLocked() bool {
-	if s.faults.LoseWrites == 0 {
+	if s.faults.LoseResponses == 0 {
 		return false
 	}
-	s.faults.LoseWrites--
+	s.faults.LoseResponses--
 	return true
 }
 
@@ -173,8 +173,8 @@
 	return items, rev, err
 }
 
-// Peek implements store.Store.
-func (s *Store) Peek(ctx context.Context, prefix string) ([]store.Item, error) {
+// StaleSnapshot implements store.Store.
+func (s *Store) StaleSnapshot(ctx context.Context, prefix string) ([]store.Item, error) {
 	return s.List(ctx, prefix, "", math.MaxInt)
 }
 
--- a/coord/store/store.go
+++ b/coord/store/store.go
@@ -81,10 +81,10 @@
 	// the items. Large sets are read in pages, so an item may be newer than the
 	// revision; the watch then sends it again.
 	Snapshot(ctx context.Context, prefix string) ([]Item, Revision, error)
-	// Peek reads all keys that begin with prefix like Snapshot, but what it returns
+	// StaleSnapshot reads all keys that begin with prefix like Snapshot, but what it returns
 	// may be seconds old. It costs the store little; nothing that must not be
 	// missed may depend on it.
-	Peek(ctx context.Context, prefix string) ([]Item, error)
+	StaleSnapshot(ctx context.Context, prefix string) ([]Item, error)
 	// CompareAndSwap writes value if the key is still at revision expect, and
 	// returns the new revision. The key goes away with the lease, if one is given.
 	CompareAndSwap(ctx context.Context, key string, expect Revision, value []byte, lease LeaseID) (Revision, error)
--- a/coord/witness/witness.go
+++ b/coord/witness/witness.go
@@ -285,9 +285,9 @@
 	return out
 }
 
-// Restore sets the fences that were in force before this process started: for each
+// RestoreFences sets the fences that were in force before this process started: for each
 // VM its newest life that is shut out.
-func (w *Witness) Restore(upTo map[string]int64) {
+func (w *Witness) RestoreFences(upTo map[string]int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for vm, count := range upTo {
--- a/coord/witness/witness_test.go
+++ b/coord/witness/witness_test.go
@@ -24,7 +24,7 @@
 	next := reservation(grant.Part{Holder: "r#2", Seq: 1, Tokens: 5})
 	require.NoError(t, w.Begin(witness.Run{ID: "c", Spender: "r#2", Reservation: next}))
 	fresh := witness.New(10)
-	fresh.Restore(map[string]int64{"r": 1})
+	fresh.RestoreFences(map[string]int64{"r": 1})
 	require.ErrorIs(t, fresh.Begin(witness.Run{ID: "a", Spender: "r#1", Reservation: own}), witness.ErrFenced)
 	require.NoError(t, fresh.Begin(witness.Run{ID: "c", Spender: "r#2", Reservation: next}))
 }
--- a/demo/fleet.go
+++ b/demo/fleet.go
@@ -329,8 +329,8 @@
 }
 
 // Book is an operator's access to the accounts.
-func (f *Fleet) Book() account.Book {
-	return account.Book{Store: f.Store(), Layout: account.Layout{Prefix: process.PagePrefix, Pages: settings.Default().Budgets.Pages}}
+func (f *Fleet) Book() account.AdminClient {
+	return account.AdminClient{Store: f.Store(), Layout: account.Layout{Prefix: process.PagePrefix, Pages: settings.Default().Budgets.Pages}}
 }
 
 // Ledger is an operator's access to the ledger.
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -15,7 +15,7 @@
 
 // Upstream is one life of an upstream process, by its entry.
 type Upstream struct {
-	Life
+	Incarnation
 	Service    string
 	Address    string
 	Datacentre string
@@ -78,7 +78,7 @@
 	// outage says that the store failed since the last Reset.
 	outage bool
 	// lapses judges entries that are missing after that.
-	lapses lapse.Judge
+	lapses lapse.Detector
 	read   bool
 }
 
@@ -93,7 +93,7 @@
 	// rejected says that another process answered at the address.
 	rejected bool
 	// replaced is the life that registered at the same address later; zero if none did.
-	replaced Life
+	replaced Incarnation
 }
 
 var _ mirror.Reader = (*Directory)(nil)
@@ -104,7 +104,7 @@
 	defer d.mu.Unlock()
 	now := d.Now()
 	if d.outage {
-		d.lapses.StoreIsBack(now, lapseGrace)
+		d.lapses.StartGrace(now, lapseGrace)
 	}
 	d.outage, d.read = false, true
 	old := d.entries
@@ -174,13 +174,13 @@
 	}
 	switch {
 	case have == nil:
-	case have.Life == u.Life:
+	case have.Incarnation == u.Incarnation:
 		e.rejected, e.replaced = have.rejected, have.replaced
 	default:
 		d.Report.UpstreamGone(have.Upstream, "it started again under its id")
 	}
 	d.entries[it.Key] = e
-	if have == nil || have.Life != u.Life || have.differs(u) {
+	if have == nil || have.Incarnation != u.Incarnation || have.differs(u) {
 		d.Report.UpstreamChanged(u)
 	}
 }
@@ -191,7 +191,7 @@
 	switch {
 	case u.Cold <= 0:
 		return time.Time{}
-	case have != nil && have.Life == u.Life && have.revision == it.Revision && it.Revision != 0:
+	case have != nil && have.Incarnation == u.Incarnation && have.revision == it.Revision && it.Revision != 0:
 		return have.ColdUntil
 	}
 	return d.Now().Add(u.Cold)
@@ -224,16 +224,16 @@
 
 // Reject notes that another process answered at the upstream's address: this life is over,
 // however long its entry stays.
-func (d *Directory) Reject(life Life) {
+func (d *Directory) Reject(life Incarnation) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, e := range d.entries {
-		if e.Life == life && !e.rejected {
+		if e.Incarnation == life && !e.rejected {
 			e.rejected = true
 			d.Report.UpstreamGone(e.Upstream, "another process answers at its address")
 		}
 		if e.replaced == life {
-			e.replaced = Life{}
+			e.replaced = Incarnation{}
 		}
 	}
 	d.indexLocked(d.Now())
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -31,15 +31,15 @@
 			if string(it.Value) == "spoiled" {
 				return Upstream{}, errors.New("cannot be read")
 			}
-			u := Upstream{Life: Life{ID: it.Key[2:]}, Address: it.Key, Service: "s", Leaving: strings.HasPrefix(string(it.Value), "draining")}
+			u := Upstream{Incarnation: Incarnation{ID: it.Key[2:]}, Address: it.Key, Service: "s", Leaving: strings.HasPrefix(string(it.Value), "draining")}
 			_, born, _ := strings.Cut(string(it.Value), "@")
-			u.Born, _ = strconv.ParseInt(born, 10, 64) // 0 is none
+			u.StartUnixMS, _ = strconv.ParseInt(born, 10, 64) // 0 is none
 			return u, nil
 		}}
 }
 
 func ids(d *Directory) (out []string) {
-	for _, u := range d.Of("s") {
+	for _, u := range d.ForService("s") {
 		out = append(out, u.ID)
 	}
 	return out
@@ -86,7 +86,7 @@
 	d.Reset([]store.Item{entryOf("a", "ready"), entryOf("b", "ready"), entryOf("c", "ready"), entryOf("d", "ready")})
 	d.Changed(store.Event{Item: entryOf("a", "draining")})
 	d.Changed(store.Event{Item: store.Item{Key: "u/b"}, Deleted: true})
-	d.Reject(Life{ID: "c"})
+	d.Reject(Incarnation{ID: "c"})
 	require.Equal(t, []string{"d"}, ids(d))
 	d.Changed(store.Event{Item: entryOf("c", "ready")})
 	require.Equal(t, []string{"d"}, ids(d), "an incarnation whose address another one has does not return")
@@ -113,17 +113,17 @@
 		return store.Item{Key: "u/a", Value: []byte(state), Revision: revision}
 	}
 	d.Reset([]store.Item{written("ready@1", 5)})
-	d.Reject(Life{ID: "a", Born: 1})
+	d.Reject(Incarnation{ID: "a", StartUnixMS: 1})
 	require.Empty(t, ids(d))
 	d.Changed(store.Event{Item: written("ready@1", 6)})
 	require.Empty(t, ids(d), "the same life writes again")
 	d.Changed(store.Event{Item: written("ready@2", 8)})
 	require.Equal(t, []string{"a"}, ids(d))
-	require.EqualValues(t, 2, d.Of("s")[0].Born)
+	require.EqualValues(t, 2, d.ForService("s")[0].StartUnixMS)
 	d.Changed(store.Event{Item: written("draining@1", 7)})
 	d.Changed(store.Event{Item: store.Item{Key: "u/a", Revision: 7}, Deleted: true})
-	d.Reject(Life{ID: "a", Born: 1})
-	require.EqualValues(t, 2, d.Of("s")[0].Born, "what is late or about the first life changes nothing")
+	d.Reject(Incarnation{ID: "a", StartUnixMS: 1})
+	require.EqualValues(t, 2, d.ForService("s")[0].StartUnixMS, "what is late or about the first life changes nothing")
 }
 
 // An upstream's life ends while the store is away, and its entry is one of a new life at the
@@ -164,7 +164,7 @@
 	// Another writer's entry names the address of a living upstream: the first request there shows it.
 	d.Changed(store.Event{Item: created("false", 14)})
 	require.ElementsMatch(t, []string{"new", "false"}, ids(d))
-	d.Reject(Life{ID: "false"})
+	d.Reject(Incarnation{ID: "false"})
 	require.ElementsMatch(t, []string{"new", "other"}, ids(d))
 
 	// The newer one leaves; the older one ended long ago.
--- a/directory/emptied.go
+++ b/directory/emptied.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// SetEmptied says which data centres are to get nothing new, by the operators' newest orders:
+// SetDrained says which data centres are to get nothing new, by the operators' newest orders:
 // their upstreams leave the lists at once. Those of a data centre that is no longer among them
 // are listed again, with the time of its return.
-func (d *Directory) SetEmptied(datacentres []string) {
+func (d *Directory) SetDrained(datacentres []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Now()
@@ -28,15 +28,15 @@
 	d.indexLocked(now)
 }
 
-// Emptied lists the data centres that get nothing new, in order.
-func (d *Directory) Emptied() []string {
+// Drained lists the data centres that get nothing new, in order.
+func (d *Directory) Drained() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Sorted(maps.Keys(d.emptied))
 }
 
-// CountIn is how many upstreams are known in a data centre, whether or not they get work.
-func (d *Directory) CountIn(datacentre string) int {
+// CountInDatacentre is how many upstreams are known in a data centre, whether or not they get work.
+func (d *Directory) CountInDatacentre(datacentre string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	n := 0
@@ -48,8 +48,8 @@
 	return n
 }
 
-// Takes reports whether an upstream takes new work now. Between a choice and the send that
+// Accepts reports whether an upstream takes new work now. Between a choice and the send that
 // follows it, the process beside the upstream is asked, which may take a while.
-func (d *Directory) Takes(u Upstream) bool {
-	return slices.ContainsFunc(d.Of(u.Service), func(other Upstream) bool { return other.Life == u.Life })
+func (d *Directory) Accepts(u Upstream) bool {
+	return slices.ContainsFunc(d.ForService(u.Service), func(other Upstream) bool { return other.Incarnation == u.Incarnation })
 }
--- a/directory/emptied_test.go
+++ b/directory/emptied_test.go
@@ -29,32 +29,32 @@
 		listed  []string
 	}{
 		"no order": {func(*Directory, *time.Time) {}, []string{"a", "b", "c"}},
-		"one":      {func(d *Directory, _ *time.Time) { d.SetEmptied([]string{"bergen"}) }, []string{"c"}},
-		"twice":    {func(d *Directory, _ *time.Time) { d.SetEmptied([]string{"bergen"}); d.SetEmptied([]string{"bergen"}) }, []string{"c"}},
+		"one":      {func(d *Directory, _ *time.Time) { d.SetDrained([]string{"bergen"}) }, []string{"c"}},
+		"twice":    {func(d *Directory, _ *time.Time) { d.SetDrained([]string{"bergen"}); d.SetDrained([]string{"bergen"}) }, []string{"c"}},
 		"overlapping": {func(d *Directory, _ *time.Time) {
-			d.SetEmptied([]string{"bergen"})
-			d.SetEmptied([]string{"bergen", "oslo"})
-			d.SetEmptied([]string{"oslo"})
+			d.SetDrained([]string{"bergen"})
+			d.SetDrained([]string{"bergen", "oslo"})
+			d.SetDrained([]string{"oslo"})
 		}, []string{"a", "b"}},
-		"all":            {func(d *Directory, _ *time.Time) { d.SetEmptied([]string{"bergen", "oslo"}) }, nil},
-		"taken back":     {func(d *Directory, _ *time.Time) { d.SetEmptied([]string{"bergen"}); d.SetEmptied(nil) }, []string{"a", "b", "c"}},
-		"an unknown one": {func(d *Directory, _ *time.Time) { d.SetEmptied([]string{"atlantis"}) }, []string{"a", "b", "c"}},
+		"all":            {func(d *Directory, _ *time.Time) { d.SetDrained([]string{"bergen", "oslo"}) }, nil},
+		"taken back":     {func(d *Directory, _ *time.Time) { d.SetDrained([]string{"bergen"}); d.SetDrained(nil) }, []string{"a", "b", "c"}},
+		"an unknown one": {func(d *Directory, _ *time.Time) { d.SetDrained([]string{"atlantis"}) }, []string{"a", "b", "c"}},
 		"an upstream new": {func(d *Directory, _ *time.Time) {
-			d.SetEmptied([]string{"bergen"})
+			d.SetDrained([]string{"bergen"})
 			d.Changed(store.Event{Item: entryOf("a", "ready@2")})
 		}, []string{"c"}},
 		"the store away": {func(d *Directory, now *time.Time) {
-			d.SetEmptied([]string{"bergen"})
+			d.SetDrained([]string{"bergen"})
 			d.Lost(store.ErrUnknown)
 			*now = now.Add(time.Minute)
 		}, []string{"c"}},
 		"entries lapsed": {func(d *Directory, _ *time.Time) {
-			d.SetEmptied([]string{"bergen"})
+			d.SetDrained([]string{"bergen"})
 			d.Lost(store.ErrUnknown)
 			d.Reset(nil)
 		}, []string{"c"}},
 		"before all reads": {func(d *Directory, _ *time.Time) {
-			d.SetEmptied([]string{"bergen"})
+			d.SetDrained([]string{"bergen"})
 			d.Reset([]store.Item{entryOf("b", "ready"), entryOf("c", "ready")})
 		}, []string{"c"}},
 	} {
@@ -72,13 +72,13 @@
 func TestUpstreamOfAnEmptiedDatacentreTakesNothing(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := placed(&now)
-	chosen := d.Of("s")
-	d.SetEmptied([]string{"bergen"})
+	chosen := d.ForService("s")
+	d.SetDrained([]string{"bergen"})
 	for _, u := range chosen {
-		require.Equal(t, u.Datacentre == "oslo", d.Takes(u))
+		require.Equal(t, u.Datacentre == "oslo", d.Accepts(u))
 	}
-	require.Equal(t, 2, d.CountIn("bergen"))
-	require.Equal(t, []string{"bergen"}, d.Emptied())
+	require.Equal(t, 2, d.CountInDatacentre("bergen"))
+	require.Equal(t, []string{"bergen"}, d.Drained())
 }
 
 // An upstream is cold for the time that its entry says, from when that was first heard. An entry
@@ -89,19 +89,19 @@
 	d := directoryAt(&now)
 	cold := 3 * time.Second
 	d.Decode = func(it store.Item) (Upstream, error) {
-		return Upstream{Life: Life{ID: "a"}, Service: "s", Cold: cold}, nil
+		return Upstream{Incarnation: Incarnation{ID: "a"}, Service: "s", Cold: cold}, nil
 	}
 	heard := now
 	d.Reset([]store.Item{entryOf("a", "")})
-	require.Equal(t, heard.Add(cold), d.Of("s")[0].ColdUntil)
+	require.Equal(t, heard.Add(cold), d.ForService("s")[0].ColdUntil)
 	now = now.Add(time.Second)
 	d.Lost(store.ErrUnknown)
 	d.Reset([]store.Item{entryOf("a", "")})
-	require.Equal(t, heard.Add(3*time.Second), d.Of("s")[0].ColdUntil)
+	require.Equal(t, heard.Add(3*time.Second), d.ForService("s")[0].ColdUntil)
 	cold = time.Second
 	d.Changed(store.Event{Item: store.Item{Key: "u/a", Revision: 2}})
-	require.Equal(t, now.Add(time.Second), d.Of("s")[0].ColdUntil)
+	require.Equal(t, now.Add(time.Second), d.ForService("s")[0].ColdUntil)
 	cold = 0
 	d.Changed(store.Event{Item: store.Item{Key: "u/a", Revision: 3}})
-	require.Zero(t, d.Of("s")[0].ColdUntil)
+	require.Zero(t, d.ForService("s")[0].ColdUntil)
 }
--- a/directory/index.go
+++ b/directory/index.go
@@ -17,7 +17,7 @@
 		case missing && !lapsed:
 			continue
 		}
-		if e.Leaving || e.rejected || e.replaced != (Life{}) || d.emptied[e.Datacentre] || bornTold && e.Born == 0 {
+		if e.Leaving || e.rejected || e.replaced != (Incarnation{}) || d.emptied[e.Datacentre] || bornTold && e.StartUnixMS == 0 {
 			continue
 		}
 		e.Returned = d.returned[e.Datacentre]
@@ -32,7 +32,7 @@
 func (d *Directory) bornIsToldLocked() bool {
 	told := 0
 	for _, e := range d.entries {
-		if e.Born != 0 {
+		if e.StartUnixMS != 0 {
 			told++
 		}
 	}
@@ -52,17 +52,17 @@
 	}
 	for _, e := range d.entries {
 		by := newest[e.Address]
-		if by == nil || by.created <= e.created || e.replaced != (Life{}) || e.rejected {
+		if by == nil || by.created <= e.created || e.replaced != (Incarnation{}) || e.rejected {
 			continue
 		}
-		e.replaced = by.Life
+		e.replaced = by.Incarnation
 		d.Report.UpstreamGone(e.Upstream, "a later one has its address")
 	}
 }
 
-// Of lists the upstreams of a service that take new work. The caller must not change
+// ForService lists the upstreams of a service that take new work. The caller must not change
 // the list.
-func (d *Directory) Of(service string) []Upstream {
+func (d *Directory) ForService(service string) []Upstream {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.services[service]
--- a/directory/missing.go
+++ b/directory/missing.go
@@ -18,7 +18,7 @@
 			again++
 		}
 	}
-	d.lapses.Read(kept, again)
+	d.lapses.RecordRead(kept, again)
 }
 
 // missLocked drops an entry, or keeps it for a while when it may have lapsed only
@@ -27,10 +27,10 @@
 	switch {
 	case now.Before(e.missingUntil):
 		d.entries[key] = e
-	case e.missingUntil.IsZero() && d.lapses.Possible(now) && !e.Leaving:
-		e.missingUntil = d.lapses.Until()
+	case e.missingUntil.IsZero() && d.lapses.InGrace(now) && !e.Leaving:
+		e.missingUntil = d.lapses.GraceEnd()
 		d.entries[key] = e
-		d.lapses.Miss(e.kept)
+		d.lapses.RecordMissing(e.kept)
 		e.kept = false
 		missing, kept := d.lapses.Counts()
 		d.Report.UpstreamMissing(e.Upstream, d.lapses.Lapsed(now), missing, kept)
--- a/etcd/etcd.go
+++ b/etcd/etcd.go
@@ -107,9 +107,9 @@
 	return e.read(ctx, RangeRequest{Key: []byte(prefix), RangeEnd: prefixEnd(prefix)})
 }
 
-// Peek implements store.Store by a serializable read, which one member of the store
+// StaleSnapshot implements store.Store by a serializable read, which one member of the store
 // answers alone.
-func (e *Store) Peek(ctx context.Context, prefix string) ([]store.Item, error) {
+func (e *Store) StaleSnapshot(ctx context.Context, prefix string) ([]store.Item, error) {
 	in := RangeRequest{Key: []byte(prefix), RangeEnd: prefixEnd(prefix), Serializable: true}
 	items, _, err := e.read(ctx, in)
 	return items, err
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -60,7 +60,7 @@
 	virtualtime.Test(t, func(t *testing.T) {
 		s := memstore.New()
 		r := fleet.Registry{Store: s}
-		s.SetFaults(memstore.Faults{LoseWrites: 1})
+		s.SetFaults(memstore.Faults{LoseResponses: 1})
 		generation, err := r.Apply(t.Context(), document("peak"), 0, "op")
 		require.NoError(t, err)
 		require.Equal(t, int64(1), generation)
--- a/gateway/announce.go
+++ b/gateway/announce.go
@@ -61,18 +61,18 @@
 }
 
 // ask implements pool.Pool's Ask.
-func (a *announcer) ask(address string, what prefill.Announcement) (told prefill.Told, ok bool) {
+func (a *announcer) ask(address string, what prefill.Announcement) (told prefill.AnnounceReply, ok bool) {
 	ok = a.call(address, link.MethodAnnounce, what, &told)
 	return told, ok
 }
 
 // withdraw implements pool.Pool's Withdraw. Nobody waits for it.
-func (a *announcer) withdraw(address string, what prefill.Announcement, told prefill.Told) {
+func (a *announcer) withdraw(address string, what prefill.Announcement, told prefill.AnnounceReply) {
 	a.send(note{address: address, method: link.MethodWithdraw, message: link.Withdrawal{Announcement: what, Told: told}})
 }
 
 // readElsewhere implements pool.Pool's ReadElsewhere. Nobody waits for it.
-func (a *announcer) readElsewhere(address string, what prefill.Elsewhere) {
+func (a *announcer) readElsewhere(address string, what prefill.RemotePrefill) {
 	a.send(note{address: address, method: link.MethodReadElsewhere, message: what})
 }
 
@@ -85,14 +85,14 @@
 
 // known reports whether there is a process beside the upstream at an address.
 func (a *announcer) known(address string) bool {
-	_, known := a.members.Beside(address)
+	_, known := a.members.ByUpstream(address)
 	return known
 }
 
 // call sends a message to the process beside an upstream and reports whether it was
 // answered. Without an answer the choice goes by what this router knows itself.
 func (a *announcer) call(address, method string, in, out any) bool {
-	m, known := a.members.Beside(address)
+	m, known := a.members.ByUpstream(address)
 	if !known || a.isSilent(m.Address) {
 		return false
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -75,7 +75,7 @@
 	beside    *announcer
 	repeats   *repeats
 	prompts   *promptGuard
-	path      *serving.Path
+	path      *serving.Dispatcher
 	metrics   *gatewayMetrics
 
 	// What is followed in the store.
@@ -114,22 +114,22 @@
 		Directory:     g.directory,
 		PrefillPerMs:  s.Upstreams.PrefillPerMs,
 		Routers:       g.routers,
-		Here:          s.Datacentre,
-		Ask:           g.beside.ask,
+		Datacentre:          s.Datacentre,
+		Announce:           g.beside.ask,
 		Withdraw:      g.beside.withdraw,
-		ReadElsewhere: g.beside.readElsewhere,
-		Exposed:       g.engineExposed,
+		ReportRemotePrefill: g.beside.readElsewhere,
+		OnStallProne:       g.engineExposed,
 		Limits:        limits{g},
 		Region:        func(datacentre string) string { return s.Regions[datacentre] },
-		Cold:          warmup.Bound{Overshoot: s.Cold.Overshoot, Slack: s.Cold.Slack},
-		Beside:        g.beside.known,
-		Share:         g.shareOfCold,
+		Cold:          warmup.Tolerance{Overshoot: s.Cold.Overshoot, Slack: s.Cold.Slack},
+		HasLender:        g.beside.known,
+		ColdShare:         g.shareOfCold,
 		Now:           time.Now,
 	}
-	g.path = &serving.Path{
+	g.path = &serving.Dispatcher{
 		Upstreams: &upstreams{Pool: g.pool, transport: newTransport(g.Network, s.Upstreams)},
 		Budgets:   g.Budgets,
-		Repeats:   g.repeats,
+		RetryBudget:   g.repeats,
 		Poison:    g.prompts,
 		Now:       time.Now,
 	}
@@ -149,7 +149,7 @@
 // router's.
 func (g *Gateway) shareOfCold(upstream string, most int) int {
 	share := g.share()
-	if share.Among == 0 {
+	if share.Processes == 0 {
 		return 0
 	}
 	routers := slices.Collect(maps.Keys(g.Members.Newest(prepaid.RoleRouter)))
@@ -166,7 +166,7 @@
 		return retrybudget.Share{}
 	}
 	n, since := g.Members.Sharers()
-	return retrybudget.Share{Among: n, Since: since}
+	return retrybudget.Share{Processes: n, Since: since}
 }
 
 // repeatRule is the bound on repeats by the settings in force.
@@ -271,7 +271,7 @@
 	g.Start(d)
 	d.Every(lagPeriod, func(context.Context) { g.lag.Tick(time.Now()) })
 	d.Every(expirePause, func(context.Context) { g.directory.Expire() })
-	d.Every(forgetPause, func(context.Context) { g.pool.Forget() })
+	d.Every(forgetPause, func(context.Context) { g.pool.Prune() })
 }
 
 // stop is a planned stop.
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -91,12 +91,12 @@
 		Host:    req.Host,
 		Header:  http.Header{},
 		Arrived: v.arrived,
-		Until:   v.until(route),
+		Deadline:   v.until(route),
 	}
 	hop.CopyHeaders(r.Header, req.Header)
 	if team != nil {
 		r.Team, r.Prepaid = team.Name, team.Prepaid
-		r.Regions = r.Regions.Both(team.Regions)
+		r.Regions = r.Regions.Intersect(team.Regions)
 		if team.Rank != nil {
 			r.Rank = *team.Rank
 		}
@@ -104,7 +104,7 @@
 	if route.Generative || r.Service.Engine != nil {
 		r.Prompt, r.MaxOutput = v.call.Prompt, v.call.MaxOutput
 		r.Parts, r.LastEvent = v.call.Parts, v.call.LastEvent
-		if r.Prepaid > 0 && r.Worst() == 0 {
+		if r.Prepaid > 0 && r.MaxTokens() == 0 {
 			return contract.Refuse(contract.BadRequest, "the request does not say how many tokens it may take")
 		}
 	}
@@ -118,7 +118,7 @@
 func (v *visit) admit(req *http.Request) *contract.Refusal {
 	if !v.gateway.pool.Serves(v.request) {
 		refusal := contract.Refuse(contract.NoUpstream, "no upstream of %s takes requests now", v.request.Service.Name)
-		refusal.Detail = fmt.Sprintf("emptied data centres %v, allowed regions %v", v.gateway.directory.Emptied(), v.request.Regions)
+		refusal.Detail = fmt.Sprintf("emptied data centres %v, allowed regions %v", v.gateway.directory.Drained(), v.request.Regions)
 		return refusal
 	}
 	link, cpu := v.gateway.meter.out.Delay(v.arrived), v.gateway.lag.Delay(v.arrived)
@@ -164,7 +164,7 @@
 	}
 	limits := v.gateway.callerLimits()
 	rc := http.NewResponseController(w)
-	if err := rc.SetReadDeadline(v.request.Until); err != nil {
+	if err := rc.SetReadDeadline(v.request.Deadline); err != nil {
 		return contract.Refuse(contract.Internal, "%v", err)
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, limits.BodyBytes))
@@ -194,8 +194,8 @@
 		v.answer(w, end.Refusal)
 		return
 	}
-	v.logEnd(end, out.Status(), out.FirstAfter(v.arrived))
-	if end.Cut {
+	v.logEnd(end, out.Status(), out.TimeToFirstChunk(v.arrived))
+	if end.Truncated {
 		// Ending the handler normally would end the body as if that were all;
 		// aborting breaks the connection, so that the caller sees the cut.
 		panic(http.ErrAbortHandler)
@@ -217,14 +217,14 @@
 }
 
 // logEnd writes the one line that tells what became of a request, and why.
-func (v *visit) logEnd(end serving.End, status int, first time.Duration) {
+func (v *visit) logEnd(end serving.Outcome, status int, first time.Duration) {
 	g, r := v.gateway, v.request
 	took := time.Since(r.Arrived)
 	g.metrics.ended(r, end, took)
 	line := g.Log.Info().Str("id", r.ID).Str("team", r.Team).Str("route", r.Route.Name).
 		Str("service", r.Service.Name).Int64("version", r.Version).Int("status", status).
-		Int64("first_ms", first.Milliseconds()).Int64("took_ms", took.Milliseconds()).Int64("left_ms", time.Until(r.Until).Milliseconds()).
-		Int64("reserved", r.Worst()).Int64("used", end.Used).Bool("cut", end.Cut)
+		Int64("first_ms", first.Milliseconds()).Int64("took_ms", took.Milliseconds()).Int64("left_ms", time.Until(r.Deadline).Milliseconds()).
+		Int64("reserved", r.MaxTokens()).Int64("used", end.Used).Bool("cut", end.Truncated)
 	line = line.Str("attempts", history(end.Attempts))
 	if end.Refusal != nil {
 		line = line.Str("kind", string(end.Refusal.Kind)).Str("refusal", end.Refusal.Message).Str("asked", end.Refusal.Detail)
@@ -241,13 +241,13 @@
 		if i > 0 {
 			b.WriteString("; ")
 		}
-		fmt.Fprintf(&b, "%s [%d ms, %d tokens] %s", a.Upstream, a.Cost.Milliseconds(), a.Unread, a.Result)
-		if p := a.Pause; p.For > 0 {
+		fmt.Fprintf(&b, "%s [%d ms, %d tokens] %s", a.Upstream, a.Cost.Milliseconds(), a.PendingPrefill, a.Result)
+		if p := a.Pause; p.Duration > 0 {
 			fmt.Fprintf(&b, ", longest pause %d ms beside %d requests with %d unread tokens",
-				p.For.Milliseconds(), p.Beside.Running, p.Beside.Unread)
+				p.Duration.Milliseconds(), p.ConcurrentLoad.Running, p.ConcurrentLoad.PendingPrefill)
 		}
-		if a.Why != "" {
-			b.WriteString(" (" + a.Why + ")")
+		if a.Detail != "" {
+			b.WriteString(" (" + a.Detail + ")")
 		}
 	}
 	return b.String()
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -27,21 +27,21 @@
 	return ratelimit.Share(place, len(ranked), time.Since(since), perSecond)
 }
 
-// Tell implements pool.Limits.
-func (l limits) Tell(address string, born int64, w ratelimit.Word, known func(ratelimit.Known)) {
-	var answer ratelimit.Known
+// Report implements pool.Limits.
+func (l limits) Report(address string, born int64, w ratelimit.NamedLimit, known func(ratelimit.State)) {
+	var answer ratelimit.State
 	l.g.beside.send(note{address: address, method: link.MethodLimit, message: link.LimitNamed{Born: born, Word: w},
 		answer: &answer, answered: func() { known(answer) }})
 }
 
 // Changed implements pool.Limits.
-func (l limits) Changed(life directory.Life, was, now float64, from pool.LimitSource) {
+func (l limits) Changed(life directory.Incarnation, was, now float64, from pool.LimitSource) {
 	l.g.Log.Info().Stringer("upstream", life).Float64("was_per_second", was).Float64("per_second", now).Str("from", string(from)).
 		Msg("upstream_limit")
 }
 
-// Unreadable implements pool.Limits.
-func (l limits) Unreadable(life directory.Life, err error, again bool) {
+// Unparsable implements pool.Limits.
+func (l limits) Unparsable(life directory.Incarnation, err error, again bool) {
 	l.g.metrics.limitUnreadable()
 	if again {
 		return // one line for each text
@@ -49,13 +49,13 @@
 	l.g.Log.Warn().Stringer("upstream", life).Err(err).Msg("upstream_limit_unreadable")
 }
 
-// Held implements pool.Limits.
-func (l limits) Held(r *serving.Request, h pool.Held) {
+// Limited implements pool.Limits.
+func (l limits) Limited(r *serving.Request, h pool.LimitedChoice) {
 	chosen := ""
 	if h.Chosen != nil {
 		chosen = h.Chosen.String()
 	}
 	l.g.metrics.heldByLimits(r.Service.Name, h.Chosen != nil)
-	l.g.Log.Info().Str("id", r.ID).Str("service", r.Service.Name).Int("rank", r.Rank).Int("held", h.Held).Int("of", h.Of).
-		Str("chosen", chosen).Int64("next_ms", h.Next.Milliseconds()).Msg("held_by_limits")
+	l.g.Log.Info().Str("id", r.ID).Str("service", r.Service.Name).Int("rank", r.Rank).Int("held", h.Limited).Int("of", h.Eligible).
+		Str("chosen", chosen).Int64("next_ms", h.RetryAfter.Milliseconds()).Msg("held_by_limits")
 }
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -17,9 +17,9 @@
 	m := &gatewayMetrics{set: g.Metrics}
 	m.set.NewGauge("arbutusmill_gateway_active_requests", func() float64 { return float64(g.active.Load()) })
 	m.set.NewGauge("arbutusmill_gateway_configuration_version", func() float64 { return float64(g.version()) })
-	m.set.NewGauge("arbutusmill_gateway_emptied_datacentres", func() float64 { return float64(len(g.directory.Emptied())) })
+	m.set.NewGauge("arbutusmill_gateway_emptied_datacentres", func() float64 { return float64(len(g.directory.Drained())) })
 	m.set.NewGauge("arbutusmill_gateway_prompts_that_end_upstreams", func() float64 {
-		return float64(len(g.prompts.register.All(time.Now())))
+		return float64(len(g.prompts.register.Restricted(time.Now())))
 	})
 	m.set.NewGauge("arbutusmill_gateway_routers", func() float64 {
 		n, _ := g.Members.Count(prepaid.RoleRouter)
@@ -69,15 +69,15 @@
 }
 
 // ended counts the end of a request that came onto the path.
-func (m *gatewayMetrics) ended(r *serving.Request, e serving.End, took time.Duration) {
+func (m *gatewayMetrics) ended(r *serving.Request, e serving.Outcome, took time.Duration) {
 	service := r.Service.Name
 	if e.Refusal != nil {
 		m.refused(e.Refusal.Kind)
 	}
 	for _, a := range e.Attempts {
 		m.set.GetOrCreateCounter(fmt.Sprintf("arbutusmill_gateway_attempts_total{service=%q,result=%q}", service, a.Result)).Inc()
-		if a.Pause.For > 0 {
-			m.set.GetOrCreateHistogram(fmt.Sprintf("arbutusmill_gateway_longest_pause_seconds{service=%q}", service)).Update(a.Pause.For.Seconds())
+		if a.Pause.Duration > 0 {
+			m.set.GetOrCreateHistogram(fmt.Sprintf("arbutusmill_gateway_longest_pause_seconds{service=%q}", service)).Update(a.Pause.Duration.Seconds())
 		}
 	}
 	m.set.GetOrCreateCounter(fmt.Sprintf("arbutusmill_gateway_used_tokens_total{team=%q}", r.Team)).Add(int(e.Used))
--- a/gateway/operators.go
+++ b/gateway/operators.go
@@ -77,7 +77,7 @@
 func (o *operatorReader) setEmptied(next map[string]store.Revision) {
 	before := o.emptied
 	o.emptied = next
-	o.g.directory.SetEmptied(slices.Collect(maps.Keys(next)))
+	o.g.directory.SetDrained(slices.Collect(maps.Keys(next)))
 	for datacentre, revision := range next {
 		if _, known := before[datacentre]; !known {
 			o.logOrder(datacentre, true, revision)
@@ -94,7 +94,7 @@
 // that of the order, the age how long ago the store was heard of.
 func (o *operatorReader) logOrder(datacentre string, emptied bool, revision store.Revision) {
 	o.g.Log.Info().Str("datacentre", datacentre).Bool("emptied", emptied).Int64("revision", int64(revision)).
-		Dur("age_ms", o.g.Follower.State().Age).Int("upstreams", o.g.directory.CountIn(datacentre)).Msg("datacentre_emptied")
+		Dur("age_ms", o.g.Follower.State().Age).Int("upstreams", o.g.directory.CountInDatacentre(datacentre)).Msg("datacentre_emptied")
 }
 
 // configure puts a configuration in force, unless it is older than the one there is.
@@ -112,7 +112,7 @@
 		o.g.Unreadable("regions")
 		o.g.Log.Error().Err(problem).Int64("version", config.Version).Msg("region_unknown")
 	}
-	raised := o.g.catalog.Raise(catalog.NewTable(config))
+	raised := o.g.catalog.UpdateIfNewer(catalog.NewTable(config))
 	o.g.Log.Info().Int64("version", config.Version).Int64("revision", int64(it.Revision)).Bool("taken", raised).
 		Int("routes", len(config.Routes)).Int("teams", len(config.Teams)).Msg("configuration")
 }
--- a/gateway/promptkeepers.go
+++ b/gateway/promptkeepers.go
@@ -101,7 +101,7 @@
 			continue
 		}
 		seen[c.prompt] = true
-		if e := p.register.Known(now, c.prompt); len(e.Ends) > 0 {
+		if e := p.register.Known(now, c.prompt); len(e.Crashes) > 0 {
 			changed.Known = append(changed.Known, e)
 		}
 	}
@@ -163,7 +163,7 @@
 // takeKept takes what a keeper knows of a prompt, unless that was answered meanwhile.
 func (p *promptGuard) takeKept(e poison.Evidence) {
 	now := time.Now()
-	if len(p.register.Known(now, e.Prompt).Ends) == 0 {
+	if len(p.register.Known(now, e.Prompt).Crashes) == 0 {
 		return
 	}
 	all, news := p.add(e)
--- a/gateway/promptnews.go
+++ b/gateway/promptnews.go
@@ -109,7 +109,7 @@
 // takeTry decides whether a prompt may be tried.
 func (p *promptGuard) takeTry(_ context.Context, in link.PromptTry) (link.PromptTryReply, error) {
 	now := time.Now()
-	allowed := p.register.Try(now, in.Prompt, in.Service, in.Request)
+	allowed := p.register.Allow(now, in.Prompt, in.Service, in.Request)
 	return link.PromptTryReply{Allowed: allowed, Known: p.register.Known(now, in.Prompt)}, nil
 }
 
@@ -124,7 +124,7 @@
 
 // takeCleared takes that a prompt was answered.
 func (p *promptGuard) takeCleared(_ context.Context, in link.PromptAnswered) (link.Empty, error) {
-	p.register.Answered(time.Now(), in.Prompt, in.Service)
+	p.register.RecordAnswer(time.Now(), in.Prompt, in.Service)
 	p.keepAnswered(in)
 	return link.Empty{}, nil
 }
--- a/gateway/prompts.go
+++ b/gateway/prompts.go
@@ -37,7 +37,7 @@
 // too, since routers may all start anew together.
 type promptGuard struct {
 	vm       string
-	register poison.Register
+	register poison.Registry
 	sends    sends
 	members  *member.Group
 	links    *link.Pool
@@ -87,7 +87,7 @@
 	if p.register.Empty() {
 		return poison.Evidence{}
 	}
-	return p.register.Known(time.Now(), poison.Identify(r)).For(r.Service.Name)
+	return p.register.Known(time.Now(), poison.Identify(r)).ForService(r.Service.Name)
 }
 
 // Refuse implements serving.Poison.
@@ -113,7 +113,7 @@
 
 func provenRefusal(known poison.Evidence) *contract.Refusal {
 	refusal := contract.Refuse(contract.PromptEndsUpstreams,
-		"%d upstreams ended under this prompt, and nothing else was answered to it; it is not sent again", len(known.Ends))
+		"%d upstreams ended under this prompt, and nothing else was answered to it; it is not sent again", len(known.Crashes))
 	refusal.Detail = describe(known)
 	return refusal
 }
@@ -121,7 +121,7 @@
 // describe tells a prompt's evidence for the log.
 func describe(known poison.Evidence) string {
 	parts := []string{"prompt " + string(known.Prompt)}
-	for _, e := range known.Ends {
+	for _, e := range known.Crashes {
 		parts = append(parts, e.Upstream+" of "+e.Service+" ended "+e.Age.Round(time.Millisecond).String()+" ago")
 	}
 	return strings.Join(parts, ", ")
@@ -140,7 +140,7 @@
 		return nil
 	}
 	p.add(reply.Known)
-	if counts := reply.Known.For(r.Service.Name); counts.Standing() == poison.Proven {
+	if counts := reply.Known.ForService(r.Service.Name); counts.Standing() == poison.Proven {
 		return provenRefusal(counts)
 	}
 	refusal := contract.Refuse(contract.PromptOnTrial, "upstreams ended under this prompt, and another request is trying it")
@@ -148,14 +148,14 @@
 	return refusal
 }
 
-// Answered implements serving.Poison.
-func (p *promptGuard) Answered(r *serving.Request) {
+// RecordAnswer implements serving.Poison.
+func (p *promptGuard) RecordAnswer(r *serving.Request) {
 	if p.register.Empty() {
 		return
 	}
 	prompt := poison.Identify(r)
 	service := r.Service.Name
-	known := p.register.Answered(time.Now(), prompt, service)
+	known := p.register.RecordAnswer(time.Now(), prompt, service)
 	if known.Standing() == poison.Clear {
 		return
 	}
@@ -168,9 +168,9 @@
 		toAll: known.Standing() >= poison.OnTrial})
 }
 
-// Broke implements serving.Poison. Nobody waits after the first break under a prompt: its second
+// ConnectionBroken implements serving.Poison. Nobody waits after the first break under a prompt: its second
 // try is let through whatever the look shows.
-func (p *promptGuard) Broke(ctx context.Context, r *serving.Request, attempts []serving.Attempt) {
+func (p *promptGuard) ConnectionBroken(ctx context.Context, r *serving.Request, attempts []serving.Attempt) {
 	b := brokenAttempt{request: r, attempt: attempts[len(attempts)-1]}
 	earlier := slices.ContainsFunc(attempts[:len(attempts)-1], func(a serving.Attempt) bool { return a.Break != nil })
 	if earlier || p.known(r).Standing() > poison.Clear {
@@ -208,8 +208,8 @@
 	if state != upstreamEnded {
 		return
 	}
-	end := poison.End{Upstream: b.attempt.Upstream.String(), Service: b.request.Service.Name}
-	mine, news := p.add(poison.Evidence{Prompt: prompt, Ends: []poison.End{end}})
+	end := poison.Crash{Upstream: b.attempt.Upstream.String(), Service: b.request.Service.Name}
+	mine, news := p.add(poison.Evidence{Prompt: prompt, Crashes: []poison.Crash{end}})
 	decideHere := func(context.Context, poison.Evidence) (poison.Evidence, error) {
 		p.decided(mine, news)
 		return mine, nil
@@ -243,7 +243,7 @@
 
 // lapse forgets prompts whose time is over.
 func (p *promptGuard) lapse(now time.Time) {
-	for _, l := range p.register.Lapse(now) {
+	for _, l := range p.register.Expire(now) {
 		p.log.Info().Str("prompt", string(l.Prompt)).Stringer("was", l.Was).Stringer("standing", l.Now).Msg("prompt_lapsed")
 	}
 }
--- a/gateway/recall.go
+++ b/gateway/recall.go
@@ -60,8 +60,8 @@
 	return out
 }
 
-// Sending implements serving.Poison. Requests without parts are not recalled: they are short.
-func (p *promptGuard) Sending(ctx context.Context, r *serving.Request) (sending context.Context, began, done func()) {
+// TrackSend implements serving.Poison. Requests without parts are not recalled: they are short.
+func (p *promptGuard) TrackSend(ctx context.Context, r *serving.Request) (sending context.Context, began, done func()) {
 	if len(r.Parts) == 0 {
 		return ctx, func() {}, func() {}
 	}
@@ -82,7 +82,7 @@
 		return all, news
 	}
 	for _, one := range p.sends.of(all.Prompt) {
-		if all.For(one.request.Service.Name).Standing() < poison.Proven {
+		if all.ForService(one.request.Service.Name).Standing() < poison.Proven {
 			continue
 		}
 		p.metrics.recalled(one.request.Service.Name)
--- a/gateway/repeats.go
+++ b/gateway/repeats.go
@@ -21,12 +21,12 @@
 }
 
 // Request implements serving.Repeats.
-func (r *repeats) Request(service string) { r.of(service).Request(time.Now(), r.rule()) }
+func (r *repeats) Request(service string) { r.of(service).RecordRequest(time.Now(), r.rule()) }
 
 // Allow implements serving.Repeats.
 func (r *repeats) Allow(request *serving.Request) bool {
 	share := r.share()
-	d := r.of(request.Service.Name).Repeat(time.Now(), r.rule(), share)
+	d := r.of(request.Service.Name).TryRetry(time.Now(), r.rule(), share)
 	r.decided(request, d, share)
 	return d.Allowed
 }
--- a/gateway/report.go
+++ b/gateway/report.go
@@ -10,19 +10,19 @@
 
 // UpstreamChanged implements directory.Reporter.
 func (g *Gateway) UpstreamChanged(u directory.Upstream) {
-	g.Log.Info().Stringer("upstream", u.Life).Str("service", u.Service).Str("address", u.Address).
+	g.Log.Info().Stringer("upstream", u.Incarnation).Str("service", u.Service).Str("address", u.Address).
 		Str("datacentre", u.Datacentre).Bool("leaving", u.Leaving).Dur("cold_ms", u.Cold).Msg("upstream_changed")
 }
 
 // UpstreamMissing implements directory.Reporter.
 func (g *Gateway) UpstreamMissing(u directory.Upstream, believed bool, missing, kept int) {
-	g.Log.Warn().Stringer("upstream", u.Life).Str("service", u.Service).Bool("believed", believed).
+	g.Log.Warn().Stringer("upstream", u.Incarnation).Str("service", u.Service).Bool("believed", believed).
 		Int("missing", missing).Int("kept", kept).Msg("upstream_missing")
 }
 
 // UpstreamGone implements directory.Reporter.
 func (g *Gateway) UpstreamGone(u directory.Upstream, why string) {
-	g.Log.Info().Stringer("upstream", u.Life).Str("service", u.Service).Str("why", why).Msg("upstream_gone")
+	g.Log.Info().Stringer("upstream", u.Incarnation).Str("service", u.Service).Str("why", why).Msg("upstream_gone")
 }
 
 // DirectoryLost implements directory.Reporter.
@@ -62,14 +62,14 @@
 func (g *Gateway) dump() any {
 	return state{
 		Life: g.Life, Ready: g.ready(), Stopping: g.stopping.Load(), Active: g.active.Load(),
-		Version: g.version(), Budgets: g.Budgets.State(), Upstreams: g.directory.All(), Emptied: g.directory.Emptied(),
+		Version: g.version(), Budgets: g.Budgets.State(), Upstreams: g.directory.All(), Emptied: g.directory.Drained(),
 		Pool: g.pool.States(), Members: g.Members.Members(), Followed: g.Follower.State(), Relay: g.Hub.State(),
-		Prompts: g.prompts.register.All(time.Now()),
+		Prompts: g.prompts.register.Restricted(time.Now()),
 	}
 }
 
 // engineExposed logs that an engine is left to short prompts, or not any more.
-func (g *Gateway) engineExposed(life directory.Life, exposed bool, heldUp, slowness float64) {
+func (g *Gateway) engineExposed(life directory.Incarnation, exposed bool, heldUp, slowness float64) {
 	g.Log.Info().Stringer("upstream", life).Bool("exposed", exposed).Float64("pause_of_goal", heldUp).Float64("slowness", slowness).
 		Msg("engine_left_to_short_prompts")
 }
@@ -80,10 +80,10 @@
 func (g *Gateway) repeatDecided(r *serving.Request, d retrybudget.Decision, share retrybudget.Share) {
 	g.metrics.repeat(r.Service.Name, d.Allowed)
 	var sharing time.Duration
-	if share.Among > 0 {
+	if share.Processes > 0 {
 		sharing = time.Since(share.Since)
 	}
-	g.Log.Info().Str("id", r.ID).Str("service", r.Service.Name).Bool("allowed", d.Allowed).Float64("paid", d.Paid).
-		Int("used", d.Used).Int("part", d.Part).Int("routers", share.Among).
+	g.Log.Info().Str("id", r.ID).Str("service", r.Service.Name).Bool("allowed", d.Allowed).Float64("paid", d.Balance).
+		Int("used", d.ExtraUsed).Int("part", d.ExtraShare).Int("routers", share.Processes).
 		Int64("sharing_for_ms", sharing.Milliseconds()).Msg("repeat")
 }
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -44,7 +44,7 @@
 // Send implements serving.Upstreams.
 func (u *upstreams) Send(ctx context.Context, r *serving.Request, t serving.Target, out serving.Caller) serving.Attempt {
 	at := exchange{request: r, target: t, out: out, caller: ctx, now: u.Now}
-	ctx, cancel := context.WithDeadline(ctx, t.Until)
+	ctx, cancel := context.WithDeadline(ctx, t.Deadline)
 	defer cancel()
 	sent := &hop.Sent{}
 	req := u.upstreamRequest(sent.Trace(ctx), r, t, out)
@@ -92,7 +92,7 @@
 }
 
 func (x *exchange) attempt(result serving.Result, format string, args ...any) serving.Attempt {
-	a := serving.Attempt{Upstream: x.target.Life, Result: result, Why: fmt.Sprintf(format, args...)}
+	a := serving.Attempt{Upstream: x.target.Life, Result: result, Detail: fmt.Sprintf(format, args...)}
 	if !result.NotRun() {
 		a.Began = true
 		a.Output = x.output(result)
@@ -117,7 +117,7 @@
 		return r.MaxOutput // whatever it did, nobody can tell
 	}
 	events := x.events
-	if result != serving.Whole {
+	if result != serving.Complete {
 		events += x.onTheirWay()
 	}
 	return min(r.MaxOutput, events*r.Service.Engine.TokensPerEvent)
@@ -254,10 +254,10 @@
 	}
 	x.target.Event(x.now())
 	answer := serving.Answer{Status: resp.StatusCode, Header: resp.Header, Body: body}
-	if err := answer.Pass(x.out); err != nil {
+	if err := answer.SendTo(x.out); err != nil {
 		return x.attempt(serving.CallerGone, "%v", err)
 	}
-	return x.attempt(serving.Whole, "")
+	return x.attempt(serving.Complete, "")
 }
 
 // stream passes events on as they arrive.
@@ -266,7 +266,7 @@
 	for {
 		event, id, err := events.next()
 		if errors.Is(err, io.EOF) && x.out.Began() {
-			return x.attempt(serving.Whole, "")
+			return x.attempt(serving.Complete, "")
 		}
 		if err != nil {
 			return x.broken(err)
@@ -295,7 +295,7 @@
 			return err
 		}
 	}
-	if err := x.out.Piece(event); err != nil {
+	if err := x.out.WriteChunk(event); err != nil {
 		return err
 	}
 	if id != "" {
--- a/hosted/base.go
+++ b/hosted/base.go
@@ -115,7 +115,7 @@
 		TTL:      time.Duration(p.Store.MemberTTL),
 		Interval: time.Duration(p.Store.MemberInterval),
 		Report:   b,
-		Self:     member.Member{ID: b.Life, Role: p.Role, VM: p.VM, Datacentre: p.Datacentre, Address: p.Link, Beside: p.Beside, Relays: p.Relays},
+		Self:     member.Member{ID: b.Life, Role: p.Role, VM: p.VM, Datacentre: p.Datacentre, Address: p.Link, UpstreamAddress: p.Beside, CanRelay: p.Relays},
 	}
 	b.Hub = b.newHub(p.Store)
 	b.Follower = b.newFollower(p.Store.Address, p.Readers)
@@ -153,7 +153,7 @@
 
 // Start starts a goroutine for each duty of the common part.
 func (b *Base) Start(d *process.Duties) {
-	d.Go(b.Members.Keep)
+	d.Go(b.Members.KeepAlive)
 	d.Go(b.Hub.Run)
 	d.Go(b.follow)
 	b.Budgets.Start(d)
--- a/hosted/metrics.go
+++ b/hosted/metrics.go
@@ -65,8 +65,8 @@
 // FollowedAge is how old what this process knows of the store's keys is, 0 before the start.
 func (b *Base) FollowedAge() time.Duration {
 	s := b.Follower.State()
-	if s.Heard.IsZero() {
+	if s.LastReply.IsZero() {
 		return 0
 	}
-	return time.Since(s.Heard) + s.Age
+	return time.Since(s.LastReply) + s.Age
 }
--- a/hosted/relays.go
+++ b/hosted/relays.go
@@ -44,7 +44,7 @@
 			followed(platform.UpstreamPrefix, b.Store),
 			followed(memberPrefix, patient(b.Store)),
 		},
-		MostFollowers: mostFollowers,
+		MaxFollowers: mostFollowers,
 		Now:           time.Now,
 	}
 }
@@ -114,8 +114,8 @@
 			here++
 		}
 	}
-	order := relay.Order(b.Members.Self.VM, near, here, processesPerRelay, mostRelays)
-	rest := relay.Order(b.Members.Self.VM, far, len(b.Members.Members()), processesPerRelay, mostRelays-len(order))
+	order := relay.RankRelays(b.Members.Self.VM, near, here, processesPerRelay, mostRelays)
+	rest := relay.RankRelays(b.Members.Self.VM, far, len(b.Members.Members()), processesPerRelay, mostRelays-len(order))
 	return append(order, rest...)
 }
 
@@ -128,7 +128,7 @@
 	routers := b.Members.Newest(prepaid.RoleRouter)
 	strong := map[string]member.Member{}
 	for vm, m := range routers {
-		if m.Relays {
+		if m.CanRelay {
 			strong[vm] = m
 		}
 	}
@@ -153,13 +153,13 @@
 func (b *Base) storeAnswers(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	_, err := b.Store.Peek(ctx, memberPrefix+"none")
+	_, err := b.Store.StaleSnapshot(ctx, memberPrefix+"none")
 	return err == nil
 }
 
 // follow finds the other members and follows what changes until the context ends.
 func (b *Base) follow(ctx context.Context) {
-	b.Members.Find(ctx)
+	b.Members.FindPeers(ctx)
 	b.Follower.Run(ctx)
 }
 
--- a/lender/lender.go
+++ b/lender/lender.go
@@ -103,7 +103,7 @@
 }
 
 func (l *Lender) dump() any {
-	return state{Life: l.Life, Aside: l.Members.Aside(), Engine: l.engine.State(time.Now()), Budgets: l.Budgets.State(), Members: l.Members.Members(),
+	return state{Life: l.Life, Aside: l.Members.Withdrawn(), Engine: l.engine.State(time.Now()), Budgets: l.Budgets.State(), Members: l.Members.Members(),
 		Followed: l.Follower.State(), Relay: l.Hub.State(), Prompts: l.prompts.register.List(time.Now())}
 }
 
@@ -124,7 +124,7 @@
 	l.Log.Info().Str("datacentre", l.settings.Datacentre).Str("link", l.settings.Listen.Link).Msg("started")
 	l.Serve(duties, admin, links)
 	if l.upstream.address != "" {
-		l.Members.StepAside(true) // until the upstream has answered
+		l.Members.SetWithdrawn(true) // until the upstream has answered
 		duties.Go(l.followUpstream)
 	}
 	duties.Every(lapsePause, l.prompts.lapse)
@@ -141,7 +141,7 @@
 }
 
 // announce takes a prompt that a router sends to the upstream beside.
-func (l *Lender) announce(_ context.Context, in prefill.Announcement) (prefill.Told, error) {
+func (l *Lender) announce(_ context.Context, in prefill.Announcement) (prefill.AnnounceReply, error) {
 	told := l.engine.Announce(time.Now(), in)
 	l.announced(told)
 	l.limitKnown(told.Limit)
@@ -149,10 +149,10 @@
 }
 
 // announced counts a prompt by whether it may go to the upstream.
-func (l *Lender) announced(told prefill.Told) {
+func (l *Lender) announced(told prefill.AnnounceReply) {
 	result := "taken"
 	switch {
-	case told.Denied && told.Next > 0:
+	case told.Denied && told.RetryAfter > 0:
 		result = "beyond_limit"
 	case told.Denied:
 		result = "beyond_cold"
@@ -161,14 +161,14 @@
 }
 
 // limitNamed takes what an answer of the upstream beside said of the requests that it takes.
-func (l *Lender) limitNamed(_ context.Context, in link.LimitNamed) (ratelimit.Known, error) {
-	known := l.engine.LimitNamed(time.Now(), in.Born, in.Word)
+func (l *Lender) limitNamed(_ context.Context, in link.LimitNamed) (ratelimit.State, error) {
+	known := l.engine.ObserveLimit(time.Now(), in.Born, in.Word)
 	l.limitKnown(known)
 	return known, nil
 }
 
 // limitKnown logs when what is known of the upstream's limit has changed.
-func (l *Lender) limitKnown(k ratelimit.Known) {
+func (l *Lender) limitKnown(k ratelimit.State) {
 	if was := l.loggedLimit.Swap(math.Float64bits(k.PerSecond)); was != math.Float64bits(k.PerSecond) {
 		l.Log.Info().Float64("was_per_second", math.Float64frombits(was)).Float64("per_second", k.PerSecond).
 			Int64("number", k.Mark.Number).Msg("upstream_limit")
@@ -182,8 +182,8 @@
 }
 
 // readElsewhere takes that another engine reads parts of prompts which prefer the one beside.
-func (l *Lender) readElsewhere(_ context.Context, in prefill.Elsewhere) (link.Empty, error) {
-	l.engine.ReadElsewhere(time.Now(), in)
+func (l *Lender) readElsewhere(_ context.Context, in prefill.RemotePrefill) (link.Empty, error) {
+	l.engine.RecordRemotePrefill(time.Now(), in)
 	return link.Empty{}, nil
 }
 
@@ -198,7 +198,7 @@
 	l.Log.Info().Msg("stopping")
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(l.current.Load().Stop.Grace)-stopMargin)
 	defer cancel()
-	l.Members.StepAside(true)
+	l.Members.SetWithdrawn(true)
 	l.Hub.Stop()
 	l.Leave(ctx)
 	l.Log.Info().Int64("took_ms", time.Since(began).Milliseconds()).Msg("stopped")
--- a/lender/prompts.go
+++ b/lender/prompts.go
@@ -32,7 +32,7 @@
 // promptKeeper keeps what routers know of prompts that end upstreams. It outlives them here when
 // all routers start anew, and in the store when all processes do.
 type promptKeeper struct {
-	register poison.Register
+	register poison.Registry
 	store    store.Store
 	// first reports whether this process is the first of the keepers, which writes to the store.
 	first func() bool
@@ -60,7 +60,7 @@
 func (k *promptKeeper) keep(_ context.Context, in link.PromptKeep) ([]poison.Evidence, error) {
 	now := time.Now()
 	for _, a := range in.Answered {
-		k.register.Answered(now, a.Prompt, a.Service)
+		k.register.RecordAnswer(now, a.Prompt, a.Service)
 	}
 	kept := make([]poison.Evidence, 0, len(in.Known))
 	news := 0
@@ -164,7 +164,7 @@
 
 // lapse forgets prompts whose time is over.
 func (k *promptKeeper) lapse(context.Context) {
-	for _, lapsed := range k.register.Lapse(time.Now()) {
+	for _, lapsed := range k.register.Expire(time.Now()) {
 		k.log.Info().Str("prompt", string(lapsed.Prompt)).Stringer("was", lapsed.Was).Stringer("standing", lapsed.Now).Msg("prompt_lapsed")
 	}
 }
--- a/lender/upstream.go
+++ b/lender/upstream.go
@@ -94,18 +94,18 @@
 func (l *Lender) askUpstream(ctx context.Context) {
 	n := l.upstream.ask(ctx)
 	if room := n.report.MemoryTokens - n.report.HeldTokens; room > 0 {
-		l.engine.SetRoom(room)
+		l.engine.SetCacheCapacity(room)
 	}
 	if n.changed || n.restarted {
 		parts, read := l.cachedBeside(ctx, n)
-		l.engine.Restarted(l.upstream.born, parts)
+		l.engine.Reset(l.upstream.born, parts)
 		if read && len(parts) == 0 && n.report.Requests == 0 {
-			l.engine.Unused()
+			l.engine.MarkUnused()
 		}
 		l.Log.Info().Bool("home", n.fit).Str("why", n.why).Int64("born", l.upstream.born).Bool("restarted", n.restarted).
 			Msg("upstream_beside")
 	}
-	l.Members.StepAside(!n.fit || l.stopping.Load())
+	l.Members.SetWithdrawn(!n.fit || l.stopping.Load())
 }
 
 // cachedBeside is what the upstream has cached when this process begins to hear of prompts:
--- a/lending/lending.go
+++ b/lending/lending.go
@@ -97,8 +97,8 @@
 }
 
 // AskLimits asks a witness for the limits of a lender that is gone.
-func (d *Desk) AskLimits(ctx context.Context, witness string, in link.LimitsRequest) (settlement.Testimony, error) {
-	var out settlement.Testimony
+func (d *Desk) AskLimits(ctx context.Context, witness string, in link.LimitsRequest) (settlement.WitnessAnswer, error) {
+	var out settlement.WitnessAnswer
 	err := d.call(ctx, witness, link.MethodTestify, in, &out)
 	return out, err
 }
--- a/link/link.go
+++ b/link/link.go
@@ -34,16 +34,16 @@
 	code int64
 	err  error
 }{
-	{1001, grant.ErrShort},
+	{1001, grant.ErrInsufficientTokens},
 	{1002, grant.ErrFenced},
 	{1003, ErrUnauthorized},
 	{1004, grant.ErrExhausted},
 	{1005, grant.ErrNoBudget},
 	{1006, grant.ErrUnreachable},
-	{1007, grant.ErrHeld},
+	{1007, grant.ErrAllReserved},
 	{1008, relay.ErrOtherStore},
 	{1009, relay.ErrUnknownPrefix},
-	{1010, relay.ErrFull},
+	{1010, relay.ErrTooManyFollowers},
 	{1011, relay.ErrStopping},
 }
 
--- a/link/messages.go
+++ b/link/messages.go
@@ -95,7 +95,7 @@
 type LimitNamed struct {
 	// Born is the start of that life; see directory.Life.
 	Born int64          `json:"born,omitempty"`
-	Word ratelimit.Word `json:"word"`
+	Word ratelimit.NamedLimit `json:"word"`
 }
 
 // MethodFollow asks a relay for the store's changes: relay.Request, relay.Reply.
@@ -104,7 +104,7 @@
 // Withdrawal takes back an announcement.
 type Withdrawal struct {
 	Announcement prefill.Announcement `json:"announcement"`
-	Told         prefill.Told         `json:"told"`
+	Told         prefill.AnnounceReply         `json:"told"`
 }
 
 // Methods of routers and agents.
--- a/localfleet/fleet.go
+++ b/localfleet/fleet.go
@@ -312,9 +312,9 @@
 }
 
 // Book returns an operator's client for the accounts.
-func (f *Fleet) Book() account.Book {
+func (f *Fleet) Book() account.AdminClient {
 	s := &platform.Store{Address: f.StoreAddress, Client: http.DefaultClient, Timeout: storeTimeout}
-	return account.Book{Store: s, Layout: account.Layout{Prefix: prepaid.PagePrefix, Pages: settings.DefaultGateway().Budgets.Pages}}
+	return account.AdminClient{Store: s, Layout: account.Layout{Prefix: prepaid.PagePrefix, Pages: settings.DefaultGateway().Budgets.Pages}}
 }
 
 // Addresses lists the addresses of the processes for callers and operators, one line per process.
--- a/operator/command.go
+++ b/operator/command.go
@@ -127,8 +127,8 @@
 	return &etcd.Store{URL: t.url, Client: http.DefaultClient, Timeout: t.timeout}
 }
 
-func (t *target) book() account.Book {
-	return account.Book{Store: t.store(), Layout: account.Layout{Prefix: process.PagePrefix, Pages: t.pages}}
+func (t *target) book() account.AdminClient {
+	return account.AdminClient{Store: t.store(), Layout: account.Layout{Prefix: process.PagePrefix, Pages: t.pages}}
 }
 
 func (t *target) ledger() ledger.Reader {
--- a/placement/pause.go
+++ b/placement/pause.go
@@ -40,11 +40,11 @@
 	longShare = 0.2
 )
 
-// Exposed reports whether streams at an engine are held up too long while it reads prompts.
+// StallProne reports whether streams at an engine are held up too long while it reads prompts.
 // Was is the verdict before; pauseOfGoal is how long streams of the service are held up at an
 // engine of usual speed, as a share of their routes' goals, and slowness is how many times as
 // long as others this one takes.
-func Exposed(was bool, pauseOfGoal, slowness float64) bool {
+func StallProne(was bool, pauseOfGoal, slowness float64) bool {
 	if was {
 		return pauseOfGoal*slowness >= exposedUntil
 	}
@@ -71,7 +71,7 @@
 	}
 	var forLong []int
 	for _, i := range usable {
-		if !ups[i].Exposed {
+		if !ups[i].StallProne {
 			forLong = append(forLong, i)
 		}
 	}
@@ -86,7 +86,7 @@
 
 // cost is what it costs to read the prompt at an engine with that many streams.
 func (s separation) cost(r *serving.Request, u Upstream, streams float64) time.Duration {
-	exposed := s.active && u.Exposed
+	exposed := s.active && u.StallProne
 	switch {
 	case s.long && exposed:
 		return time.Duration(streams * float64(heldUpCost))
@@ -105,5 +105,5 @@
 		return 0
 	}
 	events := float64(r.MaxOutput) / float64(r.Service.Engine.TokensPerEvent)
-	return time.Duration(answerShare * events * float64(u.EventTime))
+	return time.Duration(answerShare * events * float64(u.EventInterval))
 }
--- a/placement/pause_test.go
+++ b/placement/pause_test.go
@@ -24,14 +24,14 @@
 
 func newMixed(pauseOfGoal float64) *mixed {
 	m := &mixed{rnd: rand.New(rand.NewPCG(5, 6)), ups: engines(12), ends: make([][]time.Duration, 12)}
-	m.rates = Rates{PrefillPerMs: 32, FetchPerMs: 500, Routers: 1, Here: "bergen"}
+	m.rates = Rates{PrefillPerMs: 32, FetchPerMs: 500, Routers: 1, Datacentre: "bergen"}
 	for i := range m.ups {
 		slowness := 1.0
 		if i%3 == 2 {
 			slowness = 1.3
 		}
 		m.slow = append(m.slow, slowness)
-		m.ups[i].Slots, m.ups[i].Exposed = 128, Exposed(false, pauseOfGoal, slowness)
+		m.ups[i].Slots, m.ups[i].StallProne = 128, StallProne(false, pauseOfGoal, slowness)
 	}
 	return m
 }
@@ -55,7 +55,7 @@
 	m.now += mixedStep
 	for i := range m.ups {
 		u := &m.ups[i]
-		u.Unread = max(0, u.Unread-int64(32*mixedStep.Milliseconds()))
+		u.PendingPrefill = max(0, u.PendingPrefill-int64(32*mixedStep.Milliseconds()))
 		kept := m.ends[i][:0]
 		for _, end := range m.ends[i] {
 			if end > m.now {
@@ -64,13 +64,13 @@
 		}
 		m.ends[i] = kept
 		u.Running = len(kept)
-		u.EventTime = time.Duration((20 + 0.4*float64(len(kept))) * m.slow[i] * float64(time.Millisecond))
+		u.EventInterval = time.Duration((20 + 0.4*float64(len(kept))) * m.slow[i] * float64(time.Millisecond))
 	}
 	r := m.request(long)
 	c, _ := Choose(r, m.ups, m.rates, m.rnd.IntN)
-	m.ups[c.Index].Unread += c.Unread
+	m.ups[c.Index].PendingPrefill += c.PrefillTokens
 	events := time.Duration(r.MaxOutput / 3 / 2)
-	m.ends[c.Index] = append(m.ends[c.Index], m.now+events*m.ups[c.Index].EventTime)
+	m.ends[c.Index] = append(m.ends[c.Index], m.now+events*m.ups[c.Index].EventInterval)
 	return c.Index
 }
 
@@ -124,9 +124,9 @@
 	m := newMixed(0.95)
 	for i := range m.ups {
 		if m.slow[i] > 1 {
-			m.ups[i].Running, m.ups[i].EventTime = 50, 90*time.Millisecond
+			m.ups[i].Running, m.ups[i].EventInterval = 50, 90*time.Millisecond
 		} else {
-			m.ups[i].EventTime = 20 * time.Millisecond
+			m.ups[i].EventInterval = 20 * time.Millisecond
 		}
 	}
 	c, _ := Choose(m.request(false), m.ups, m.rates, first)
@@ -136,8 +136,8 @@
 // How long streams are held up varies around what is too long. An engine that is left to short
 // prompts stays so until it is clearly below: each change moves homes of prompts.
 func TestExposureDoesNotFlap(t *testing.T) {
-	require.False(t, Exposed(false, 1.1, 1))
-	require.True(t, Exposed(false, 0.95, 1.3))
-	require.True(t, Exposed(true, 0.8, 1.3))
-	require.False(t, Exposed(true, 0.7, 1.3))
+	require.False(t, StallProne(false, 1.1, 1))
+	require.True(t, StallProne(false, 0.95, 1.3))
+	require.True(t, StallProne(true, 0.8, 1.3))
+	require.False(t, StallProne(true, 0.7, 1.3))
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -18,31 +18,31 @@
 
 // Upstream is one candidate as the router believes it to be.
 type Upstream struct {
-	Life       directory.Life
+	Life       directory.Incarnation
 	Datacentre string
 	// Slots is how many requests it runs at once.
 	Slots int
 	// Running is this router's requests there that have not ended.
 	Running int
-	// Unread is the prompt tokens of this router's requests there whose first
+	// PendingPrefill is the prompt tokens of this router's requests there whose first
 	// event has not come, without those believed cached.
-	Unread int64
-	// Told is what the process beside it has just told of the request's prompt; nil if
+	PendingPrefill int64
+	// Reply is what the process beside it has just told of the request's prompt; nil if
 	// nobody did. It goes before Unread and Cached, which are this router's own guess.
-	Told *prefill.Told
+	Reply *prefill.AnnounceReply
 	// Cached is how many leading tokens of the request's prompt it is believed to
 	// have cached, by what this router sent there.
 	Cached int64
 	// Avoid says that it failed lately.
 	Avoid bool
-	// Closed says that it must not be sent the request now.
-	Closed bool
+	// Excluded says that it must not be sent the request now.
+	Excluded bool
 	// FailureShare is the share of its recent answers that failed, 0 to 1.
 	FailureShare float64
-	// Exposed says that its streams are held up too long while it reads prompts.
-	Exposed bool
-	// EventTime is the time between two events of its streams lately; 0 is not known.
-	EventTime time.Duration
+	// StallProne says that its streams are held up too long while it reads prompts.
+	StallProne bool
+	// EventInterval is the time between two events of its streams lately; 0 is not known.
+	EventInterval time.Duration
 }
 
 // Rates are what the choice assumes of upstreams.
@@ -54,8 +54,8 @@
 	FetchPerMs float64
 	// Routers is how many routers send to the same upstreams.
 	Routers int
-	// Here is the router's data centre.
-	Here string
+	// Datacentre is the router's data centre.
+	Datacentre string
 }
 
 // Weights of the choice.
@@ -69,9 +69,9 @@
 	farCost = 3 * time.Millisecond
 	// failureCost is what an upstream that fails every request costs.
 	failureCost = 2 * time.Second
-	// FetchLeast is the fewest tokens that are worth a transfer; below it the
+	// MinFetchTokens is the fewest tokens that are worth a transfer; below it the
 	// set-up of the transfer takes longer than reading them.
-	FetchLeast = 1000
+	MinFetchTokens = 1000
 	// scatterWeight is what it costs, in tokens, to read a shared token elsewhere than
 	// at the prompt's home: the home will read it again for the next request. With 0
 	// twice as many shared tokens were read again on calm days; 0.4 and 1 differ little.
@@ -90,21 +90,21 @@
 	FetchFrom int
 	// Fetched is the leading tokens that it then gets from there.
 	Fetched int64
-	// Unread is the tokens that the chosen one must read.
-	Unread int64
+	// PrefillTokens is the tokens that the chosen one must read.
+	PrefillTokens int64
 	// Cost is the estimated time to the first event.
 	Cost time.Duration
-	// Before is the tokens that the process beside the chosen one told of before the prompt; -1
+	// Backlog is the tokens that the process beside the chosen one told of before the prompt; -1
 	// if nobody told.
-	Before int64
-	// Home is the index of the upstream that the prompt prefers for its shared parts, -1 if it
+	Backlog int64
+	// Preferred is the index of the upstream that the prompt prefers for its shared parts, -1 if it
 	// has none.
-	Home int
+	Preferred int
 }
 
-// Key is the part of a prompt by which requests are brought together: the last one
+// AffinityKey is the part of a prompt by which requests are brought together: the last one
 // that others may share. The very last part belongs to the request alone.
-func Key(parts []prefill.Part) string {
+func AffinityKey(parts []prefill.Part) string {
 	switch len(parts) {
 	case 0:
 		return ""
@@ -137,7 +137,7 @@
 	var good, avoided []int
 	for i, u := range ups {
 		switch {
-		case u.Closed:
+		case u.Excluded:
 		case u.Avoid:
 			avoided = append(avoided, i)
 		default:
@@ -153,7 +153,7 @@
 // choosePlain takes the upstream with the most room.
 func choosePlain(ups []Upstream, usable []int, rates Rates, tie func(int) int) Choice {
 	m := mean(ups, usable)
-	best := Choice{Index: -1, FetchFrom: -1, Before: -1, Home: -1}
+	best := Choice{Index: -1, FetchFrom: -1, Backlog: -1, Preferred: -1}
 	start := tie(len(usable))
 	for k := range usable {
 		i := usable[(start+k)%len(usable)]
@@ -175,7 +175,7 @@
 	var l load
 	for _, i := range usable {
 		l.running += float64(ups[i].Running)
-		l.unread += float64(ups[i].Unread)
+		l.unread += float64(ups[i].PendingPrefill)
 	}
 	n := float64(len(usable))
 	return load{running: l.running / n, unread: l.unread / n}
@@ -196,7 +196,7 @@
 	taken := m.streams(u, rates) / float64(max(1, u.Slots))
 	c := time.Duration(float64(crowdedCost) * taken * taken)
 	c += time.Duration(float64(failureCost) * u.FailureShare)
-	if u.Datacentre != rates.Here {
+	if u.Datacentre != rates.Datacentre {
 		c += farCost
 	}
 	return c
@@ -204,18 +204,18 @@
 
 // before is the tokens that an engine is believed to read before a new prompt.
 func (u Upstream) before(m load, rates Rates) float64 {
-	if u.Told != nil {
-		return float64(u.Told.Backlog)
+	if u.Reply != nil {
+		return float64(u.Reply.Backlog)
 	}
-	return float64(u.Unread) + m.unread*rates.others()
+	return float64(u.PendingPrefill) + m.unread*rates.others()
 }
 
 // toldBefore is Choice.Before.
 func (u Upstream) toldBefore() int64 {
-	if u.Told == nil {
+	if u.Reply == nil {
 		return -1
 	}
-	return u.Told.Backlog
+	return u.Reply.Backlog
 }
 
 func choosePrompt(r *serving.Request, ups []Upstream, usable []int, rates Rates, tie func(int) int) Choice {
@@ -233,7 +233,7 @@
 		from := -1
 		waitTokens := float64(unread)
 		var fetched int64
-		if more := most - cached; i != source && more >= FetchLeast {
+		if more := most - cached; i != source && more >= MinFetchTokens {
 			from, fetched = source, most
 			waitTokens += float64(more) * (rates.PrefillPerMs/rates.FetchPerMs - 1)
 			unread -= more
@@ -245,7 +245,7 @@
 		c := common(u, m, rates) + time.Duration(waitTokens/rates.PrefillPerMs*float64(time.Millisecond))
 		c += apart.cost(r, u, m.streams(u, rates))
 		if best.Index < 0 || c < best.Cost {
-			best = Choice{Index: i, FetchFrom: from, Fetched: fetched, Unread: unread, Cost: c, Before: u.toldBefore(), Home: home}
+			best = Choice{Index: i, FetchFrom: from, Fetched: fetched, PrefillTokens: unread, Cost: c, Backlog: u.toldBefore(), Preferred: home}
 		}
 	}
 	return best
@@ -272,8 +272,8 @@
 	}
 	u := ups[i]
 	switch {
-	case u.Told != nil:
-		return u.Told.Cached
+	case u.Reply != nil:
+		return u.Reply.Cached
 	case home:
 		return max(u.Cached, int64(homeTrust*float64(shared(r.Parts))))
 	}
@@ -284,7 +284,7 @@
 // none. All routers that can use the same upstreams find the same one; where one of them
 // avoids an upstream, only the prompts at home there move.
 func homeOf(r *serving.Request, ups []Upstream, usable []int) int {
-	key := Key(r.Parts)
+	key := AffinityKey(r.Parts)
 	if key == "" {
 		return -1
 	}
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -13,12 +13,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-var rates = Rates{PrefillPerMs: 50, FetchPerMs: 95, Routers: 4, Here: "bergen"}
+var rates = Rates{PrefillPerMs: 50, FetchPerMs: 95, Routers: 4, Datacentre: "bergen"}
 
 func engines(n int) []Upstream {
 	out := make([]Upstream, n)
 	for i := range out {
-		out[i] = Upstream{Life: directory.Life{ID: fmt.Sprint("e", i)}, Datacentre: "bergen", Slots: 64}
+		out[i] = Upstream{Life: directory.Incarnation{ID: fmt.Sprint("e", i)}, Datacentre: "bergen", Slots: 64}
 	}
 	return out
 }
@@ -54,7 +54,7 @@
 	ups := engines(12)
 	c, _ := Choose(prompt("hot"), ups, rates, first)
 	home := c.Index
-	ups[home].Unread = 60_000 // more than a second
+	ups[home].PendingPrefill = 60_000 // more than a second
 	c, _ = Choose(prompt("hot"), ups, rates, first)
 	require.NotEqual(t, home, c.Index)
 	require.Equal(t, home, c.FetchFrom)
@@ -67,11 +67,11 @@
 	ups := engines(12)
 	c, _ := Choose(prompt("s"), ups, rates, first)
 	home := c.Index
-	ups[home].Told = &prefill.Told{Backlog: 60_000, Cached: 13_300}
+	ups[home].Reply = &prefill.AnnounceReply{Backlog: 60_000, Cached: 13_300}
 	c, _ = Choose(prompt("s"), ups, rates, first)
 	require.NotEqual(t, home, c.Index)
 	require.Equal(t, home, c.FetchFrom)
-	ups[home].Unread, ups[home].Told = 60_000, &prefill.Told{Backlog: 100, Cached: 13_300}
+	ups[home].PendingPrefill, ups[home].Reply = 60_000, &prefill.AnnounceReply{Backlog: 100, Cached: 13_300}
 	c, _ = Choose(prompt("s"), ups, rates, first)
 	require.Equal(t, home, c.Index)
 }
@@ -82,7 +82,7 @@
 	ups := engines(12)
 	c, _ := Choose(prompt("new"), ups, rates, first)
 	home := c.Index
-	ups[home].Told = &prefill.Told{Backlog: 4_000}
+	ups[home].Reply = &prefill.AnnounceReply{Backlog: 4_000}
 	c, _ = Choose(prompt("new"), ups, rates, first)
 	require.Equal(t, home, c.Index)
 }
@@ -93,13 +93,13 @@
 	ups := engines(12)
 	c, _ := Choose(prompt("s"), ups, rates, first)
 	home, neighbour := c.Index, (c.Index+1)%len(ups)
-	ups[home].Told = &prefill.Told{}
-	ups[neighbour].Cached, ups[neighbour].Unread = 13_300, 60_000
+	ups[home].Reply = &prefill.AnnounceReply{}
+	ups[neighbour].Cached, ups[neighbour].PendingPrefill = 13_300, 60_000
 	c, _ = Choose(prompt("s"), ups, rates, first)
 	require.Equal(t, home, c.Index)
 	require.Equal(t, neighbour, c.FetchFrom)
 	require.EqualValues(t, 13_300, c.Fetched)
-	require.EqualValues(t, 3_700, c.Unread)
+	require.EqualValues(t, 3_700, c.PrefillTokens)
 }
 
 func TestFailingUpstreams(t *testing.T) {
--- a/poison/document.go
+++ b/poison/document.go
@@ -36,7 +36,7 @@
 	var d document
 	for _, e := range all[:min(len(all), mostStored)] {
 		p := storedPrompt{Prompt: e.Prompt, Answered: e.Answered}
-		for _, end := range e.Ends {
+		for _, end := range e.Crashes {
 			p.Ends = append(p.Ends, storedEnd{Upstream: end.Upstream, Service: end.Service, UnixMS: now.Add(-end.Age).UnixMilli()})
 		}
 		d.Prompts = append(d.Prompts, p)
@@ -62,10 +62,10 @@
 				return nil, fmt.Errorf("prompts[%d].ends[%d].upstream is missing", n, k)
 			}
 			if age := max(0, now.Sub(time.UnixMilli(end.UnixMS))); age < rememberedFor {
-				e.Ends = append(e.Ends, End{Upstream: end.Upstream, Service: end.Service, Age: age})
+				e.Crashes = append(e.Crashes, Crash{Upstream: end.Upstream, Service: end.Service, Age: age})
 			}
 		}
-		if len(e.Ends) > 0 {
+		if len(e.Crashes) > 0 {
 			all = append(all, e)
 		}
 	}
--- a/poison/document_test.go
+++ b/poison/document_test.go
@@ -10,11 +10,11 @@
 )
 
 func TestDocumentOfPrompts(t *testing.T) {
-	var r Register
+	var r Registry
 	r.Add(start, endedOf("p", "one", "i-1"))
 	r.Add(start.Add(time.Minute), endedOf("p", "two", "i-2"))
 	r.Add(start.Add(time.Minute), endedOf("q", "two", "i-2"))
-	r.Answered(start.Add(time.Minute), "p", "three")
+	r.RecordAnswer(start.Add(time.Minute), "p", "three")
 	later := start.Add(time.Hour)
 	value, err := Encode(later, r.List(later))
 	require.NoError(t, err)
@@ -24,16 +24,16 @@
 
 	read, err = Decode(later.Add(-3*time.Hour), value)
 	require.NoError(t, err)
-	require.Zero(t, read[0].Ends[0].Age, "the reader's clock is behind")
+	require.Zero(t, read[0].Crashes[0].Age, "the reader's clock is behind")
 	read, err = Decode(start.Add(rememberedFor+time.Second), value)
 	require.NoError(t, err)
-	require.Equal(t, []string{"i-2"}, []string{read[0].Ends[0].Upstream}, "the first end is more than a day old")
+	require.Equal(t, []string{"i-2"}, []string{read[0].Crashes[0].Upstream}, "the first end is more than a day old")
 	require.Len(t, read, 2)
 }
 
 // Guards against a document that grows with each request which a failing rack cuts.
 func TestDocumentIsBounded(t *testing.T) {
-	var r Register
+	var r Registry
 	for n := range mostPrompts {
 		r.Add(start, endedOf(Prompt(fmt.Sprintf("%024d", n)), "model", "i-1"))
 	}
--- a/poison/evidence.go
+++ b/poison/evidence.go
@@ -29,37 +29,37 @@
 // Evidence is what is known of a prompt: which upstreams ended under it, and how long ago.
 type Evidence struct {
 	Prompt Prompt `json:"prompt"`
-	Ends   []End  `json:"ends"`
+	Crashes   []Crash  `json:"ends"`
 	// Answered are the services that have answered it although upstreams of others ended.
 	Answered []string `json:"answered,omitempty"`
 }
 
-// End is that of one life of an upstream.
-type End struct {
+// Crash is that of one life of an upstream.
+type Crash struct {
 	Upstream string        `json:"upstream"`
 	Service  string        `json:"service"`
 	Age      time.Duration `json:"age_ns"`
 }
 
-// For is the evidence that counts for requests to a service. Ends count for all services, since
+// ForService is the evidence that counts for requests to a service. Ends count for all services, since
 // operators move and split routes, but not for one that has answered the prompt itself.
-func (e Evidence) For(service string) Evidence {
+func (e Evidence) ForService(service string) Evidence {
 	if !slices.Contains(e.Answered, service) {
 		return e
 	}
-	e.Ends = slices.DeleteFunc(slices.Clone(e.Ends), func(end End) bool { return end.Service != service })
+	e.Crashes = slices.DeleteFunc(slices.Clone(e.Crashes), func(end Crash) bool { return end.Service != service })
 	return e
 }
 
 // Standing is what the evidence says.
-func (e Evidence) Standing() Standing { return standing(len(e.Ends), e.newest()) }
+func (e Evidence) Standing() Standing { return standing(len(e.Crashes), e.newest()) }
 
 // newest is how long ago the last upstream ended; 0 if none did.
 func (e Evidence) newest() time.Duration {
-	if len(e.Ends) == 0 {
+	if len(e.Crashes) == 0 {
 		return 0
 	}
-	return slices.MinFunc(e.Ends, func(a, b End) int { return cmp.Compare(a.Age, b.Age) }).Age
+	return slices.MinFunc(e.Crashes, func(a, b Crash) int { return cmp.Compare(a.Age, b.Age) }).Age
 }
 
 // standing is that of a prompt with so many ends, the last one that long ago.
--- a/poison/register.go
+++ b/poison/register.go
@@ -90,28 +90,28 @@
 // forgotten reports whether nothing ended under the prompt for so long that it counts as clear.
 func (r *record) forgotten(now time.Time) bool { return !now.Before(r.last().Add(rememberedFor)) }
 
-// Register is what one process knows of prompts under which upstreams ended. A prompt that a
+// Registry is what one process knows of prompts under which upstreams ended. A prompt that a
 // service has answered is cleared there: one that ends upstreams is never answered, while a good
 // one that many callers send loses an upstream now and then. The zero value knows of none. It is safe for
 // concurrent use.
-type Register struct {
+type Registry struct {
 	mu      sync.Mutex
 	records map[Prompt]*record
 }
 
 // Empty reports whether no prompt is known, so that requests need not be identified.
-func (r *Register) Empty() bool {
+func (r *Registry) Empty() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.records) == 0
 }
 
 // Add takes in evidence, and returns all that is known of the prompt and whether any of it was new.
-func (r *Register) Add(now time.Time, e Evidence) (all Evidence, news bool) {
+func (r *Registry) Add(now time.Time, e Evidence) (all Evidence, news bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known := r.recordLocked(now, e.Prompt)
-	for _, e := range e.Ends {
+	for _, e := range e.Crashes {
 		news = known.add(e.Upstream, end{service: e.Service, at: now.Add(-e.Age)}) || news
 	}
 	for _, service := range e.Answered {
@@ -122,7 +122,7 @@
 }
 
 // recordLocked is the record of a prompt, made if there is none.
-func (r *Register) recordLocked(now time.Time, p Prompt) *record {
+func (r *Registry) recordLocked(now time.Time, p Prompt) *record {
 	r.forgetLocked(now, p)
 	if known := r.records[p]; known != nil {
 		return known
@@ -139,7 +139,7 @@
 }
 
 // forgetLocked forgets a prompt under which nothing ended for long.
-func (r *Register) forgetLocked(now time.Time, p Prompt) {
+func (r *Registry) forgetLocked(now time.Time, p Prompt) {
 	if known := r.records[p]; known != nil && known.forgotten(now) {
 		delete(r.records, p)
 	}
@@ -148,7 +148,7 @@
 // dropLocked makes room: the prompt goes against which least is known, and of these the one
 // whose last end is the oldest. A flood of requests that were cut by other causes must not make a
 // proven prompt forgotten.
-func (r *Register) dropLocked() {
+func (r *Registry) dropLocked() {
 	var out Prompt
 	var least *record
 	for p, known := range r.records {
@@ -170,13 +170,13 @@
 	e := Evidence{Prompt: p, Answered: slices.Sorted(maps.Keys(r.answered))}
 	for _, upstream := range slices.Sorted(maps.Keys(r.ends)) {
 		end := r.ends[upstream]
-		e.Ends = append(e.Ends, End{Upstream: upstream, Service: end.service, Age: now.Sub(end.at)})
+		e.Crashes = append(e.Crashes, Crash{Upstream: upstream, Service: end.service, Age: now.Sub(end.at)})
 	}
 	return e
 }
 
 // Known returns what is known of a prompt.
-func (r *Register) Known(now time.Time, p Prompt) Evidence {
+func (r *Registry) Known(now time.Time, p Prompt) Evidence {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.forgetLocked(now, p)
@@ -186,9 +186,9 @@
 	return Evidence{Prompt: p}
 }
 
-// Try reports whether a request, by its id, may send a prompt to a service now, and notes it if the
+// Allow reports whether a request, by its id, may send a prompt to a service now, and notes it if the
 // prompt is on trial. Only the process that decides for the prompt is asked.
-func (r *Register) Try(now time.Time, p Prompt, service, request string) bool {
+func (r *Registry) Allow(now time.Time, p Prompt, service, request string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.forgetLocked(now, p)
@@ -196,7 +196,7 @@
 	if known == nil {
 		return true
 	}
-	switch standing := known.evidence(now, p).For(service).Standing(); {
+	switch standing := known.evidence(now, p).ForService(service).Standing(); {
 	case standing < OnTrial:
 		return true
 	case standing == Proven:
@@ -210,16 +210,16 @@
 	return true
 }
 
-// Answered notes that a service answered a prompt, and returns what counted for it before. What
+// RecordAnswer notes that a service answered a prompt, and returns what counted for it before. What
 // ended of that service does not count any more; what ended of others does, for them.
-func (r *Register) Answered(now time.Time, p Prompt, service string) Evidence {
+func (r *Registry) RecordAnswer(now time.Time, p Prompt, service string) Evidence {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known := r.records[p]
 	if known == nil {
 		return Evidence{Prompt: p}
 	}
-	was := known.evidence(now, p).For(service)
+	was := known.evidence(now, p).ForService(service)
 	maps.DeleteFunc(known.ends, func(_ string, e end) bool { return e.service == service })
 	known.answered[service] = true
 	if len(known.ends) == 0 {
@@ -228,19 +228,19 @@
 	return was
 }
 
-// Lapsed is a prompt whose standing became better with time.
-type Lapsed struct {
+// StandingChange is a prompt whose standing became better with time.
+type StandingChange struct {
 	Prompt   Prompt
 	Was, Now Standing
 }
 
-// Lapse takes the time into account that passed, and returns the prompts that were on trial or
+// Expire takes the time into account that passed, and returns the prompts that were on trial or
 // proven and are not any more.
-func (r *Register) Lapse(now time.Time) (lapsed []Lapsed) {
+func (r *Registry) Expire(now time.Time) (lapsed []StandingChange) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for p, known := range r.records {
-		l := Lapsed{Prompt: p, Was: known.was, Now: known.standing(now)}
+		l := StandingChange{Prompt: p, Was: known.was, Now: known.standing(now)}
 		known.was = l.Now
 		if known.forgotten(now) {
 			l.Now = Clear
@@ -253,23 +253,23 @@
 	return lapsed
 }
 
-// All returns the prompts on trial and the proven ones.
-func (r *Register) All(now time.Time) []Evidence { return r.atLeast(now, OnTrial) }
+// Restricted returns the prompts on trial and the proven ones.
+func (r *Registry) Restricted(now time.Time) []Evidence { return r.atLeast(now, OnTrial) }
 
 // mostListed bounds the prompts that one process tells another at once.
 const mostListed = 512
 
 // List returns the prompts under which any upstream ended, those with the most ends first and of
 // these the newest; at most mostListed.
-func (r *Register) List(now time.Time) []Evidence {
+func (r *Registry) List(now time.Time) []Evidence {
 	all := r.atLeast(now, Suspect)
 	slices.SortFunc(all, func(a, b Evidence) int {
-		return cmp.Or(cmp.Compare(len(b.Ends), len(a.Ends)), cmp.Compare(a.newest(), b.newest()), cmp.Compare(a.Prompt, b.Prompt))
+		return cmp.Or(cmp.Compare(len(b.Crashes), len(a.Crashes)), cmp.Compare(a.newest(), b.newest()), cmp.Compare(a.Prompt, b.Prompt))
 	})
 	return all[:min(len(all), mostListed)]
 }
 
-func (r *Register) atLeast(now time.Time, least Standing) (all []Evidence) {
+func (r *Registry) atLeast(now time.Time, least Standing) (all []Evidence) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for p, known := range r.records {
