--- a/poison/register_test.go
+++ b/poison/register_test.go
@@ -17,7 +17,7 @@
 
 // ended is evidence of one end.
 func ended(p Prompt, upstream string) Evidence {
-	return Evidence{Prompt: p, Ends: []End{{Upstream: upstream, Service: "model"}}}
+	return Evidence{Prompt: p, Crashes: []Crash{{Upstream: upstream, Service: "model"}}}
 }
 
 func TestIdentify(t *testing.T) {
@@ -51,59 +51,59 @@
 // let through now and then, after the third none; and when its time is over the prompt may be
 // tried anew.
 func TestStandings(t *testing.T) {
-	var r Register
+	var r Registry
 	require.True(t, r.Empty())
-	require.True(t, r.Try(start, "p", "model", "1"))
+	require.True(t, r.Allow(start, "p", "model", "1"))
 	r.Add(start, ended("p", "i-1"))
 	_, news := r.Add(start, ended("p", "i-1"))
 	require.False(t, news, "the same upstream, told by another")
 	require.Equal(t, Suspect, r.Known(start, "p").Standing())
-	require.True(t, r.Try(start, "p", "model", "1"))
-	require.True(t, r.Try(start, "p", "model", "2"))
+	require.True(t, r.Allow(start, "p", "model", "1"))
+	require.True(t, r.Allow(start, "p", "model", "2"))
 
 	r.Add(start, ended("p", "i-2"))
 	require.Equal(t, OnTrial, r.Known(start, "p").Standing())
-	require.True(t, r.Try(start, "p", "model", "3"))
-	require.False(t, r.Try(start, "p", "model", "4"), "another one is trying")
-	require.True(t, r.Try(start, "p", "model", "3"), "its first choice could not be reached")
-	require.True(t, r.Try(start.Add(trialPause), "p", "model", "4"), "the first one came to nothing")
+	require.True(t, r.Allow(start, "p", "model", "3"))
+	require.False(t, r.Allow(start, "p", "model", "4"), "another one is trying")
+	require.True(t, r.Allow(start, "p", "model", "3"), "its first choice could not be reached")
+	require.True(t, r.Allow(start.Add(trialPause), "p", "model", "4"), "the first one came to nothing")
 
 	r.Add(start.Add(time.Second), ended("p", "i-3"))
 	require.Equal(t, Proven, r.Known(start, "p").Standing())
-	require.False(t, r.Try(start.Add(time.Minute), "p", "model", "5"))
-	require.Len(t, r.All(start.Add(time.Minute)), 1)
+	require.False(t, r.Allow(start.Add(time.Minute), "p", "model", "5"))
+	require.Len(t, r.Restricted(start.Add(time.Minute)), 1)
 	after := start.Add(time.Second + provenFor)
-	require.Equal(t, []Lapsed{{Prompt: "p", Was: Proven, Now: OnTrial}}, r.Lapse(after))
-	require.True(t, r.Try(after, "p", "model", "6"))
-	require.False(t, r.Try(after, "p", "model", "7"), "one at a time, as before")
+	require.Equal(t, []StandingChange{{Prompt: "p", Was: Proven, Now: OnTrial}}, r.Expire(after))
+	require.True(t, r.Allow(after, "p", "model", "6"))
+	require.False(t, r.Allow(after, "p", "model", "7"), "one at a time, as before")
 	r.Add(after.Add(time.Second), ended("p", "i-4"))
 	require.Equal(t, Proven, r.Known(after.Add(time.Second), "p").Standing())
 	again := after.Add(time.Second + 2*provenFor)
-	require.Empty(t, r.Lapse(again.Add(-1)), "twice as long as the first time")
-	require.Equal(t, []Lapsed{{Prompt: "p", Was: Proven, Now: OnTrial}}, r.Lapse(again))
-	require.Empty(t, r.Lapse(again.Add(time.Hour)))
+	require.Empty(t, r.Expire(again.Add(-1)), "twice as long as the first time")
+	require.Equal(t, []StandingChange{{Prompt: "p", Was: Proven, Now: OnTrial}}, r.Expire(again))
+	require.Empty(t, r.Expire(again.Add(time.Hour)))
 	much := after.Add(time.Second + rememberedFor)
-	require.Equal(t, []Lapsed{{Prompt: "p", Was: OnTrial, Now: Clear}}, r.Lapse(much))
+	require.Equal(t, []StandingChange{{Prompt: "p", Was: OnTrial, Now: Clear}}, r.Expire(much))
 	require.True(t, r.Empty())
 }
 
 // A prompt that many callers send loses an upstream now and then, as all do. Any answer to it
 // shows that it is not the cause.
 func TestAnsweredPromptIsCleared(t *testing.T) {
-	var r Register
+	var r Registry
 	for n := range 10 {
 		r.Add(start, ended("p", fmt.Sprint("i-", n)))
 		if n%2 == 1 {
-			require.Equal(t, OnTrial, r.Answered(start, "p", "model").Standing())
+			require.Equal(t, OnTrial, r.RecordAnswer(start, "p", "model").Standing())
 		}
 		require.Less(t, r.Known(start, "p").Standing(), Proven)
 	}
-	require.Equal(t, Clear, r.Answered(start, "unknown", "model").Standing())
+	require.Equal(t, Clear, r.RecordAnswer(start, "unknown", "model").Standing())
 }
 
 // A rack of upstreams ends and cuts more requests than are kept. A proven prompt is still known.
 func TestFloodOfCutRequestsForgetsNothingProven(t *testing.T) {
-	var r Register
+	var r Registry
 	for n := range endsProven {
 		r.Add(start, ended("p", fmt.Sprint("i-", n)))
 	}
@@ -115,15 +115,15 @@
 	for n := range 20 {
 		r.Add(start, ended("p", fmt.Sprint("more-", n)))
 	}
-	require.Len(t, r.Known(start, "p").Ends, mostEnds)
+	require.Len(t, r.Known(start, "p").Crashes, mostEnds)
 	require.Equal(t, Proven, r.Known(start.Add(rememberedFor-1), "p").Standing())
 }
 
 // Suspicions lapse in a day without another end, and not before.
 func TestSuspicionLapses(t *testing.T) {
-	var r Register
+	var r Registry
 	r.Add(start, ended("p", "i-1"))
-	require.Empty(t, r.Lapse(start.Add(rememberedFor-1)))
+	require.Empty(t, r.Expire(start.Add(rememberedFor-1)))
 	require.Equal(t, Suspect, r.Known(start.Add(rememberedFor-1), "p").Standing())
 	r.Add(start.Add(rememberedFor), ended("p", "i-2"))
 	require.Equal(t, Suspect, r.Known(start.Add(rememberedFor), "p").Standing())
@@ -133,7 +133,7 @@
 // chance.
 type world struct {
 	t        *rapid.T
-	register Register
+	register Registry
 	now      time.Time
 	requests int
 	// running are the prompts at each upstream.
@@ -157,7 +157,7 @@
 
 func (w *world) send(p Prompt, upstream string) {
 	w.requests++
-	if !w.register.Try(w.now, p, "model", fmt.Sprint(w.requests)) {
+	if !w.register.Allow(w.now, p, "model", fmt.Sprint(w.requests)) {
 		if w.hits[p] < endsOnTrial {
 			w.refused++
 		}
@@ -176,7 +176,7 @@
 	p := w.running[upstream][0]
 	w.running[upstream] = w.running[upstream][1:]
 	if !deadly(p) {
-		w.register.Answered(w.now, p, "model")
+		w.register.RecordAnswer(w.now, p, "model")
 		w.hits[p] = 0
 	}
 }
--- a/poison/retries_test.go
+++ b/poison/retries_test.go
@@ -12,11 +12,11 @@
 func TestProvenPromptIsRetriedThreeTimesInADay(t *testing.T) {
 	for _, every := range []time.Duration{time.Second, 10 * time.Second, time.Minute, 7 * time.Minute, 30 * time.Minute} {
 		t.Run(every.String(), func(t *testing.T) {
-			var r Register
+			var r Registry
 			ends := 0
 			for now := start; now.Before(start.Add(24 * time.Hour)); now = now.Add(every) {
-				r.Lapse(now)
-				if r.Try(now, "p", "model", fmt.Sprint(now.UnixNano())) {
+				r.Expire(now)
+				if r.Allow(now, "p", "model", fmt.Sprint(now.UnixNano())) {
 					ends++
 					r.Add(now, ended("p", fmt.Sprint("i-", ends)))
 				}
--- a/pool/choose.go
+++ b/pool/choose.go
@@ -30,7 +30,7 @@
 			return serving.Target{}, false
 		}
 		// Its data centre may have been emptied while others were asked.
-		if u := c.ups[choice.Index]; !p.Directory.Takes(u) {
+		if u := c.ups[choice.Index]; !p.Directory.Accepts(u) {
 			continue
 		}
 		if target, ok := p.take(c, choice); ok {
@@ -62,7 +62,7 @@
 	// granted says that the process beside the chosen upstream has given leave.
 	granted bool
 	// held is what limits hold back, denied how many of those the process beside an upstream denied.
-	held   Held
+	held   LimitedChoice
 	denied int
 }
 
@@ -75,17 +75,17 @@
 // allowed are the upstreams of the request's service in the regions where it may be served,
 // without those that it was sent to.
 func (p *Pool) allowed(r *serving.Request, attempts []serving.Attempt) []directory.Upstream {
-	ups := p.Directory.Of(r.Service.Name)
+	ups := p.Directory.ForService(r.Service.Name)
 	if len(attempts) == 0 && r.Regions == nil {
 		return ups
 	}
-	tried := map[directory.Life]bool{}
+	tried := map[directory.Incarnation]bool{}
 	for _, a := range attempts {
 		tried[a.Upstream] = true
 	}
 	var out []directory.Upstream
 	for _, u := range ups {
-		if !tried[u.Life] && r.Regions.Allow(p.Region(u.Datacentre)) {
+		if !tried[u.Incarnation] && r.Regions.Allow(p.Region(u.Datacentre)) {
 			out = append(out, u)
 		}
 	}
@@ -95,7 +95,7 @@
 // choose finds the best by what is known here, and for prompts asks the process beside it.
 func (c *candidates) choose() (placement.Choice, bool) {
 	choice, ok := c.best()
-	if !ok || c.pool.Ask == nil || c.r.Prompt <= 0 {
+	if !ok || c.pool.Announce == nil || c.r.Prompt <= 0 {
 		return choice, ok
 	}
 	return c.ask(choice)
@@ -114,7 +114,7 @@
 		u, view := c.ups[choice.Index], &c.views[choice.Index]
 		told, answered := c.pool.announce(c.r, u, choice)
 		if c.turnedAway(u, told, answered) {
-			view.Closed = true
+			view.Excluded = true
 			next, ok := c.best()
 			if !ok {
 				break
@@ -126,7 +126,7 @@
 		if !answered || moves == mostMoves {
 			return choice, true
 		}
-		view.Told = &told
+		view.Reply = &told
 		c.learn(told)
 		next, _ := c.best() // the one that was just asked is there
 		if next.Index == choice.Index {
@@ -141,14 +141,14 @@
 
 // turnedAway reports whether an upstream must not get the prompt by what the process beside it
 // told, or since it did not answer.
-func (c *candidates) turnedAway(u directory.Upstream, told prefill.Told, answered bool) bool {
+func (c *candidates) turnedAway(u directory.Upstream, told prefill.AnnounceReply, answered bool) bool {
 	if !answered {
 		return c.pool.needsLeave(c.r, u) || c.pool.unreachedLimit(c.r, u)
 	}
-	c.pool.adoptLimit(u.Life, told.Limit)
-	if told.Denied && told.Next > 0 {
-		c.pool.denied(u.Life, c.r.Rank, told.Next)
-		c.held.add(told.Next)
+	c.pool.adoptLimit(u.Incarnation, told.Limit)
+	if told.Denied && told.RetryAfter > 0 {
+		c.pool.denied(u.Incarnation, c.r.Rank, told.RetryAfter)
+		c.held.add(told.RetryAfter)
 		c.deniedByLimit()
 	}
 	return told.Denied
@@ -163,30 +163,30 @@
 	limited := make([]bool, len(c.ups))
 	others := false
 	for i, u := range c.ups {
-		limited[i] = c.pool.limitKnown(u.Life).PerSecond > 0
-		others = others || !limited[i] && !c.views[i].Closed && !c.views[i].Avoid
+		limited[i] = c.pool.limitKnown(u.Incarnation).PerSecond > 0
+		others = others || !limited[i] && !c.views[i].Excluded && !c.views[i].Avoid
 	}
 	for i := range c.views {
-		c.views[i].Closed = c.views[i].Closed || others && limited[i]
+		c.views[i].Excluded = c.views[i].Excluded || others && limited[i]
 	}
 }
 
 // logHeld tells of a choice that limits had a part in.
-func (c *candidates) logHeld(chosen *directory.Life) {
-	if c.held.Held > 0 {
+func (c *candidates) logHeld(chosen *directory.Incarnation) {
+	if c.held.Limited > 0 {
 		c.held.Chosen = chosen
-		c.pool.Limits.Held(c.r, c.held)
+		c.pool.Limits.Limited(c.r, c.held)
 	}
 }
 
 // learn takes in which other engine keeps more of the prompt.
-func (c *candidates) learn(told prefill.Told) {
-	if told.ElsewhereTokens == 0 {
+func (c *candidates) learn(told prefill.AnnounceReply) {
+	if told.RemoteTokens == 0 {
 		return
 	}
 	for i := range c.views {
-		if v := &c.views[i]; v.Life == told.Elsewhere {
-			v.Cached = max(v.Cached, told.ElsewhereTokens)
+		if v := &c.views[i]; v.Life == told.RemoteEngine {
+			v.Cached = max(v.Cached, told.RemoteTokens)
 		}
 	}
 }
@@ -195,34 +195,34 @@
 // shared parts, unless that engine is believed to keep them, or knows.
 func (c *candidates) tellHome(choice placement.Choice) {
 	p, shared := c.pool, placement.Shared(c.r.Parts)
-	if p.ReadElsewhere == nil || choice.Home < 0 || choice.Home == choice.Index {
+	if p.ReportRemotePrefill == nil || choice.Preferred < 0 || choice.Preferred == choice.Index {
 		return
 	}
-	home := c.views[choice.Home]
+	home := c.views[choice.Preferred]
 	known := home.Cached
-	if home.Told != nil {
-		known = max(home.Told.Cached, home.Told.ElsewhereTokens)
+	if home.Reply != nil {
+		known = max(home.Reply.Cached, home.Reply.RemoteTokens)
 	}
-	if prefill.TokensOf(shared)-known < placement.FetchLeast {
+	if prefill.TokensOf(shared)-known < placement.MinFetchTokens {
 		return
 	}
-	p.ReadElsewhere(c.ups[choice.Home].Address, prefill.Elsewhere{Parts: shared, By: c.ups[choice.Index].Life})
+	p.ReportRemotePrefill(c.ups[choice.Preferred].Address, prefill.RemotePrefill{Parts: shared, Engine: c.ups[choice.Index].Incarnation})
 }
 
 // announce tells the process beside an engine of a prompt. An answer about another life of the
 // engine is none: either the entry is late or that process is, and a cache that is gone would
 // draw prompts there.
-func (p *Pool) announce(r *serving.Request, u directory.Upstream, c placement.Choice) (prefill.Told, bool) {
-	told, ok := p.Ask(u.Address, p.announcement(r, u, c))
-	return told, ok && told.Born == u.Born
+func (p *Pool) announce(r *serving.Request, u directory.Upstream, c placement.Choice) (prefill.AnnounceReply, bool) {
+	told, ok := p.Announce(u.Address, p.announcement(r, u, c))
+	return told, ok && told.StartUnixMS == u.StartUnixMS
 }
 
 func (p *Pool) announcement(r *serving.Request, u directory.Upstream, c placement.Choice) prefill.Announcement {
 	a := prefill.Announcement{Prompt: r.Prompt, Parts: r.Parts, Fetched: c.Fetched,
-		Most: p.Cold.Most(r.Service.Cold.PerSecond), Cold: p.cold(p.Now(), r, u),
-		Rank: r.Rank, Limit: p.limitKnown(u.Life)}
+		MaxPerSecond: p.Cold.MaxRequests(r.Service.Cold.PerSecond), Cold: p.cold(p.Now(), r, u),
+		Rank: r.Rank, Limit: p.limitKnown(u.Incarnation)}
 	if rate, known := p.readingOf(r.Service.Name).perMs(p.PrefillPerMs); known {
-		a.PerMs = rate
+		a.PrefillPerMs = rate
 	}
 	return a
 }
--- a/pool/cold.go
+++ b/pool/cold.go
@@ -17,14 +17,14 @@
 	if r.Service.Cold.PerSecond <= 0 {
 		return false
 	}
-	back := u.Returned.Add(entryDelay + r.Service.Cold.For)
+	back := u.Returned.Add(entryDelay + r.Service.Cold.Duration)
 	return now.Before(u.ColdUntil) || !u.Returned.IsZero() && now.Before(back)
 }
 
 // asksLeave reports whether there is a process beside the upstream that counts the requests which
 // are sent there. Those without a prompt are not announced to it.
 func (p *Pool) asksLeave(r *serving.Request, u directory.Upstream) bool {
-	return p.Ask != nil && r.Prompt > 0 && p.Beside != nil && p.Beside(u.Address)
+	return p.Announce != nil && r.Prompt > 0 && p.HasLender != nil && p.HasLender(u.Address)
 }
 
 // needsLeave reports whether a request must not go to an upstream without leave: it is cold, and
@@ -39,6 +39,6 @@
 	if !p.cold(now, r, u) || p.asksLeave(r, u) {
 		return false
 	}
-	most := p.Cold.Most(r.Service.Cold.PerSecond)
-	return !s.sent.Room(now, p.Share(u.Life.String(), most))
+	most := p.Cold.MaxRequests(r.Service.Cold.PerSecond)
+	return !s.sent.HasCapacity(now, p.ColdShare(u.Incarnation.String(), most))
 }
--- a/pool/limit.go
+++ b/pool/limit.go
@@ -15,17 +15,17 @@
 type Limits interface {
 	// Share is the part of an upstream's limit that is this router's, where nobody counts for all.
 	Share(upstream string, perSecond float64) float64
-	// Tell tells the process beside the upstream at an address what an answer of its life that started
+	// Report tells the process beside the upstream at an address what an answer of its life that started
 	// at born said. known is called with what that process knows, if it answers.
-	Tell(address string, born int64, w ratelimit.Word, known func(ratelimit.Known))
+	Report(address string, born int64, w ratelimit.NamedLimit, known func(ratelimit.State))
 	// Changed is called when what is known of a limit has changed, in requests a second; 0 is none.
 	// from says who told.
-	Changed(life directory.Life, was, now float64, from LimitSource)
-	// Unreadable is called for each limit that cannot be read; again says that the last one was the
+	Changed(life directory.Incarnation, was, now float64, from LimitSource)
+	// Unparsable is called for each limit that cannot be read; again says that the last one was the
 	// same. What was named before holds.
-	Unreadable(life directory.Life, err error, again bool)
-	// Held is called for each choice in which limits kept the request from some upstreams.
-	Held(r *serving.Request, h Held)
+	Unparsable(life directory.Incarnation, err error, again bool)
+	// Limited is called for each choice in which limits kept the request from some upstreams.
+	Limited(r *serving.Request, h LimitedChoice)
 }
 
 // LimitSource is who told of a limit.
@@ -34,24 +34,24 @@
 // The sources.
 const (
 	FromAnswer LimitSource = "answer"
-	FromBeside LimitSource = "beside"
+	FromLender LimitSource = "beside"
 )
 
-// Held is a choice that limits had a part in.
-type Held struct {
-	// Held is how many of the upstreams that might have served the request had no room.
-	Held, Of int
+// LimitedChoice is a choice that limits had a part in.
+type LimitedChoice struct {
+	// Limited is how many of the upstreams that might have served the request had no room.
+	Limited, Eligible int
 	// Chosen is the one that it goes to; nil if there is none.
-	Chosen *directory.Life
-	// Next is in how long one of them may have room; 0 if that is not known.
-	Next time.Duration
+	Chosen *directory.Incarnation
+	// RetryAfter is in how long one of them may have room; 0 if that is not known.
+	RetryAfter time.Duration
 }
 
 // add counts one more upstream, which may have room in that time; 0 is not known.
-func (h *Held) add(next time.Duration) {
-	h.Held++
-	if next > 0 && (h.Next == 0 || next < h.Next) {
-		h.Next = next
+func (h *LimitedChoice) add(next time.Duration) {
+	h.Limited++
+	if next > 0 && (h.RetryAfter == 0 || next < h.RetryAfter) {
+		h.RetryAfter = next
 	}
 }
 
@@ -65,26 +65,26 @@
 // limitNamed notes the limit that an answer of an upstream names.
 func (p *Pool) limitNamed(r *run, perSecond float64, err error) {
 	if err != nil {
-		p.Limits.Unreadable(r.upstream, err, p.sameLimitError(r.upstream, err.Error()))
+		p.Limits.Unparsable(r.upstream, err, p.sameLimitError(r.upstream, err.Error()))
 		return
 	}
-	word := ratelimit.Word{PerSecond: perSecond, Under: r.under}
+	word := ratelimit.NamedLimit{PerSecond: perSecond, KnownMark: r.under}
 	p.mu.Lock()
 	s := p.stateLocked(r.upstream)
 	s.limitError = ""
-	was := s.limiter.Known().PerSecond
-	changed := s.limiter.HearOwn(p.Now(), word)
+	was := s.limiter.State().PerSecond
+	changed := s.limiter.ObserveLocal(p.Now(), word)
 	p.mu.Unlock()
 	if !changed {
 		return
 	}
 	p.Limits.Changed(r.upstream, was, perSecond, FromAnswer)
-	p.Limits.Tell(r.address, r.upstream.Born, word, func(k ratelimit.Known) { p.adoptLimit(r.upstream, k) })
+	p.Limits.Report(r.address, r.upstream.StartUnixMS, word, func(k ratelimit.State) { p.adoptLimit(r.upstream, k) })
 }
 
 // sameLimitError notes why a limit cannot be read, and reports whether the last one could not for the
 // same reason.
-func (p *Pool) sameLimitError(life directory.Life, text string) bool {
+func (p *Pool) sameLimitError(life directory.Incarnation, text string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.stateLocked(life)
@@ -94,25 +94,25 @@
 }
 
 // adoptLimit takes what the process beside an upstream knows of its limit.
-func (p *Pool) adoptLimit(life directory.Life, k ratelimit.Known) {
+func (p *Pool) adoptLimit(life directory.Incarnation, k ratelimit.State) {
 	if k.Mark.Source == 0 {
 		return // it tells of no limits
 	}
 	p.mu.Lock()
 	s := p.stateLocked(life)
-	was := s.limiter.Known().PerSecond
+	was := s.limiter.State().PerSecond
 	changed := s.limiter.Adopt(p.Now(), k)
 	p.mu.Unlock()
 	if changed {
-		p.Limits.Changed(life, was, k.PerSecond, FromBeside)
+		p.Limits.Changed(life, was, k.PerSecond, FromLender)
 	}
 }
 
 // limitKnown is what is known of an upstream's limit.
-func (p *Pool) limitKnown(life directory.Life) ratelimit.Known {
+func (p *Pool) limitKnown(life directory.Incarnation) ratelimit.State {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.stateLocked(life).limiter.Known()
+	return p.stateLocked(life).limiter.State()
 }
 
 // denial is the last word of the process beside an upstream that its limit had no room: for requests
@@ -131,7 +131,7 @@
 }
 
 // denied notes a denial.
-func (p *Pool) denied(life directory.Life, rank int, next time.Duration) {
+func (p *Pool) denied(life directory.Incarnation, rank int, next time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stateLocked(life).denial = denial{rank: rank, until: p.Now().Add(next)}
@@ -139,9 +139,9 @@
 
 // limitShareLocked is the part of an upstream's limit that this router may use without leave.
 func (p *Pool) limitShareLocked(r *serving.Request, u directory.Upstream, s *state) float64 {
-	share := p.Limits.Share(u.Life.String(), s.limiter.Known().PerSecond)
+	share := p.Limits.Share(u.Incarnation.String(), s.limiter.State().PerSecond)
 	if p.asksLeave(r, u) {
-		share *= ratelimit.UnreachedShare
+		share *= ratelimit.UnreachableShare
 	}
 	return share
 }
@@ -156,10 +156,10 @@
 		return next > 0, next
 	}
 	share := p.limitShareLocked(r, u, s)
-	if s.limiter.Room(now, share, r.Rank) {
+	if s.limiter.HasCapacity(now, share, r.Rank) {
 		return false, 0
 	}
-	return true, s.limiter.Next(now, share, r.Rank)
+	return true, s.limiter.RetryAfter(now, share, r.Rank)
 }
 
 // unreachedLimit reports whether a request may not go to an upstream whose limit is counted by a
@@ -167,8 +167,8 @@
 func (p *Pool) unreachedLimit(r *serving.Request, u directory.Upstream) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := p.stateLocked(u.Life)
-	return s.limiter.Limited() && !s.limiter.Room(p.Now(), p.limitShareLocked(r, u, s), r.Rank)
+	s := p.stateLocked(u.Incarnation)
+	return s.limiter.Limited() && !s.limiter.HasCapacity(p.Now(), p.limitShareLocked(r, u, s), r.Rank)
 }
 
 // takeLimitLocked counts a request that goes to an upstream without leave, and reports whether it
@@ -181,12 +181,12 @@
 // the limits that they name.
 func (p *Pool) Limited(r *serving.Request, attempts []serving.Attempt) *contract.Refusal {
 	_, held := p.views(r, p.allowed(r, attempts))
-	if held.Held == 0 {
+	if held.Limited == 0 {
 		return nil
 	}
-	refusal := contract.Refuse(contract.UpstreamLimit, "the upstreams of %s take no more requests now: %d of %d say so", r.Service.Name, held.Held, held.Of)
-	if held.Next > 0 {
-		refusal = refusal.After(max(leastRetryAfter, held.Next+backoff.Jitter(held.Next)/2))
+	refusal := contract.Refuse(contract.UpstreamLimit, "the upstreams of %s take no more requests now: %d of %d say so", r.Service.Name, held.Limited, held.Eligible)
+	if held.RetryAfter > 0 {
+		refusal = refusal.After(max(leastRetryAfter, held.RetryAfter+backoff.Jitter(held.RetryAfter)/2))
 	}
 	return refusal
 }
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -50,36 +50,36 @@
 	PrefillPerMs float64
 	// Routers returns how many routers there are.
 	Routers func() int
-	// Here is the router's data centre.
-	Here string
-	// Ask tells the process beside an engine of a prompt; false if nobody answered.
+	// Datacentre is the router's data centre.
+	Datacentre string
+	// Announce tells the process beside an engine of a prompt; false if nobody answered.
 	// Withdraw takes that back. Both may be nil.
-	Ask      func(address string, a prefill.Announcement) (prefill.Told, bool)
-	Withdraw func(address string, a prefill.Announcement, told prefill.Told)
-	// ReadElsewhere tells the process beside an engine that another one reads parts of a prompt
+	Announce      func(address string, a prefill.Announcement) (prefill.AnnounceReply, bool)
+	Withdraw func(address string, a prefill.Announcement, told prefill.AnnounceReply)
+	// ReportRemotePrefill tells the process beside an engine that another one reads parts of a prompt
 	// which prefers that engine. It may be nil.
-	ReadElsewhere func(address string, e prefill.Elsewhere)
-	// Exposed, if set, is told when an engine is to be left to short prompts and when not
+	ReportRemotePrefill func(address string, e prefill.RemotePrefill)
+	// OnStallProne, if set, is told when an engine is to be left to short prompts and when not
 	// any more, and what decided it: how long streams of its service are held up, as a share
 	// of their goal, and how many times as long as others it takes. It must not block.
-	Exposed func(life directory.Life, exposed bool, heldUp, slowness float64)
+	OnStallProne func(life directory.Incarnation, exposed bool, heldUp, slowness float64)
 	// Limits shares and tells the limits that upstreams name.
 	Limits Limits
 	// Region returns the region of a data centre, "" if it is not known.
 	Region func(datacentre string) string
 	// Cold bounds what cold upstreams are sent.
-	Cold warmup.Bound
-	// Beside reports whether a process beside the upstream at an address is known, which gives
+	Cold warmup.Tolerance
+	// HasLender reports whether a process beside the upstream at an address is known, which gives
 	// leave to send prompts there. It may be nil.
-	Beside func(address string) bool
-	// Share is how many of the requests in a second that a cold upstream bears are this
+	HasLender func(address string) bool
+	// ColdShare is how many of the requests in a second that a cold upstream bears are this
 	// router's, where there is nobody to give leave.
-	Share func(upstream string, most int) int
+	ColdShare func(upstream string, most int) int
 	// Now is the clock.
 	Now func() time.Time
 
 	mu     sync.Mutex
-	states map[directory.Life]*state
+	states map[directory.Incarnation]*state
 
 	// pauses are those of streams, readings the rates of reading, by service.
 	pauses   sync.Map // string to *pauses
@@ -119,17 +119,17 @@
 const shareOfTime = 0.5
 
 // views is what is known of the upstreams, and what their limits hold back.
-func (p *Pool) views(r *serving.Request, ups []directory.Upstream) ([]placement.Upstream, Held) {
+func (p *Pool) views(r *serving.Request, ups []directory.Upstream) ([]placement.Upstream, LimitedChoice) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.Now()
 	views, states := make([]placement.Upstream, len(ups)), make([]*state, len(ups))
-	held := Held{Of: len(ups)}
+	held := LimitedChoice{Eligible: len(ups)}
 	for i, u := range ups {
-		states[i] = p.stateLocked(u.Life)
+		states[i] = p.stateLocked(u.Incarnation)
 		views[i] = p.viewLocked(now, r, u, states[i])
 		if limited, next := p.limitedLocked(now, r, u, states[i]); limited {
-			views[i].Closed = true
+			views[i].Excluded = true
 			held.add(next)
 		}
 	}
@@ -149,20 +149,20 @@
 	for i, s := range states {
 		s.slowness = slowness(paces[i], usual)
 		p.judgeLocked(views[i].Life, s, held)
-		views[i].Exposed = s.exposed
-		views[i].EventTime = cmp.Or(eventTimes[i], usualEvent)
+		views[i].StallProne = s.exposed
+		views[i].EventInterval = cmp.Or(eventTimes[i], usualEvent)
 	}
 }
 
 // judgeLocked decides whether an engine's streams are held up too long.
-func (p *Pool) judgeLocked(life directory.Life, s *state, held float64) {
-	exposed := s.reports >= leastReports && placement.Exposed(s.exposed, held, s.slowness)
+func (p *Pool) judgeLocked(life directory.Incarnation, s *state, held float64) {
+	exposed := s.reports >= leastReports && placement.StallProne(s.exposed, held, s.slowness)
 	if exposed == s.exposed {
 		return
 	}
 	s.exposed = exposed
-	if p.Exposed != nil {
-		p.Exposed(life, exposed, held, s.slowness)
+	if p.OnStallProne != nil {
+		p.OnStallProne(life, exposed, held, s.slowness)
 	}
 }
 
@@ -187,7 +187,7 @@
 		PrefillPerMs: perMs,
 		FetchPerMs:   perMs,
 		Routers:      p.Routers(),
-		Here:         p.Here,
+		Datacentre:         p.Datacentre,
 	}
 	if e := r.Service.Engine; e != nil && e.BytesPerToken > 0 && e.LinkMbps > 0 {
 		bytesPerMs := e.LinkMbps * 1e6 / 8 / 1e3
@@ -198,21 +198,21 @@
 
 func (p *Pool) viewLocked(now time.Time, r *serving.Request, u directory.Upstream, s *state) placement.Upstream {
 	return placement.Upstream{
-		Life:         u.Life,
+		Life:         u.Incarnation,
 		Datacentre:   u.Datacentre,
 		Slots:        u.Slots,
 		Running:      s.running,
-		Unread:       s.unread,
+		PendingPrefill:       s.unread,
 		Cached:       s.cache.Match(r.Parts),
 		Avoid:        now.Before(s.avoid),
 		FailureShare: s.failureShare(now),
-		Closed:       p.closedLocked(now, r, u, s),
+		Excluded:       p.closedLocked(now, r, u, s),
 	}
 }
 
-func (p *Pool) stateLocked(life directory.Life) *state {
+func (p *Pool) stateLocked(life directory.Incarnation) *state {
 	if p.states == nil {
-		p.states = map[directory.Life]*state{}
+		p.states = map[directory.Incarnation]*state{}
 	}
 	s := p.states[life]
 	if s == nil {
@@ -226,7 +226,7 @@
 // given leave. It reports false if there is no room any more within the upstream's limit.
 func (p *Pool) takeLocked(now time.Time, r *serving.Request, ups []directory.Upstream, c placement.Choice, granted bool) (serving.Target, bool) {
 	u := ups[c.Index]
-	s := p.stateLocked(u.Life)
+	s := p.stateLocked(u.Incarnation)
 	if !granted && !p.takeLimitLocked(now, r, u, s) {
 		return serving.Target{}, false
 	}
@@ -234,47 +234,47 @@
 		s.sent.Count(now)
 	}
 	s.running++
-	s.unread += c.Unread
+	s.unread += c.PrefillTokens
 	if e := r.Service.Engine; e != nil {
 		s.cache.Add(r.Parts, int64(cacheShare*float64(e.CacheTokens)))
 	}
-	t := serving.Target{Life: u.Life, Address: u.Address, Until: r.Until}
+	t := serving.Target{Life: u.Incarnation, Address: u.Address, Deadline: r.Deadline}
 	if c.FetchFrom >= 0 {
 		t.FetchFrom = ups[c.FetchFrom].Address
 	}
 	if r.Route.Idempotent() && r.Route.MaxRuns > 1 && r.Prompt <= 0 {
-		t.Until = now.Add(time.Duration(shareOfTime * float64(r.Until.Sub(now))))
+		t.Deadline = now.Add(time.Duration(shareOfTime * float64(r.Deadline.Sub(now))))
 	}
-	one := &run{pool: p, upstream: u.Life, address: u.Address, under: s.limiter.Known().Mark, choice: c, goal: r.Route.GapGoal, slowness: max(1, s.slowness), pauses: p.pausesOf(r.Service.Name),
+	one := &run{pool: p, upstream: u.Incarnation, address: u.Address, under: s.limiter.State().Mark, choice: c, goal: r.Route.GapGoal, slowness: max(1, s.slowness), pauses: p.pausesOf(r.Service.Name),
 		reading: p.readingOf(r.Service.Name), sent: now}
 	t.Event, t.Limit, t.Done = one.event, one.limit, one.done
 	return t, true
 }
 
 // read notes that a request's prompt was read: its first event came, or it ended.
-func (p *Pool) read(life directory.Life, tokens int64) {
+func (p *Pool) read(life directory.Incarnation, tokens int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stateLocked(life).unread -= tokens
 }
 
 // load is what this router has at an upstream.
-func (p *Pool) load(life directory.Life) serving.Load {
+func (p *Pool) load(life directory.Incarnation) serving.Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.stateLocked(life)
-	return serving.Load{Running: s.running, Unread: s.unread}
+	return serving.Load{Running: s.running, PendingPrefill: s.unread}
 }
 
 // paced notes the pace of an engine's stream.
-func (p *Pool) paced(life directory.Life, of pace) {
+func (p *Pool) paced(life directory.Incarnation, of pace) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stateLocked(life).paced(of)
 }
 
 // done notes how an attempt ended.
-func (p *Pool) done(life directory.Life, a serving.Attempt) {
+func (p *Pool) done(life directory.Incarnation, a serving.Attempt) {
 	if a.Result == serving.Misdirected {
 		p.Directory.Reject(life)
 	}
@@ -284,7 +284,7 @@
 	s.running--
 	now := p.Now()
 	switch a.Result {
-	case serving.Whole, serving.Declined:
+	case serving.Complete, serving.Declined:
 		s.fails = 0
 		s.answered(now, 0)
 	case serving.Failed, serving.Broken:
@@ -318,12 +318,12 @@
 	return math.Exp2(-float64(age) / float64(failureHalfLife))
 }
 
-// Forget drops what is known of lives that are no longer listed and have
+// Prune drops what is known of lives that are no longer listed and have
 // nothing running; call it now and then.
-func (p *Pool) Forget() {
-	listed := map[directory.Life]bool{}
+func (p *Pool) Prune() {
+	listed := map[directory.Incarnation]bool{}
 	for _, u := range p.Directory.All() {
-		listed[u.Life] = true
+		listed[u.Incarnation] = true
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -343,7 +343,7 @@
 	Fails        int     `json:"fails_in_a_row"`
 	FailureShare float64 `json:"failure_share"`
 	Slowness     float64 `json:"slowness"`
-	Exposed      bool    `json:"left_to_short_prompts"`
+	StallProne      bool    `json:"left_to_short_prompts"`
 	// Limit is the requests a second that it takes from all routers together, 0 if it names none.
 	Limit float64 `json:"limit_per_second,omitempty"`
 }
@@ -357,7 +357,7 @@
 	for life, s := range p.states {
 		out = append(out, State{Upstream: life.String(), Running: s.running, Unread: s.unread,
 			Cached: s.cache.Tokens(), Fails: s.fails, FailureShare: s.failureShare(now),
-			Slowness: s.slowness, Exposed: s.exposed, Limit: s.limiter.Known().PerSecond})
+			Slowness: s.slowness, StallProne: s.exposed, Limit: s.limiter.State().PerSecond})
 	}
 	return out
 }
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -29,7 +29,7 @@
 func poolOf(now *time.Time) *Pool {
 	clock := func() time.Time { return *now }
 	d := &directory.Directory{Report: quiet{}, Now: clock, Decode: func(it store.Item) (directory.Upstream, error) {
-		return directory.Upstream{Life: directory.Life{ID: it.Key}, Address: it.Key, Service: "s", Slots: 6}, nil
+		return directory.Upstream{Incarnation: directory.Incarnation{ID: it.Key}, Address: it.Key, Service: "s", Slots: 6}, nil
 	}}
 	d.Reset([]store.Item{{Key: "a"}, {Key: "b"}})
 	return &Pool{Directory: d, PrefillPerMs: 50, Routers: func() int { return 1 }, Region: func(string) string { return "" }, Now: clock}
@@ -37,7 +37,7 @@
 
 func plain(now time.Time) *serving.Request {
 	return &serving.Request{Route: &catalog.Route{Kind: catalog.Safe, MaxRuns: 2}, Service: catalog.Service{Name: "s"},
-		Until: now.Add(time.Second)}
+		Deadline: now.Add(time.Second)}
 }
 
 // pickUntil picks until the upstream comes, ending all other requests well; it reports
@@ -50,7 +50,7 @@
 		if target.Life.ID == id {
 			return target, true
 		}
-		target.Done(serving.Attempt{Result: serving.Whole})
+		target.Done(serving.Attempt{Result: serving.Complete})
 	}
 	return serving.Target{}, false
 }
@@ -64,7 +64,7 @@
 		target, ok := pickUntil(t, p, now, "a")
 		require.True(t, ok)
 		target.Done(serving.Attempt{Result: serving.Unreached})
-		require.Equal(t, now.Add(pause), p.states[directory.Life{ID: "a"}].avoid)
+		require.Equal(t, now.Add(pause), p.states[directory.Incarnation{ID: "a"}].avoid)
 		_, ok = pickUntil(t, p, now, "a")
 		require.False(t, ok)
 		now = now.Add(pause + 20*failureHalfLife) // its share of failures is forgotten too
@@ -77,10 +77,10 @@
 	p := poolOf(&now)
 	r := plain(now)
 	target, _ := p.Pick(r, nil)
-	require.Equal(t, now.Add(500*time.Millisecond), target.Until)
+	require.Equal(t, now.Add(500*time.Millisecond), target.Deadline)
 	r.Route = &catalog.Route{Kind: catalog.Unsafe, MaxRuns: 1}
 	target, _ = p.Pick(r, nil)
-	require.Equal(t, r.Until, target.Until)
+	require.Equal(t, r.Deadline, target.Deadline)
 	other, ok := p.Pick(r, []serving.Attempt{{Upstream: target.Life}})
 	require.True(t, ok)
 	require.NotEqual(t, target.Life, other.Life)
@@ -93,15 +93,15 @@
 	p := poolOf(&now)
 	announced := map[string]int{}
 	queues := map[string]int64{}
-	p.Ask = func(address string, _ prefill.Announcement) (prefill.Told, bool) {
+	p.Announce = func(address string, _ prefill.Announcement) (prefill.AnnounceReply, bool) {
 		announced[address]++
-		return prefill.Told{Backlog: queues[address]}, true
+		return prefill.AnnounceReply{Backlog: queues[address]}, true
 	}
-	p.Withdraw = func(address string, _ prefill.Announcement, _ prefill.Told) { announced[address]-- }
+	p.Withdraw = func(address string, _ prefill.Announcement, _ prefill.AnnounceReply) { announced[address]-- }
 	r := plain(now)
 	r.Prompt, r.Parts = 17_000, []prefill.Part{{ID: "subject", Tokens: 13_300}, {ID: "own", Tokens: 3_700}}
 	home, _ := p.Pick(r, nil)
-	home.Done(serving.Attempt{Result: serving.Whole})
+	home.Done(serving.Attempt{Result: serving.Complete})
 	require.Equal(t, map[string]int{home.Address: 1}, announced)
 	queues[home.Address] = 100_000
 	other, _ := p.Pick(r, nil)
@@ -116,7 +116,7 @@
 // restart gives the upstream a new life, at the same address.
 func restart(p *Pool, id string, born int64) {
 	p.Directory.Decode = func(it store.Item) (directory.Upstream, error) {
-		return directory.Upstream{Life: directory.Life{ID: it.Key, Born: born}, Address: it.Key, Service: "s", Slots: 6}, nil
+		return directory.Upstream{Incarnation: directory.Incarnation{ID: it.Key, StartUnixMS: born}, Address: it.Key, Service: "s", Slots: 6}, nil
 	}
 	p.Directory.Changed(store.Event{Item: store.Item{Key: id, Revision: store.Revision(born)}})
 }
@@ -138,7 +138,7 @@
 		p.done(before.Life, serving.Attempt{Result: serving.Unknown})
 	}
 	restart(p, id, 2)
-	life := directory.Life{ID: id, Born: 2}
+	life := directory.Incarnation{ID: id, StartUnixMS: 2}
 	view := func() placement.Upstream {
 		ups := p.allowed(r, []serving.Attempt{{Upstream: before.Life}})
 		views, _ := p.views(r, ups)
@@ -160,15 +160,15 @@
 func TestToldOfAnotherLife(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := poolOf(&now)
-	p.Ask = func(string, prefill.Announcement) (prefill.Told, bool) {
-		return prefill.Told{Cached: 13_300, Born: 7}, true
+	p.Announce = func(string, prefill.Announcement) (prefill.AnnounceReply, bool) {
+		return prefill.AnnounceReply{Cached: 13_300, StartUnixMS: 7}, true
 	}
 	r := plain(now)
 	r.Prompt, r.Parts = 17_000, []prefill.Part{{ID: "subject", Tokens: 13_300}, {ID: "own", Tokens: 3_700}}
-	_, ok := p.announce(r, p.Directory.Of("s")[0], placement.Choice{})
+	_, ok := p.announce(r, p.Directory.ForService("s")[0], placement.Choice{})
 	require.False(t, ok)
 	restart(p, "a", 7)
-	for _, u := range p.Directory.Of("s") {
+	for _, u := range p.Directory.ForService("s") {
 		_, ok := p.announce(r, u, placement.Choice{})
 		require.Equal(t, u.ID == "a", ok)
 	}
@@ -186,13 +186,13 @@
 			}
 			p.Directory.Reset(items)
 			for i, it := range items { // streams have told how fast each engine is
-				p.paced(directory.Life{ID: it.Key}, pace{least: time.Duration(20+i%7) * time.Millisecond, mean: time.Duration(30+i%11) * time.Millisecond})
+				p.paced(directory.Incarnation{ID: it.Key}, pace{least: time.Duration(20+i%7) * time.Millisecond, mean: time.Duration(30+i%11) * time.Millisecond})
 			}
 			r := plain(now)
 			r.Prompt, r.Parts = 17_000, []prefill.Part{{ID: "subject", Tokens: 13_300}, {ID: "own", Tokens: 3_700}}
 			for b.Loop() {
 				target, _ := p.Pick(r, nil)
-				target.Done(serving.Attempt{Result: serving.Whole})
+				target.Done(serving.Attempt{Result: serving.Complete})
 			}
 		})
 	}
@@ -204,17 +204,17 @@
 	now := time.Unix(1000, 0)
 	p := poolOf(&now)
 	p.Directory.Decode = func(it store.Item) (directory.Upstream, error) {
-		return directory.Upstream{Life: directory.Life{ID: it.Key}, Address: it.Key, Datacentre: it.Key, Service: "s", Slots: 6}, nil
+		return directory.Upstream{Incarnation: directory.Incarnation{ID: it.Key}, Address: it.Key, Datacentre: it.Key, Service: "s", Slots: 6}, nil
 	}
 	p.Directory.Reset([]store.Item{{Key: "a"}, {Key: "b"}})
 	first := ""
-	p.Withdraw = func(string, prefill.Announcement, prefill.Told) {}
-	p.Ask = func(address string, _ prefill.Announcement) (prefill.Told, bool) {
+	p.Withdraw = func(string, prefill.Announcement, prefill.AnnounceReply) {}
+	p.Announce = func(address string, _ prefill.Announcement) (prefill.AnnounceReply, bool) {
 		if first == "" {
 			first = address
-			p.Directory.SetEmptied([]string{address})
+			p.Directory.SetDrained([]string{address})
 		}
-		return prefill.Told{}, true
+		return prefill.AnnounceReply{}, true
 	}
 	r := plain(now)
 	r.Prompt, r.Parts = 1000, []prefill.Part{{ID: "own", Tokens: 1000}}
@@ -232,15 +232,15 @@
 	p := poolOf(&now)
 	engines := map[string]*prefill.Engine{"a": prefill.NewEngine(now, 50), "b": prefill.NewEngine(now, 50)}
 	for _, e := range engines {
-		e.SetRoom(400_000)
+		e.SetCacheCapacity(400_000)
 	}
-	p.Withdraw = func(address string, a prefill.Announcement, told prefill.Told) {
+	p.Withdraw = func(address string, a prefill.Announcement, told prefill.AnnounceReply) {
 		engines[address].Withdraw(now, a, told)
 	}
-	p.Ask = func(address string, a prefill.Announcement) (prefill.Told, bool) {
+	p.Announce = func(address string, a prefill.Announcement) (prefill.AnnounceReply, bool) {
 		return engines[address].Announce(now, a), true
 	}
-	p.ReadElsewhere = func(address string, e prefill.Elsewhere) { engines[address].ReadElsewhere(now, e) }
+	p.ReportRemotePrefill = func(address string, e prefill.RemotePrefill) { engines[address].RecordRemotePrefill(now, e) }
 	subject := prefill.Part{ID: "subject", Tokens: 13_300}
 	ask := func(own string) serving.Target {
 		r := plain(now)
@@ -254,12 +254,12 @@
 	engines[home].Announce(now, prefill.Announcement{Prompt: 100_000}) // two seconds of reading
 	other := ask("own-1")
 	require.NotEqual(t, home, other.Address)
-	other.Done(serving.Attempt{Result: serving.Whole})
+	other.Done(serving.Attempt{Result: serving.Complete})
 	now = now.Add(5 * time.Second)
 	p.states = nil // another router comes next, which knows nothing of the first one's prompts
 	next := ask("own-2")
 	require.Equal(t, other.Address, next.Address)
-	next.Done(serving.Attempt{Result: serving.Whole})
+	next.Done(serving.Attempt{Result: serving.Complete})
 	p.states = nil
 	engines[other.Address].Announce(now, prefill.Announcement{Prompt: 100_000})
 	back := ask("own-3")
--- a/pool/run.go
+++ b/pool/run.go
@@ -12,7 +12,7 @@
 // run follows one attempt, from the choice of its upstream to its end. One goroutine uses it.
 type run struct {
 	pool     *Pool
-	upstream directory.Life
+	upstream directory.Incarnation
 	address  string
 	// under is what was known of the upstream's limit when the request was let go.
 	under  ratelimit.Mark
@@ -27,7 +27,7 @@
 
 	last  time.Time // of the last event
 	read  bool      // the prompt was read
-	pause serving.Pause
+	pause serving.Gap
 	pace  pace
 }
 
@@ -36,8 +36,8 @@
 
 // event implements serving.Target's Event.
 func (r *run) event(now time.Time) {
-	if r.last.IsZero() && r.choice.Before == 0 && r.choice.FetchFrom < 0 && r.choice.Unread > 0 {
-		r.reading.note(r.choice.Unread, now.Sub(r.sent))
+	if r.last.IsZero() && r.choice.Backlog == 0 && r.choice.FetchFrom < 0 && r.choice.PrefillTokens > 0 {
+		r.reading.note(r.choice.PrefillTokens, now.Sub(r.sent))
 	}
 	r.haveRead()
 	if !r.last.IsZero() {
@@ -53,14 +53,14 @@
 func (r *run) haveRead() {
 	if !r.read {
 		r.read = true
-		r.pool.read(r.upstream, r.choice.Unread)
+		r.pool.read(r.upstream, r.choice.PrefillTokens)
 	}
 }
 
 // paused notes a pause between two events.
 func (r *run) paused(now time.Time, pause time.Duration) {
-	if pause > r.pause.For {
-		r.pause = serving.Pause{For: pause, Beside: r.pool.load(r.upstream)}
+	if pause > r.pause.Duration {
+		r.pause = serving.Gap{Duration: pause, ConcurrentLoad: r.pool.load(r.upstream)}
 	}
 	if r.goal > 0 {
 		r.pauses.note(now, float64(pause)/float64(r.goal)/r.slowness)
@@ -71,6 +71,6 @@
 func (r *run) done(a serving.Attempt) serving.Attempt {
 	r.haveRead()
 	r.pool.done(r.upstream, a)
-	a.Cost, a.Unread, a.Pause = r.choice.Cost, r.choice.Unread, r.pause
+	a.Cost, a.PendingPrefill, a.Pause = r.choice.Cost, r.choice.PrefillTokens, r.pause
 	return a
 }
--- a/pool/speed_test.go
+++ b/pool/speed_test.go
@@ -19,7 +19,7 @@
 		target.Event(*now)
 		*now = now.Add(pause(n))
 	}
-	return target.Done(serving.Attempt{Result: serving.Whole})
+	return target.Done(serving.Attempt{Result: serving.Complete})
 }
 
 func steady(d time.Duration) func(int) time.Duration {
@@ -41,12 +41,12 @@
 	}
 	stream(t, p, &now, "a", 13, held(20*time.Millisecond))
 	stream(t, p, &now, "b", 13, held(26*time.Millisecond))
-	views, _ := p.views(plain(now), p.Directory.Of("s"))
+	views, _ := p.views(plain(now), p.Directory.ForService("s"))
 	for _, v := range views {
-		require.Positive(t, v.EventTime)
+		require.Positive(t, v.EventInterval)
 	}
-	require.InDelta(t, 1, p.states[directory.Life{ID: "a"}].slowness, 0.01)
-	require.InDelta(t, 1.3, p.states[directory.Life{ID: "b"}].slowness, 0.01)
+	require.InDelta(t, 1, p.states[directory.Incarnation{ID: "a"}].slowness, 0.01)
+	require.InDelta(t, 1.3, p.states[directory.Incarnation{ID: "b"}].slowness, 0.01)
 }
 
 // An engine of usual speed reads one prompt after the other for a second, so that its streams
@@ -60,13 +60,13 @@
 	for range 3 {
 		stream(t, p, &now, "b", 13, steady(60*time.Millisecond))
 	}
-	p.views(plain(now), p.Directory.Of("s"))
-	require.Less(t, p.states[directory.Life{ID: "b"}].slowness, 1.3)
+	p.views(plain(now), p.Directory.ForService("s"))
+	require.Less(t, p.states[directory.Incarnation{ID: "b"}].slowness, 1.3)
 	for range 30 {
 		stream(t, p, &now, "b", 13, steady(60*time.Millisecond))
 	}
-	p.views(plain(now), p.Directory.Of("s"))
-	require.Greater(t, p.states[directory.Life{ID: "b"}].slowness, 2.0, "it has turned slow")
+	p.views(plain(now), p.Directory.ForService("s"))
+	require.Greater(t, p.states[directory.Incarnation{ID: "b"}].slowness, 2.0, "it has turned slow")
 }
 
 // A router has seen one stream of an engine, which happened to be slow. Homes of prompts do not
@@ -79,15 +79,15 @@
 		now = now.Add(pauseRefresh)
 	}
 	changes := 0
-	p.Exposed = func(directory.Life, bool, float64, float64) { changes++ }
+	p.OnStallProne = func(directory.Incarnation, bool, float64, float64) { changes++ }
 	stream(t, p, &now, "a", 40, steady(20*time.Millisecond))
 	stream(t, p, &now, "b", 13, steady(30*time.Millisecond))
-	p.views(plain(now), p.Directory.Of("s"))
+	p.views(plain(now), p.Directory.ForService("s"))
 	require.Zero(t, changes)
 	stream(t, p, &now, "b", 25, steady(30*time.Millisecond))
-	p.views(plain(now), p.Directory.Of("s"))
+	p.views(plain(now), p.Directory.ForService("s"))
 	require.Equal(t, 1, changes)
-	require.True(t, p.states[directory.Life{ID: "b"}].exposed)
+	require.True(t, p.states[directory.Incarnation{ID: "b"}].exposed)
 }
 
 // Streams are held up for nine tenths of what their route allows. That is known after a
@@ -97,7 +97,7 @@
 	p := poolOf(&now)
 	r := plain(now)
 	r.Route = &catalog.Route{Kind: catalog.Streaming, GapGoal: 300 * time.Millisecond}
-	r.Until = now.Add(time.Hour)
+	r.Deadline = now.Add(time.Hour)
 	target, _ := p.Pick(r, nil)
 	for range 30 {
 		for range 15 {
@@ -108,9 +108,9 @@
 		now = now.Add(270 * time.Millisecond)
 	}
 	require.InDelta(t, 0.9, p.pausesOf("s").share(), 0.02)
-	done := target.Done(serving.Attempt{Result: serving.Whole})
-	require.Equal(t, 270*time.Millisecond, done.Pause.For)
-	require.Equal(t, 1, done.Pause.Beside.Running)
+	done := target.Done(serving.Attempt{Result: serving.Complete})
+	require.Equal(t, 270*time.Millisecond, done.Pause.Duration)
+	require.Equal(t, 1, done.Pause.ConcurrentLoad.Running)
 	now = now.Add(2 * pauseWindows * pauseWindow)
 	for range pauseLeast + 1 {
 		p.pausesOf("s").note(now, 0.4)
@@ -124,6 +124,6 @@
 	now := time.Unix(1000, 0)
 	p := poolOf(&now)
 	a := stream(t, p, &now, "a", 40, steady(time.Second))
-	require.Equal(t, time.Second, a.Pause.For)
+	require.Equal(t, time.Second, a.Pause.Duration)
 	require.Zero(t, p.pausesOf("s").share())
 }
--- a/prefill/elsewhere.go
+++ b/prefill/elsewhere.go
@@ -15,10 +15,10 @@
 	mostElsewhere = 4096
 )
 
-// Elsewhere says that an engine reads the leading parts of a prompt that others share.
-type Elsewhere struct {
+// RemotePrefill says that an engine reads the leading parts of a prompt that others share.
+type RemotePrefill struct {
 	Parts []Part         `json:"parts"`
-	By    directory.Life `json:"by"`
+	Engine    directory.Incarnation `json:"by"`
 }
 
 // places is who else keeps which parts of prompts. The load pattern that it answers: prompts that
@@ -30,13 +30,13 @@
 }
 
 type place struct {
-	by     directory.Life
+	by     directory.Incarnation
 	tokens int64
 	at     time.Time
 }
 
 // note remembers who read the parts last.
-func (p *places) note(now time.Time, e Elsewhere) {
+func (p *places) note(now time.Time, e RemotePrefill) {
 	if len(e.Parts) == 0 {
 		return
 	}
@@ -49,7 +49,7 @@
 	if len(p.by) >= mostElsewhere {
 		return
 	}
-	p.by[e.Parts[len(e.Parts)-1].ID] = place{by: e.By, tokens: TokensOf(e.Parts), at: now}
+	p.by[e.Parts[len(e.Parts)-1].ID] = place{by: e.Engine, tokens: TokensOf(e.Parts), at: now}
 }
 
 func (p *places) forget(now time.Time) {
@@ -62,11 +62,11 @@
 
 // find returns who keeps most of a prompt's leading parts, and how many tokens these have; 0 if
 // nobody is known.
-func (p *places) find(now time.Time, parts []Part) (by directory.Life, tokens int64) {
+func (p *places) find(now time.Time, parts []Part) (by directory.Incarnation, tokens int64) {
 	for i := len(parts) - 1; i >= 0; i-- {
 		if known, ok := p.by[parts[i].ID]; ok && now.Sub(known.at) < elsewhereFor {
 			return known.by, known.tokens
 		}
 	}
-	return directory.Life{}, 0
+	return directory.Incarnation{}, 0
 }
--- a/prefill/engine.go
+++ b/prefill/engine.go
@@ -16,41 +16,41 @@
 	Parts  []Part `json:"parts"`
 	// Fetched is the leading tokens that the engine will fetch from another one.
 	Fetched int64 `json:"fetched,omitempty"`
-	// Most is how many prompts in any second a cold engine bears, from all routers together; 0
+	// MaxPerSecond is how many prompts in any second a cold engine bears, from all routers together; 0
 	// is no bound. Cold says that the router takes the engine for cold.
-	Most int  `json:"most,omitempty"`
+	MaxPerSecond int  `json:"most,omitempty"`
 	Cold bool `json:"cold,omitempty"`
-	// PerMs is the tokens that the engine reads in a millisecond, as the router has learned; 0
+	// PrefillPerMs is the tokens that the engine reads in a millisecond, as the router has learned; 0
 	// says nothing.
-	PerMs float64 `json:"per_ms,omitempty"`
+	PrefillPerMs float64 `json:"per_ms,omitempty"`
 	// Rank is the request's priority, 0 for the most urgent.
 	Rank int `json:"rank,omitempty"`
 	// Limit is what the router knows of the requests a second that the engine takes.
-	Limit ratelimit.Known `json:"limit,omitzero"`
+	Limit ratelimit.State `json:"limit,omitzero"`
 }
 
-// Told is what is known at an engine of a prompt that is announced.
-type Told struct {
+// AnnounceReply is what is known at an engine of a prompt that is announced.
+type AnnounceReply struct {
 	// Backlog is the tokens that the engine has to read before it.
 	Backlog int64 `json:"backlog"`
 	// Cached is the leading tokens that the engine has read before.
 	Cached int64 `json:"cached"`
-	// Unread is the tokens of the prompt that it has to read.
-	Unread int64 `json:"unread"`
-	// Born is the start of the engine that this is about, as far as is known beside it; see
+	// PrefillTokens is the tokens of the prompt that it has to read.
+	PrefillTokens int64 `json:"unread"`
+	// StartUnixMS is the start of the engine that this is about, as far as is known beside it; see
 	// directory.Life.
-	Born int64 `json:"born,omitempty"`
+	StartUnixMS int64 `json:"born,omitempty"`
 	// Denied says that the prompt must not be sent: the engine has got as many in the last
 	// second as it bears when cold, or as many as it says that it takes.
 	Denied bool `json:"denied,omitempty"`
 	// Limit is what is known of the requests a second that the engine takes, and Next in how long one
 	// more may go, if that is why the prompt was denied.
-	Limit ratelimit.Known `json:"limit,omitzero"`
-	Next  time.Duration   `json:"next_ns,omitempty"`
-	// Elsewhere is another engine that keeps more of the prompt's leading tokens, as far as is
+	Limit ratelimit.State `json:"limit,omitzero"`
+	RetryAfter  time.Duration   `json:"next_ns,omitempty"`
+	// RemoteEngine is another engine that keeps more of the prompt's leading tokens, as far as is
 	// known beside this one, and ElsewhereTokens how many; 0 is none.
-	Elsewhere       directory.Life `json:"elsewhere,omitzero"`
-	ElsewhereTokens int64          `json:"elsewhere_tokens,omitempty"`
+	RemoteEngine       directory.Incarnation `json:"elsewhere,omitzero"`
+	RemoteTokens int64          `json:"elsewhere_tokens,omitempty"`
 }
 
 // Engine is one engine as seen by a process that hears of every prompt sent there. It is
@@ -75,19 +75,19 @@
 
 // NewEngine makes the model of an engine that has read nothing.
 func NewEngine(now time.Time, perMs float64) *Engine {
-	return &Engine{queue: Queue{PerMs: perMs}, began: now, limiter: ratelimit.NewLimiter()}
+	return &Engine{queue: Queue{PrefillPerMs: perMs}, began: now, limiter: ratelimit.NewLimiter()}
 }
 
-// SetRoom says how many tokens of cached parts the engine's memory has room for.
-func (e *Engine) SetRoom(tokens int64) {
+// SetCacheCapacity says how many tokens of cached parts the engine's memory has room for.
+func (e *Engine) SetCacheCapacity(tokens int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.room = tokens
 }
 
-// Restarted begins anew with an engine that started at born: it has nothing to read, and has
+// Reset begins anew with an engine that started at born: it has nothing to read, and has
 // cached nothing if it is new, much if only the process that keeps this model was away.
-func (e *Engine) Restarted(born int64, cached []Part) {
+func (e *Engine) Reset(born int64, cached []Part) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.born = born
@@ -97,40 +97,40 @@
 	e.cache.Add(cached, e.room)
 }
 
-// Unused says that the engine keeps nothing of any prompt and has no request: it has read none since
+// MarkUnused says that the engine keeps nothing of any prompt and has no request: it has read none since
 // its start. So nothing came before this process began that counts against what it bears when cold.
 // After a loss of all power every engine is cold and every such process new; without this all prompts
 // were refused for a second more.
-func (e *Engine) Unused() {
+func (e *Engine) MarkUnused() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.began = time.Time{}
 }
 
 // Announce notes a prompt, and tells what was known before.
-func (e *Engine) Announce(now time.Time, a Announcement) Told {
+func (e *Engine) Announce(now time.Time, a Announcement) AnnounceReply {
 	e.mu.Lock()
-	e.limiter.Believed(now, a.Limit)
-	told := Told{Born: e.born, Limit: e.limiter.Known()}
-	if told.Denied, told.Next = e.deniesLocked(now, a); told.Denied {
+	e.limiter.ObserveReported(now, a.Limit)
+	told := AnnounceReply{StartUnixMS: e.born, Limit: e.limiter.State()}
+	if told.Denied, told.RetryAfter = e.deniesLocked(now, a); told.Denied {
 		defer e.mu.Unlock()
 		return told
 	}
 	told.Cached = e.cache.Match(a.Parts)
 	if by, tokens := e.places.find(now, a.Parts); tokens > told.Cached {
-		told.Elsewhere, told.ElsewhereTokens = by, tokens
+		told.RemoteEngine, told.RemoteTokens = by, tokens
 	}
 	e.cache.Add(a.Parts, e.room)
 	e.mu.Unlock()
-	e.queue.Learn(a.PerMs)
+	e.queue.ObserveRate(a.PrefillPerMs)
 	// Whoever is told of another engine has the parts fetched from there.
-	told.Unread = max(0, a.Prompt-max(told.Cached, a.Fetched, told.ElsewhereTokens))
-	told.Backlog = e.queue.Add(now, told.Unread)
+	told.PrefillTokens = max(0, a.Prompt-max(told.Cached, a.Fetched, told.RemoteTokens))
+	told.Backlog = e.queue.Add(now, told.PrefillTokens)
 	return told
 }
 
-// ReadElsewhere notes that another engine reads parts for which prompts prefer this one.
-func (e *Engine) ReadElsewhere(now time.Time, other Elsewhere) {
+// RecordRemotePrefill notes that another engine reads parts for which prompts prefer this one.
+func (e *Engine) RecordRemotePrefill(now time.Time, other RemotePrefill) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.places.note(now, other)
@@ -144,7 +144,7 @@
 // one more may go if that is known.
 func (e *Engine) deniesLocked(now time.Time, a Announcement) (denied bool, next time.Duration) {
 	if !e.limiter.Take(now, wholeLimit, a.Rank) {
-		return true, e.limiter.Next(now, wholeLimit, a.Rank)
+		return true, e.limiter.RetryAfter(now, wholeLimit, a.Rank)
 	}
 	if !e.leaveLocked(now, a) {
 		e.limiter.Return(wholeLimit)
@@ -156,22 +156,22 @@
 // wholeLimit is the share of an engine's limit that is given out beside it.
 const wholeLimit = 1
 
-// LimitNamed takes what an answer of the engine's life that started at born said of the requests
+// ObserveLimit takes what an answer of the engine's life that started at born said of the requests
 // a second that it takes, and returns what is known.
-func (e *Engine) LimitNamed(now time.Time, born int64, w ratelimit.Word) ratelimit.Known {
+func (e *Engine) ObserveLimit(now time.Time, born int64, w ratelimit.NamedLimit) ratelimit.State {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if born == e.born {
-		e.limiter.Hear(now, w)
+		e.limiter.Observe(now, w)
 	}
-	return e.limiter.Known()
+	return e.limiter.State()
 }
 
 // leaveLocked counts a prompt, and reports whether the engine bears it. One that is warm bears
 // all; to hold it to what it would bear cold, in case that it has become so unnoticed, cost
 // 2 in 100 of what a day of cold returns at twice the usual load is worth (five seeds).
 func (e *Engine) leaveLocked(now time.Time, a Announcement) bool {
-	if a.Most == 0 {
+	if a.MaxPerSecond == 0 {
 		return true
 	}
 	if a.Cold {
@@ -184,22 +184,22 @@
 	if now.Sub(e.began) < time.Second {
 		return false // what came before this process began is not known
 	}
-	return e.recent.Take(now, warmup.ByLeave(a.Most))
+	return e.recent.Take(now, warmup.PermitLimit(a.MaxPerSecond))
 }
 
 // Withdraw takes an announcement back: the prompt went elsewhere. One that was made before the
 // engine's restart is gone already; to take it back would remove what others announced since.
-func (e *Engine) Withdraw(now time.Time, a Announcement, told Told) {
+func (e *Engine) Withdraw(now time.Time, a Announcement, told AnnounceReply) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if a.Most > 0 {
+	if a.MaxPerSecond > 0 {
 		e.recent.Return()
 	}
-	if told.Born != e.born {
+	if told.StartUnixMS != e.born {
 		return
 	}
 	e.limiter.Return(wholeLimit)
-	e.queue.Add(now, -told.Unread)
+	e.queue.Add(now, -told.PrefillTokens)
 	e.cache.Forget(beyond(a.Parts, told.Cached))
 }
 
@@ -218,8 +218,8 @@
 type State struct {
 	Backlog int64 `json:"backlog"`
 	Cached  int64 `json:"cached"`
-	Room    int64 `json:"room"`
-	Born    int64 `json:"born_unix_ms,omitempty"`
+	CacheCapacity    int64 `json:"room"`
+	StartUnixMS    int64 `json:"born_unix_ms,omitempty"`
 	// Limit is the requests a second that it takes, 0 if it names none.
 	Limit float64 `json:"limit_per_second,omitempty"`
 }
@@ -228,5 +228,5 @@
 func (e *Engine) State(now time.Time) State {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return State{Backlog: e.queue.Add(now, 0), Cached: e.cache.Tokens(), Room: e.room, Born: e.born, Limit: e.limiter.Known().PerSecond}
+	return State{Backlog: e.queue.Add(now, 0), Cached: e.cache.Tokens(), CacheCapacity: e.room, StartUnixMS: e.born, Limit: e.limiter.State().PerSecond}
 }
--- a/prefill/leave_test.go
+++ b/prefill/leave_test.go
@@ -14,7 +14,7 @@
 // leaves asks for leave for so many prompts at once, and returns how many got it.
 func leaves(e *Engine, now time.Time, prompts int, cold bool) (given int) {
 	for range prompts {
-		if !e.Announce(now, Announcement{Prompt: 100, Most: coldMost, Cold: cold}).Denied {
+		if !e.Announce(now, Announcement{Prompt: 100, MaxPerSecond: coldMost, Cold: cold}).Denied {
 			given++
 		}
 	}
@@ -30,7 +30,7 @@
 	now := start.Add(time.Minute)
 	require.Equal(t, 8, leaves(e, now, 8, false))
 	now = now.Add(500 * time.Millisecond)
-	bears := warmup.ByLeave(coldMost)
+	bears := warmup.PermitLimit(coldMost)
 	require.Equal(t, bears-8, leaves(e, now, 30, true))
 	require.Zero(t, leaves(e, now, 5, false), "a router that has not heard of it")
 	now = now.Add(600 * time.Millisecond) // the first eight are more than a second ago
@@ -54,8 +54,8 @@
 func TestLeaveOfAnUnusedEngine(t *testing.T) {
 	start := time.Unix(0, 0)
 	e := NewEngine(start, 50)
-	e.Unused()
-	require.Equal(t, warmup.ByLeave(coldMost), leaves(e, start, 30, true))
+	e.MarkUnused()
+	require.Equal(t, warmup.PermitLimit(coldMost), leaves(e, start, 30, true))
 }
 
 // A prompt that had leave goes elsewhere: another one gets its place. Services that name no rate
@@ -64,10 +64,10 @@
 	start := time.Unix(0, 0)
 	e := NewEngine(start, 50)
 	now := start.Add(time.Minute)
-	bears := warmup.ByLeave(coldMost)
+	bears := warmup.PermitLimit(coldMost)
 	require.Equal(t, bears, leaves(e, now, 30, true))
-	a := Announcement{Prompt: 100, Most: coldMost, Cold: true}
-	e.Withdraw(now, a, Told{Unread: 100})
+	a := Announcement{Prompt: 100, MaxPerSecond: coldMost, Cold: true}
+	e.Withdraw(now, a, AnnounceReply{PrefillTokens: 100})
 	require.Equal(t, 1, leaves(e, now, 5, true))
 	require.False(t, e.Announce(now, Announcement{Prompt: 100}).Denied)
 }
--- a/prefill/queue.go
+++ b/prefill/queue.go
@@ -15,8 +15,8 @@
 // The engine reads at a known rate, so nobody has to tell that a prompt was read: a router
 // that dies leaves nothing behind. It is safe for concurrent use.
 type Queue struct {
-	// PerMs is the tokens that the engine reads in a millisecond, until others are learned.
-	PerMs float64
+	// PrefillPerMs is the tokens that the engine reads in a millisecond, until others are learned.
+	PrefillPerMs float64
 
 	mu     sync.Mutex
 	tokens float64 // as of at
@@ -28,7 +28,7 @@
 func (q *Queue) Add(now time.Time, tokens int64) (before int64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	read := float64(now.Sub(q.at)) / float64(time.Millisecond) * q.PerMs
+	read := float64(now.Sub(q.at)) / float64(time.Millisecond) * q.PrefillPerMs
 	left := max(0, q.tokens-read)
 	q.tokens, q.at = max(0, left+float64(tokens)), now
 	return int64(left)
@@ -37,14 +37,14 @@
 // learnWeight is the weight of one router's rate in the queue's: some twenty prompts decide.
 const learnWeight = 0.1
 
-// Learn takes the rate that a router has learned from its prompts; 0 says nothing.
-func (q *Queue) Learn(perMs float64) {
+// ObserveRate takes the rate that a router has learned from its prompts; 0 says nothing.
+func (q *Queue) ObserveRate(perMs float64) {
 	if perMs <= 0 {
 		return
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.PerMs += learnWeight * (perMs - q.PerMs)
+	q.PrefillPerMs += learnWeight * (perMs - q.PrefillPerMs)
 }
 
 // Clear empties the queue.
--- a/prefill/queue_test.go
+++ b/prefill/queue_test.go
@@ -12,7 +12,7 @@
 // engine has read it.
 func TestEachSeesWhatIsBeforeIt(t *testing.T) {
 	now := time.Unix(0, 0)
-	q := Queue{PerMs: 50}
+	q := Queue{PrefillPerMs: 50}
 	require.Zero(t, q.Add(now, 20_000))
 	now = now.Add(10 * time.Millisecond)
 	require.EqualValues(t, 19_500, q.Add(now, 5_000))
@@ -29,28 +29,28 @@
 func TestWithdrawnAnnouncementLeavesNothing(t *testing.T) {
 	now := time.Unix(0, 0)
 	e := NewEngine(time.Unix(0, 0), 50)
-	e.SetRoom(100_000)
+	e.SetCacheCapacity(100_000)
 	subject := Part{ID: "subject", Tokens: 13_300}
 	first := Announcement{Prompt: 17_000, Parts: []Part{subject, {ID: "own-1", Tokens: 3_700}}}
-	require.Equal(t, Told{Unread: 17_000}, e.Announce(now, first))
+	require.Equal(t, AnnounceReply{PrefillTokens: 17_000}, e.Announce(now, first))
 	now = now.Add(time.Second)
 	second := Announcement{Prompt: 17_000, Parts: []Part{subject, {ID: "own-2", Tokens: 3_700}}}
 	told := e.Announce(now, second)
-	require.Equal(t, Told{Cached: 13_300, Unread: 3_700}, told)
+	require.Equal(t, AnnounceReply{Cached: 13_300, PrefillTokens: 3_700}, told)
 	e.Withdraw(now, second, told)
-	require.Equal(t, Told{Cached: 13_300, Unread: 3_700}, e.Announce(now, second))
-	e.Restarted(0, []Part{subject})
+	require.Equal(t, AnnounceReply{Cached: 13_300, PrefillTokens: 3_700}, e.Announce(now, second))
+	e.Reset(0, []Part{subject})
 	require.EqualValues(t, 13_300, e.Announce(now.Add(time.Second), first).Cached)
-	e.Restarted(0, nil)
+	e.Reset(0, nil)
 	require.Zero(t, e.Announce(now.Add(time.Second), first).Cached)
 }
 
 // What an engine fetches from another one it need not read.
 func TestFetchedTokensAreNotRead(t *testing.T) {
 	e := NewEngine(time.Unix(0, 0), 50)
-	e.SetRoom(100_000)
+	e.SetCacheCapacity(100_000)
 	a := Announcement{Prompt: 17_000, Fetched: 13_300, Parts: []Part{{ID: "s", Tokens: 13_300}, {ID: "own", Tokens: 3_700}}}
-	require.EqualValues(t, 3_700, e.Announce(time.Unix(0, 0), a).Unread)
+	require.EqualValues(t, 3_700, e.Announce(time.Unix(0, 0), a).PrefillTokens)
 }
 
 // An engine starts again between an announcement and its withdrawal. Its queue and cache are
@@ -58,13 +58,13 @@
 func TestWithdrawalOfAnEarlierLife(t *testing.T) {
 	now := time.Unix(0, 0)
 	e := NewEngine(time.Unix(0, 0), 50)
-	e.SetRoom(100_000)
+	e.SetCacheCapacity(100_000)
 	prompt := Announcement{Prompt: 17_000, Parts: []Part{{ID: "subject", Tokens: 13_300}, {ID: "own", Tokens: 3_700}}}
-	e.Restarted(1, nil)
+	e.Reset(1, nil)
 	told := e.Announce(now, prompt)
-	require.EqualValues(t, 1, told.Born)
-	e.Restarted(2, nil)
-	require.Equal(t, Told{Unread: 17_000, Born: 2}, e.Announce(now, prompt), "nothing is queued or cached in the new life")
+	require.EqualValues(t, 1, told.StartUnixMS)
+	e.Reset(2, nil)
+	require.Equal(t, AnnounceReply{PrefillTokens: 17_000, StartUnixMS: 2}, e.Announce(now, prompt), "nothing is queued or cached in the new life")
 	e.Withdraw(now, prompt, told)
-	require.Equal(t, State{Backlog: 17_000, Cached: 17_000, Room: 100_000, Born: 2}, e.State(now))
+	require.Equal(t, State{Backlog: 17_000, Cached: 17_000, CacheCapacity: 100_000, StartUnixMS: 2}, e.State(now))
 }
--- a/prepaid/budgets.go
+++ b/prepaid/budgets.go
@@ -137,7 +137,7 @@
 	// asking counts the requests that turned to the store, by budget.
 	asking counts
 	// register lists the borrowers of a process that only lends; nil for others.
-	register *settlement.Register
+	register *settlement.BorrowerRegistry
 	// exposure limits what such a process lends; witness keeps the limits of others.
 	exposure *settlement.Exposure
 	witness  settlement.Witness
@@ -152,7 +152,7 @@
 	// unsettled names those that cannot be settled.
 	settling absences
 	// words are what borrowers told of these lenders.
-	words     settlement.Words
+	words     settlement.AnswerCache
 	unsettled nameSet
 	// late are the peers whose answers came too late, since the last probes.
 	late nameSet
@@ -185,20 +185,20 @@
 		log:     p.Log,
 	}
 	b.holder = grant.NewHolder(p.Life, b.layout, grant.HorizonPolicy{
-		Horizon: time.Duration(s.Horizon), Worsts: heldWorsts, Share: heldShare, Slack: heldSlack,
-		MostLost: s.MostLost, Wary: b.wary, Refill: refillStep, Recovering: b.recovering, Role: b.role, StandIn: standInHorizon, Asking: b.asking.has,
+		Horizon: time.Duration(s.Horizon), LargestRequests: heldWorsts, Share: heldShare, Slack: heldSlack,
+		MaxLoss: s.MostLost, StoreDegraded: b.wary, Refill: refillStep, Recovering: b.recovering, Role: b.role, StandbyHorizon: standInHorizon, UsingStore: b.asking.has,
 	})
-	b.holder.AverageDemand(time.Duration(s.DemandWindow))
-	b.holder.Lean(b.isDead)
+	b.holder.SetDemandWindow(time.Duration(s.DemandWindow))
+	b.holder.UseMinimalRows(b.isDead)
 	b.pages = &grant.StoreGranter{
 		Holder: b.holder, Store: p.Store, Layout: b.layout, Timeout: b.timeout,
 		CallTimeout: callTimeout, SyncTimeout: syncTimeout, Now: time.Now, Prepare: b.prepare,
-		KeepPages: keepPages, Fresh: freshPages, Moved: b.moved, UsedUp: b.usedUp, Ended: b.callEnded,
+		PageCacheTTL: keepPages, MaxFreshAge: freshPages, OnTransfer: b.moved, OnExhausted: b.usedUp, OnSyncEnd: b.callEnded,
 		Timing: grant.Timing{Rebalance: time.Duration(s.Report), Report: time.Duration(s.Report),
-			Fold: foldAfter, Empty: emptyFor, LowPause: lowPause},
+			RemoveIdleAfter: foldAfter, ExhaustedBackoff: emptyFor, LowBackoff: lowPause},
 	}
 	if p.LendsOnly {
-		b.register = &settlement.Register{Store: p.Store, Key: lendsPrefix + p.Life}
+		b.register = &settlement.BorrowerRegistry{Store: p.Store, Key: lendsPrefix + p.Life}
 		b.exposure = b.newExposure()
 	}
 	b.desk = &lending.Desk{
@@ -228,7 +228,7 @@
 
 // Reserve implements serving.Budgets.
 func (b *Budgets) Reserve(ctx context.Context, r *serving.Request) (func(int64), *contract.Refusal) {
-	worst := r.Worst()
+	worst := r.MaxTokens()
 	if worst == 0 || r.Prepaid == 0 {
 		return func(int64) {}, nil
 	}
--- a/prepaid/budgets_test.go
+++ b/prepaid/budgets_test.go
@@ -59,9 +59,9 @@
 	members := &member.Group{Store: s, Prefix: "m/", TTL: time.Hour, Interval: time.Second, Report: quiet{},
 		Self: member.Member{ID: "home/1", Role: RoleLender, VM: "home", Address: "home:1"}}
 	ctx, cancel := context.WithCancel(t.Context())
-	go members.Keep(ctx)
+	go members.KeepAlive(ctx)
 	time.Sleep(2 * time.Second)
-	members.Find(ctx)
+	members.FindPeers(ctx)
 	cancel()
 	synctest.Wait()
 	return New(Parts{Life: "router/1", Settings: settings.DefaultGateway().Budgets, Store: s, Members: members,
@@ -124,7 +124,7 @@
 func TestNobodyAsksOnForTokensThatAreSetAside(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		asked := 0
-		held := lenderFunc(func() error { asked++; return grant.Error.Wrap(grant.ErrHeld) })
+		held := lenderFunc(func() error { asked++; return grant.Error.Wrap(grant.ErrAllReserved) })
 		b := borrower(t, &network{})
 		peers := &grant.PeerGranter{Holder: b.holder, Lender: held, Timeout: time.Second, Now: time.Now,
 			Peers: func(string) []string { return []string{"home/1", "next/1"} }}
--- a/prepaid/exposure.go
+++ b/prepaid/exposure.go
@@ -32,8 +32,8 @@
 
 // newExposure is a lender's side of its limits of exposure.
 func (b *Budgets) newExposure() *settlement.Exposure {
-	return &settlement.Exposure{Holder: b.holder, Register: b.register, Tell: b.tellWitness,
-		Timeout: exposeTimeout, Ahead: exposeAhead, Now: time.Now}
+	return &settlement.Exposure{Holder: b.holder, Register: b.register, Notify: b.tellWitness,
+		Timeout: exposeTimeout, Lookahead: exposeAhead, Now: time.Now}
 }
 
 // startExposure starts the duties of witnesses, and those of lenders.
@@ -47,7 +47,7 @@
 
 func (b *Budgets) keepExposure(ctx context.Context) {
 	if len(b.exposure.Witnesses()) > 0 {
-		_ = b.exposure.Keep(ctx) // witnesses that do not answer are logged by tellWitness
+		_ = b.exposure.RaiseLimits(ctx) // witnesses that do not answer are logged by tellWitness
 	}
 }
 
@@ -63,24 +63,24 @@
 }
 
 // askWitness asks a witness, which may be this process, for a dead lender's limits.
-func (b *Budgets) askWitness(ctx context.Context, witness, lender string, term int64) (settlement.Testimony, error) {
+func (b *Budgets) askWitness(ctx context.Context, witness, lender string, term int64) (settlement.WitnessAnswer, error) {
 	if witness == b.holder.ID() {
-		return b.witness.Testify(lender, term), nil
+		return b.witness.Limits(lender, term), nil
 	}
 	return b.desk.AskLimits(ctx, witness, link.LimitsRequest{Witness: witness, Lender: lender, Term: term})
 }
 
 // noteLimits takes another lender's limits.
 func (b *Budgets) noteLimits(_ context.Context, in settlement.Notice) (link.Empty, error) {
-	return link.Empty{}, b.witness.Note(time.Now(), in)
+	return link.Empty{}, b.witness.Apply(time.Now(), in)
 }
 
 // testify answers only for this life: what an earlier one was told is not known.
-func (b *Budgets) testify(_ context.Context, in link.LimitsRequest) (settlement.Testimony, error) {
+func (b *Budgets) testify(_ context.Context, in link.LimitsRequest) (settlement.WitnessAnswer, error) {
 	if in.Witness != b.holder.ID() {
-		return settlement.Testimony{}, nil
+		return settlement.WitnessAnswer{}, nil
 	}
-	return b.witness.Testify(in.Lender, in.Term), nil
+	return b.witness.Limits(in.Lender, in.Term), nil
 }
 
 // forgetLimits drops the limits of lenders that are long gone.
@@ -97,7 +97,7 @@
 // appointWitnesses names witnesses once something is lent, and others in the place of those that
 // are gone.
 func (b *Budgets) appointWitnesses(ctx context.Context) {
-	if !b.register.Used() || b.store.lasts() {
+	if !b.register.HasBorrowers() || b.store.lasts() {
 		return
 	}
 	now := b.exposure.Witnesses()
--- a/prepaid/pages.go
+++ b/prepaid/pages.go
@@ -19,7 +19,7 @@
 
 // wary reports whether the store was slow or silent lately, or is so now.
 func (b *Budgets) wary() bool {
-	return b.pages.Lagging(slowSync) || b.slow.within(storeName, waryFor) || b.store.endedWithin(waryFor)
+	return b.pages.SyncOverdue(slowSync) || b.slow.within(storeName, waryFor) || b.store.endedWithin(waryFor)
 }
 
 // prepare brings the accounts of a page up to the operators' limits.
@@ -45,14 +45,14 @@
 func (b *Budgets) Obtain(ctx context.Context, budget string, lack int64) (err error) {
 	began := time.Now()
 	defer func() { grant.NoteAsked(ctx, storeName, time.Since(began), err) }()
-	if b.store.lasts() || b.pages.Lagging(b.timeout) {
+	if b.store.lasts() || b.pages.SyncOverdue(b.timeout) {
 		return grant.Error.Wrap(grant.ErrUnreachable)
 	}
 	defer b.asking.begin(budget)()
 	err = b.pages.Obtain(ctx, budget, lack)
-	if errors.Is(err, grant.ErrShort) {
+	if errors.Is(err, grant.ErrInsufficientTokens) {
 		// This was the last place where there could be some.
-		return grant.Error.Wrap(grant.ErrHeld)
+		return grant.Error.Wrap(grant.ErrAllReserved)
 	}
 	return err
 }
@@ -67,9 +67,9 @@
 
 // moved logs tokens that this process took or gave back.
 func (b *Budgets) moved(d grant.Decision, v grant.View) {
-	b.log.Info().Str("budget", v.Budget).Bool("home", b.role(v.Budget) == grant.HomeOf).Int64("took", d.Take).Int64("gave", d.Give).
+	b.log.Info().Str("budget", v.Budget).Bool("home", b.role(v.Budget) == grant.RolePrimary).Int64("took", d.Take).Int64("gave", d.Give).
 		Int64("free", v.Free).Int64("unspent", v.Unspent).Int64("available", v.Available).Int64("reserved", v.Reserved).
-		Int64("waiting", v.Waiting).Int64("largest", v.Worst).Int64("demand_per_s", int64(v.Demand)).Msg("tokens_moved")
+		Int64("waiting", v.Waiting).Int64("largest", v.LargestRecent).Int64("demand_per_s", int64(v.Demand)).Msg("tokens_moved")
 }
 
 // usedUpPause is the pause between two lines about one budget that is used up: each request of its
@@ -84,8 +84,8 @@
 		return
 	}
 	b.saidUsedUp.note(v.Budget)
-	b.log.Info().Str("budget", v.Budget).Int64("unspent", v.Unspent).Int64("lost_with_dead", v.Dead).Int64("credit", v.Credit).
-		Int64("wanted", v.Smallest).Bool("would_have_sufficed", v.Unspent+v.Dead >= v.Smallest).Msg("budget_used_up")
+	b.log.Info().Str("budget", v.Budget).Int64("unspent", v.Unspent).Int64("lost_with_dead", v.HeldByDead).Int64("credit", v.Credit).
+		Int64("wanted", v.SmallestWaiting).Bool("would_have_sufficed", v.Unspent+v.HeldByDead >= v.SmallestWaiting).Msg("budget_used_up")
 }
 
 // noteOutage keeps whether the store or a peer answers, and logs when that changes.
@@ -115,7 +115,7 @@
 func (b *Budgets) probe(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	_, err := b.pages.Store.Peek(ctx, PagePrefix+"none")
+	_, err := b.pages.Store.StaleSnapshot(ctx, PagePrefix+"none")
 	b.noteOutage(&b.store, "store", "", err, store.ErrUnknown)
 }
 
--- a/prepaid/peers.go
+++ b/prepaid/peers.go
@@ -36,14 +36,14 @@
 func (b *Budgets) pageRole(page string) grant.Role {
 	ranked := b.ranked(page)
 	switch {
-	case b.members.Aside():
-		return grant.BorrowerOf
+	case b.members.Withdrawn():
+		return grant.RoleBorrower
 	case len(ranked) > 0 && ranked[0].VM == b.members.Self.VM:
-		return grant.HomeOf
+		return grant.RolePrimary
 	case b.asked.within(page, standInFor):
-		return grant.StandInFor
+		return grant.RoleStandby
 	}
-	return grant.BorrowerOf
+	return grant.RoleBorrower
 }
 
 // ranked lists who should be the home of a page, best first.
@@ -61,10 +61,10 @@
 	m[link.MethodTestify] = link.Handle(b.testify)
 	lend := m[link.MethodLend]
 	m[link.MethodLend] = func(ctx context.Context, params json.RawMessage) (any, error) {
-		if b.members.Aside() {
+		if b.members.Withdrawn() {
 			// Whoever asks has an older list. What is lent now would have to come
 			// back before this process ends; the next one in the order lends.
-			return nil, grant.Error.Wrap(grant.ErrShort)
+			return nil, grant.Error.Wrap(grant.ErrInsufficientTokens)
 		}
 		var in link.LendRequest
 		if json.Unmarshal(params, &in) == nil { // if not, lend says what is wrong
--- a/prepaid/settle.go
+++ b/prepaid/settle.go
@@ -93,7 +93,7 @@
 // admitNew names routers that have just been listed, ahead of need: one that asks for the
 // first time while the store is away could not be lent anything.
 func (b *Budgets) admitNew(context.Context) {
-	if b.register == nil || !b.register.Used() || b.store.lasts() {
+	if b.register == nil || !b.register.HasBorrowers() || b.store.lasts() {
 		return
 	}
 	for _, m := range b.members.Members() {
@@ -106,7 +106,7 @@
 
 // newSettler is this process's side of settling others.
 func (b *Budgets) newSettler() *settlement.Settler {
-	return &settlement.Settler{Store: b.pages.Store, Prefix: lendsPrefix, Words: &b.words, Over: b.isDead, Ask: b.desk.AskBorrowed,
+	return &settlement.Settler{Store: b.pages.Store, Prefix: lendsPrefix, Answers: &b.words, Ended: b.isDead, AskBorrower: b.desk.AskBorrowed,
 		AskWitness: b.askWitness}
 }
 
@@ -115,7 +115,7 @@
 	if b.store.lasts() {
 		return // members cannot be told from missing ones now
 	}
-	others := b.holder.Others()
+	others := b.holder.OtherHolders()
 	b.unsettled.keep(others)
 	for _, life := range others {
 		if b.isDead(life) && !b.unsettled.has(life) {
@@ -128,14 +128,14 @@
 	patient := b.settling.since(time.Now(), life, true) < settlePatience
 	whole := true
 	for _, page := range b.holder.Pages() {
-		if b.pageRole(page) == grant.HomeOf {
+		if b.pageRole(page) == grant.RolePrimary {
 			whole = b.settlePage(ctx, life, page, patient) && whole
 		}
 	}
 	if !whole {
 		return
 	}
-	b.holder.Recovered(life)
+	b.holder.ForgetRecovered(life)
 	b.words.Forget(life)
 	b.settling.since(time.Now(), life, false)
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
@@ -151,9 +151,9 @@
 	defer cancel()
 	done, err := b.newSettler().Settle(ctx, life, page, patient)
 	switch {
-	case errors.Is(err, settlement.ErrNotYet):
+	case errors.Is(err, settlement.ErrUsagePending):
 		return false
-	case errors.Is(err, settlement.ErrUnsettled):
+	case errors.Is(err, settlement.ErrUsageUnknown):
 		b.unsettled.add(life)
 		b.words.Forget(life)
 		b.log.Warn().Err(err).Str("lender", life).Msg("lender_not_settled")
@@ -162,7 +162,7 @@
 		b.log.Warn().Err(err).Str("lender", life).Str("page", page).Msg("settlement_failed")
 		return false
 	}
-	b.pages.Changed(page)
+	b.pages.InvalidatePage(page)
 	for budget, freed := range done.Freed {
 		b.log.Info().Str("lender", life).Str("budget", budget).Int64("used", done.Used[budget]).Int64("freed", freed).
 			Bool("patient", patient).Strs("missing", done.Missing).Msg("lender_settled")
--- a/ratelimit/known.go
+++ b/ratelimit/known.go
@@ -15,27 +15,27 @@
 	Number int64 `json:"number,omitempty"`
 }
 
-// Known is a limit in requests a second, 0 for none, and the state in which it is known.
-type Known struct {
+// State is a limit in requests a second, 0 for none, and the state in which it is known.
+type State struct {
 	PerSecond float64 `json:"per_second,omitempty"`
 	Mark      Mark    `json:"mark,omitzero"`
 }
 
-// Word is what one answer said of the limit.
-type Word struct {
+// NamedLimit is what one answer said of the limit.
+type NamedLimit struct {
 	PerSecond float64 `json:"per_second,omitempty"`
-	// Under is what was known when the answer's request was let go.
-	Under Mark `json:"under,omitzero"`
+	// KnownMark is what was known when the answer's request was let go.
+	KnownMark Mark `json:"under,omitzero"`
 }
 
 // hear takes in a word, and reports whether it changed the limit. Answers overtake each other: one
 // whose request was let go before the limit that is known now may have been given before that
 // was named. It can only make the limit stricter.
-func (k *Known) hear(w Word) bool {
+func (k *State) hear(w NamedLimit) bool {
 	switch {
 	case w.PerSecond == k.PerSecond:
 		return false
-	case w.Under != k.Mark && !stricter(w.PerSecond, k.PerSecond):
+	case w.KnownMark != k.Mark && !stricter(w.PerSecond, k.PerSecond):
 		return false
 	}
 	k.PerSecond = w.PerSecond
--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -16,7 +16,7 @@
 // Limiter counts the requests to one upstream and lets through what its limit allows. While no limit
 // is known it lets all through. It is not safe for concurrent use. The zero value is a router's own.
 type Limiter struct {
-	known Known
+	known State
 	// level is how many requests may go at once, as of at.
 	level float64
 	at    time.Time
@@ -27,12 +27,12 @@
 }
 
 // NewLimiter makes the limiter of the process that counts for an upstream, which knows of no limit.
-func NewLimiter() Limiter { return Limiter{known: Known{Mark: Mark{Source: newSource()}}} }
+func NewLimiter() Limiter { return Limiter{known: State{Mark: Mark{Source: newSource()}}} }
 
-// Known is what is known; the zero value as long as no limit ever was.
-func (l *Limiter) Known() Known {
+// State is what is known; the zero value as long as no limit ever was.
+func (l *Limiter) State() State {
 	if l.known.Mark.Number == 0 {
-		return Known{}
+		return State{}
 	}
 	return l.known
 }
@@ -40,8 +40,8 @@
 // Limited reports whether a limit is known.
 func (l *Limiter) Limited() bool { return l.known.PerSecond > 0 }
 
-// Hear takes in what an answer said, and reports whether that changed the limit.
-func (l *Limiter) Hear(now time.Time, w Word) bool {
+// Observe takes in what an answer said, and reports whether that changed the limit.
+func (l *Limiter) Observe(now time.Time, w NamedLimit) bool {
 	was := l.known.PerSecond
 	if !l.known.hear(w) {
 		return false
@@ -50,9 +50,9 @@
 	return true
 }
 
-// HearOwn is Hear at a router, whose marks must not be taken for those of the process that counts.
-func (l *Limiter) HearOwn(now time.Time, w Word) bool {
-	if !l.Hear(now, w) {
+// ObserveLocal is Hear at a router, whose marks must not be taken for those of the process that counts.
+func (l *Limiter) ObserveLocal(now time.Time, w NamedLimit) bool {
+	if !l.Observe(now, w) {
 		return false
 	}
 	l.own++
@@ -60,17 +60,17 @@
 	return true
 }
 
-// Believed takes in what a router believes. It tells a process that has just started of a limit;
+// ObserveReported takes in what a router believes. It tells a process that has just started of a limit;
 // what this process told itself is no news.
-func (l *Limiter) Believed(now time.Time, by Known) bool {
+func (l *Limiter) ObserveReported(now time.Time, by State) bool {
 	if by.PerSecond == 0 || by.Mark.Source == l.known.Mark.Source {
 		return false
 	}
-	return l.Hear(now, Word{PerSecond: by.PerSecond})
+	return l.Observe(now, NamedLimit{PerSecond: by.PerSecond})
 }
 
 // Adopt takes what the process that counts knows, and reports whether that changed the limit.
-func (l *Limiter) Adopt(now time.Time, k Known) bool {
+func (l *Limiter) Adopt(now time.Time, k State) bool {
 	if k.Mark.Source == l.known.Mark.Source && k.Mark.Number < l.known.Mark.Number {
 		return false // told late
 	}
@@ -102,8 +102,8 @@
 // most is how many requests may go at once at a rate.
 func most(rate float64) float64 { return 1 + rate*burstSeconds }
 
-// Room reports whether a request of a rank may go now.
-func (l *Limiter) Room(now time.Time, share float64, rank int) bool {
+// HasCapacity reports whether a request of a rank may go now.
+func (l *Limiter) HasCapacity(now time.Time, share float64, rank int) bool {
 	if !l.Limited() {
 		return true
 	}
@@ -128,7 +128,7 @@
 
 // Take lets a request of a rank through and counts it, or turns it away.
 func (l *Limiter) Take(now time.Time, share float64, rank int) bool {
-	if !l.Room(now, share, rank) {
+	if !l.HasCapacity(now, share, rank) {
 		l.turnedAway[index(rank)] = now
 		return false
 	}
@@ -145,8 +145,8 @@
 	}
 }
 
-// Next is in how long there may be room for one more request of a rank; 0 if it can't be told.
-func (l *Limiter) Next(now time.Time, share float64, rank int) time.Duration {
+// RetryAfter is in how long there may be room for one more request of a rank; 0 if it can't be told.
+func (l *Limiter) RetryAfter(now time.Time, share float64, rank int) time.Duration {
 	rate := l.fill(now, share)
 	if rate <= 0 {
 		return 0
--- a/ratelimit/limiter_test.go
+++ b/ratelimit/limiter_test.go
@@ -35,7 +35,7 @@
 // limited is a limiter that has just heard of a limit.
 func limited(perSecond float64) *Limiter {
 	g := NewLimiter()
-	g.Hear(start, Word{PerSecond: perSecond, Under: g.Known().Mark})
+	g.Observe(start, NamedLimit{PerSecond: perSecond, KnownMark: g.State().Mark})
 	return &g
 }
 
@@ -64,7 +64,7 @@
 					continue
 				}
 				next := limits.Draw(t, "another limit")
-				g.Hear(now, Word{PerSecond: next, Under: g.Known().Mark})
+				g.Observe(now, NamedLimit{PerSecond: next, KnownMark: g.State().Mark})
 				most = max(most, next)
 			default:
 				if g.Take(now, 1, rapid.IntRange(0, 3).Draw(t, "rank")) {
@@ -95,11 +95,11 @@
 func TestFreshLimitAllowsNothingAtOnce(t *testing.T) {
 	g := limited(2)
 	require.False(t, g.Take(start, 1, 0))
-	require.Equal(t, 500*time.Millisecond, g.Next(start, 1, 0))
+	require.Equal(t, 500*time.Millisecond, g.RetryAfter(start, 1, 0))
 	require.True(t, g.Take(at(0.5), 1, 0))
 	require.False(t, g.Take(at(0.6), 1, 0))
-	require.Zero(t, g.Next(at(0.6), 0, 0), "without a share nobody can tell")
-	require.Equal(t, mostNext, limited(1e-9).Next(start, 1, 0))
+	require.Zero(t, g.RetryAfter(at(0.6), 0, 0), "without a share nobody can tell")
+	require.Equal(t, mostNext, limited(1e-9).RetryAfter(start, 1, 0))
 }
 
 // Guards against urgent requests that wait while others use what comes free.
@@ -107,8 +107,8 @@
 	g := limited(1)
 	require.False(t, g.Take(at(0.5), 1, 1), "turned away")
 	require.False(t, g.Take(at(1), 1, 2), "yields to it")
-	require.Equal(t, 1500*time.Millisecond, g.Next(at(1), 1, 2))
-	require.Equal(t, time.Millisecond, g.Next(at(1), 1, 1))
+	require.Equal(t, 1500*time.Millisecond, g.RetryAfter(at(1), 1, 2))
+	require.Equal(t, time.Millisecond, g.RetryAfter(at(1), 1, 1))
 	require.True(t, g.Take(at(1.1), 1, 1), "it came back")
 	require.False(t, g.Take(at(2.2), 1, 2))
 	require.True(t, g.Take(at(2.6), 1, 2), "no more urgent one came back")
@@ -117,15 +117,15 @@
 // Guards against an answer that was given before the limit was named and lifts it since it arrives after that.
 func TestOldAnswersLiftNoLimit(t *testing.T) {
 	g := NewLimiter()
-	before := g.Known().Mark
-	require.True(t, g.Hear(start, Word{PerSecond: 3, Under: before}))
-	require.False(t, g.Hear(start, Word{Under: before}), "let go before, answered before")
-	require.False(t, g.Hear(start, Word{PerSecond: 9, Under: before}))
-	require.True(t, g.Hear(start, Word{PerSecond: 1, Under: before}), "stricter, so it is taken")
-	now := g.Known().Mark
-	require.False(t, g.Hear(start, Word{PerSecond: 1, Under: now}))
-	require.True(t, g.Hear(start, Word{PerSecond: 2, Under: now}))
-	require.True(t, g.Hear(start, Word{Under: g.Known().Mark}), "let go after it was named, and names none")
+	before := g.State().Mark
+	require.True(t, g.Observe(start, NamedLimit{PerSecond: 3, KnownMark: before}))
+	require.False(t, g.Observe(start, NamedLimit{KnownMark: before}), "let go before, answered before")
+	require.False(t, g.Observe(start, NamedLimit{PerSecond: 9, KnownMark: before}))
+	require.True(t, g.Observe(start, NamedLimit{PerSecond: 1, KnownMark: before}), "stricter, so it is taken")
+	now := g.State().Mark
+	require.False(t, g.Observe(start, NamedLimit{PerSecond: 1, KnownMark: now}))
+	require.True(t, g.Observe(start, NamedLimit{PerSecond: 2, KnownMark: now}))
+	require.True(t, g.Observe(start, NamedLimit{KnownMark: g.State().Mark}), "let go after it was named, and names none")
 	require.True(t, g.Take(start, 1, 9))
 }
 
@@ -133,13 +133,13 @@
 func TestProcessThatStartsIsToldOfTheLimit(t *testing.T) {
 	old, anew := limited(1), NewLimiter()
 	var router Limiter
-	require.True(t, router.Adopt(start, old.Known()))
-	require.True(t, anew.Believed(start, router.Known()))
+	require.True(t, router.Adopt(start, old.State()))
+	require.True(t, anew.ObserveReported(start, router.State()))
 	require.False(t, anew.Take(start, 1, 0))
-	router.Adopt(start, anew.Known())
-	require.True(t, anew.Hear(start, Word{Under: anew.Known().Mark}))
-	require.False(t, anew.Believed(start, router.Known()), "its own word, told before the limit ended")
-	require.True(t, router.Adopt(start, anew.Known()))
+	router.Adopt(start, anew.State())
+	require.True(t, anew.Observe(start, NamedLimit{KnownMark: anew.State().Mark}))
+	require.False(t, anew.ObserveReported(start, router.State()), "its own word, told before the limit ended")
+	require.True(t, router.Adopt(start, anew.State()))
 	require.False(t, router.Limited())
 }
 
@@ -147,15 +147,15 @@
 func TestOwnMarksOfRouters(t *testing.T) {
 	counts := limited(1)
 	var router Limiter
-	router.Adopt(start, counts.Known())
-	early := counts.Known()
-	require.True(t, router.HearOwn(start, Word{PerSecond: 2, Under: router.Known().Mark}))
-	require.Zero(t, router.Known().Mark.Source)
-	require.False(t, counts.Hear(start, Word{Under: router.Known().Mark}), "the process that counts does not know the mark")
-	counts.Hear(start, Word{PerSecond: 3, Under: counts.Known().Mark})
-	require.True(t, router.Adopt(start, counts.Known()))
+	router.Adopt(start, counts.State())
+	early := counts.State()
+	require.True(t, router.ObserveLocal(start, NamedLimit{PerSecond: 2, KnownMark: router.State().Mark}))
+	require.Zero(t, router.State().Mark.Source)
+	require.False(t, counts.Observe(start, NamedLimit{KnownMark: router.State().Mark}), "the process that counts does not know the mark")
+	counts.Observe(start, NamedLimit{PerSecond: 3, KnownMark: counts.State().Mark})
+	require.True(t, router.Adopt(start, counts.State()))
 	require.False(t, router.Adopt(start, early), "told late")
-	require.Equal(t, 3.0, router.Known().PerSecond)
+	require.Equal(t, 3.0, router.State().PerSecond)
 }
 
 // Guards against routers whose shares, with what they may send at once, pass the bound, however many
--- a/ratelimit/share.go
+++ b/ratelimit/share.go
@@ -10,9 +10,9 @@
 	// shareAfter is how long a router is listed before it has a share: an earlier life of it may
 	// just have used it.
 	shareAfter = 4 * time.Second
-	// UnreachedShare is the part of a limit that routers share which know of the process that counts
+	// UnreachableShare is the part of a limit that routers share which know of the process that counts
 	// and can't reach it, since it may give leave to others for all of the limit.
-	UnreachedShare = 0.3
+	UnreachableShare = 0.3
 )
 
 // Share is the part of an upstream's limit that is a router's, where nobody counts for all. place is
--- a/router/budgets.go
+++ b/router/budgets.go
@@ -137,7 +137,7 @@
 
 // syncDue syncs the pages that want it.
 func (r *Router) syncDue(ctx context.Context) {
-	r.holder.Expect(r.directHolders())
+	r.holder.SetExpectedHolders(r.directHolders())
 	for _, key := range r.holder.Due(time.Now()) {
 		r.syncPage(ctx, key)
 	}
@@ -164,9 +164,9 @@
 // placeTokens looks at each page, so that this router holds its share of the
 // budgets that others use before a partition needs it.
 func (r *Router) placeTokens(ctx context.Context) {
-	r.holder.Expect(r.directHolders())
+	r.holder.SetExpectedHolders(r.directHolders())
 	for page := range r.layout.Pages {
-		key := r.layout.KeyOf(page)
+		key := r.layout.PageKey(page)
 		if !r.holdsPage(key) {
 			continue
 		}
--- a/router/dispatch.go
+++ b/router/dispatch.go
@@ -45,14 +45,14 @@
 // dispatch sends the request to an upstream and its answer to the caller.
 func (r *Router) dispatch(w http.ResponseWriter, req *http.Request, j *job) {
 	a := &agents{Router: r, job: j, req: req, byID: map[string]vm.VM{}}
-	path := serving.Path{Upstreams: a, Budgets: a, Repeats: a, Now: time.Now}
+	path := serving.Dispatcher{Upstreams: a, Budgets: a, RetryBudget: a, Now: time.Now}
 	out := serving.NewHTTPCaller(w, time.Duration(r.base.Settings.Limits.WriteTimeout), true)
 	end := path.Serve(req.Context(), &serving.Request{
 		ID: j.key, Team: j.team.Name, Route: agentRoute, Service: catalog.Service{Name: j.service.Name},
-		Arrived: j.arrived, Until: j.arrived.Add(time.Duration(j.service.Timeout)),
+		Arrived: j.arrived, Deadline: j.arrived.Add(time.Duration(j.service.Timeout)),
 	}, out)
 	switch {
-	case end.Cut:
+	case end.Truncated:
 		// Guard against a cut answer that looks whole: ending the handler normally
 		// would end the body as if that were all. Aborting breaks the connection,
 		// so that the caller's client reports the cut.
@@ -81,7 +81,7 @@
 		a.metrics.retries.Inc()
 	}
 	a.byID[chosen.ID] = chosen
-	return serving.Target{Life: directory.Life{ID: chosen.ID}, Address: chosen.Work, Event: func(time.Time) {},
+	return serving.Target{Life: directory.Incarnation{ID: chosen.ID}, Address: chosen.Work, Event: func(time.Time) {},
 		Done: func(at serving.Attempt) serving.Attempt {
 			done(answered(at.Result))
 			return at
@@ -90,7 +90,7 @@
 
 // answered reports whether a result shows the upstream in working order.
 func answered(r serving.Result) bool {
-	return r == serving.Whole || r == serving.Declined || r == serving.Refused
+	return r == serving.Complete || r == serving.Declined || r == serving.Refused
 }
 
 // Limited implements serving.Upstreams. Agents name no limits.
@@ -117,7 +117,7 @@
 	resp, err := a.work.Do(req.WithContext(sent.Trace(ctx)))
 	switch {
 	case err != nil && !sent.Connected():
-		return serving.Attempt{Result: serving.Unreached, Why: err.Error()}
+		return serving.Attempt{Result: serving.Unreached, Detail: err.Error()}
 	case err != nil:
 		return lost(ctx, err, serving.Unknown)
 	}
@@ -140,7 +140,7 @@
 	case ctx.Err() != nil:
 		result = serving.CallerGone
 	}
-	return serving.Attempt{Result: result, Why: err.Error()}
+	return serving.Attempt{Result: result, Detail: err.Error()}
 }
 
 // refusedBy is a request that an agent refused, on the agent's own word.
@@ -151,10 +151,10 @@
 	case k == contract.Fenced && fenced == a.holder.ID():
 		a.holder.Fence()
 	case k == contract.Fenced:
-		a.holder.ShutOut(fenced)
+		a.holder.ExcludeHolder(fenced)
 	}
 	a.outcome = contract.Outcome{}
-	at := serving.Attempt{Result: serving.Refused, Why: string(k), Refusal: contract.Refuse(k, "refused by %s", a.last.ID)}
+	at := serving.Attempt{Result: serving.Refused, Detail: string(k), Refusal: contract.Refuse(k, "refused by %s", a.last.ID)}
 	switch {
 	case k == contract.UpstreamFailed:
 		at.Result, a.served = serving.Failed, true
@@ -221,7 +221,7 @@
 	h.Set(idempotencyHeader, a.job.key)
 	h.Set(contract.RequestIDHeader, a.job.key)
 	if err := out.Begin(resp.StatusCode, h); err != nil {
-		return serving.Attempt{Result: serving.CallerGone, Why: err.Error()}
+		return serving.Attempt{Result: serving.CallerGone, Detail: err.Error()}
 	}
 	err := copyPieces(out, resp.Body)
 	o, ok := contract.OutcomeOf(resp.Trailer)
@@ -230,9 +230,9 @@
 	}
 	a.outcome, a.served = o, true
 	if !o.Whole {
-		return serving.Attempt{Result: serving.Refused, Why: string(o.Kind)}
+		return serving.Attempt{Result: serving.Refused, Detail: string(o.Kind)}
 	}
-	return serving.Attempt{Result: serving.Whole}
+	return serving.Attempt{Result: serving.Complete}
 }
 
 // copyPieces passes the body on piece by piece.
@@ -241,7 +241,7 @@
 	for {
 		n, err := body.Read(buf)
 		if n > 0 {
-			if werr := out.Piece(buf[:n]); werr != nil {
+			if werr := out.WriteChunk(buf[:n]); werr != nil {
 				return werr
 			}
 			if ferr := out.Flush(); ferr != nil {
--- a/router/ledger.go
+++ b/router/ledger.go
@@ -14,7 +14,7 @@
 // so for those that the others take it to own.
 type shards struct {
 	list   []*ledger.Shard
-	groups []*ledger.Group
+	groups []*ledger.Batcher
 }
 
 // makeLedger makes the shards and the outbox.
@@ -25,7 +25,7 @@
 	for n := range s.Shards {
 		shard := ledger.OpenShard(r.base.Store, layout, n, r.base.Incarnation, s.Window)
 		r.shards.list = append(r.shards.list, shard)
-		r.shards.groups = append(r.shards.groups, ledger.NewGroup(shard, time.Duration(s.Flush)))
+		r.shards.groups = append(r.shards.groups, ledger.NewBatcher(shard, time.Duration(s.Flush)))
 	}
 	sender := &billing.Sender{Self: r.base.Settings.VM, Local: r.shards.append, Links: r.base.Links,
 		View: r.base.View, Timeout: sendTimeout}
--- a/router/methods.go
+++ b/router/methods.go
@@ -33,7 +33,7 @@
 		r.holder.Fence()
 		return recovery.PeerEvidence{}, nil
 	}
-	r.holder.ShutOut(in.Holder)
+	r.holder.ExcludeHolder(in.Holder)
 	return recovery.PeerEvidence{Lots: r.holder.LentTo(in.Holder)}, nil
 }
 
@@ -48,7 +48,7 @@
 		}
 		return out, nil
 	}
-	book := account.Book{Store: r.base.Store, Layout: r.layout}
+	book := account.AdminClient{Store: r.base.Store, Layout: r.layout}
 	for _, b := range in.Budgets {
 		a, err := book.Get(ctx, b)
 		if err != nil {
--- a/router/recover.go
+++ b/router/recover.go
@@ -57,7 +57,7 @@
 // rendezvous, is to look after. Two routers that both think so do the same work
 // twice, with the same result.
 func (r *Router) recoverDead(ctx context.Context) {
-	others := r.holder.Others()
+	others := r.holder.OtherHolders()
 	newest := newestLives(others)
 	for _, holder := range others {
 		why := r.deadBecause(holder, newest)
@@ -125,7 +125,7 @@
 			return
 		}
 	}
-	rec := &recovery.Recoverer{Store: r.base.Store, Layout: r.layout, Lives: r.base.Lives,
+	rec := &recovery.Recoverer{Store: r.base.Store, Layout: r.layout, Incarnations: r.base.Lives,
 		Fences: r.base.Fences, Fleet: recoveryFleet{r, holder}}
 	forfeit := age > time.Duration(r.base.Settings.Budgets.ForfeitAfter)
 	res, err := rec.Recover(ctx, holder, forfeit)
@@ -137,7 +137,7 @@
 		r.log.Warn().Str("holder", holder).Err(err).Msg("recovery_waits")
 		return
 	}
-	r.holder.Recovered(holder)
+	r.holder.ForgetRecovered(holder)
 	r.watch.clear(holder)
 	r.metrics.recovered.Add(int(res.Returned))
 	r.metrics.forfeited.Add(int(res.Forfeited))
--- a/router/router.go
+++ b/router/router.go
@@ -152,7 +152,7 @@
 func (r *Router) prime(ctx context.Context) error {
 	pause := backoff.New(50*time.Millisecond, 2*time.Second)
 	for {
-		err := r.outbox.Prime(ctx)
+		err := r.outbox.LoadFloors(ctx)
 		if err == nil {
 			return nil
 		}
@@ -287,7 +287,7 @@
 	if !clean || r.outbox.Waiting() > 0 || r.lost.size() > 0 {
 		return false
 	}
-	return r.base.Lives.EndClean(ctx, r.base.Incarnation) == nil
+	return r.base.Lives.MarkClean(ctx, r.base.Incarnation) == nil
 }
 
 // State is a router as dumps show it.
--- a/serving/attempt.go
+++ b/serving/attempt.go
@@ -13,8 +13,8 @@
 
 // The results.
 const (
-	// Whole says that the caller has the whole answer.
-	Whole Result = iota
+	// Complete says that the caller has the whole answer.
+	Complete Result = iota
 	// Unreached says that nothing was sent: no connection was made.
 	Unreached
 	// Declined says that the upstream refused and proved that it did not run.
@@ -49,20 +49,20 @@
 
 // final reports whether no other upstream may be tried after the result.
 func (r Result) final() bool {
-	return r == Whole || r == CallerGone || r == OutOfTime || r == Refused
+	return r == Complete || r == CallerGone || r == OutOfTime || r == Refused
 }
 
 // Attempt is one send and what came of it.
 type Attempt struct {
-	Upstream directory.Life
+	Upstream directory.Incarnation
 	Result   Result
-	// Why says more, for the log.
-	Why string
+	// Detail says more, for the log.
+	Detail string
 	// Cost and Unread are what the choice of the upstream expected.
 	Cost   time.Duration
-	Unread int64
+	PendingPrefill int64
 	// Pause is the longest one between two events.
-	Pause Pause
+	Pause Gap
 	// Answer is the upstream's failure, for Failed; it is passed on unless the
 	// request is sent again.
 	Answer *Answer
@@ -89,20 +89,20 @@
 	Running time.Duration
 }
 
-// Pause is one between two events of a stream.
-type Pause struct {
-	For time.Duration
-	// Beside is what else this router had at the upstream when the pause ended, for the
+// Gap is one between two events of a stream.
+type Gap struct {
+	Duration time.Duration
+	// ConcurrentLoad is what else this router had at the upstream when the pause ended, for the
 	// log: an engine that reads a long prompt pauses the streams that run beside.
-	Beside Load
+	ConcurrentLoad Load
 }
 
 // Load is what a router has at an upstream.
 type Load struct {
 	// Running is requests that have not ended.
 	Running int
-	// Unread is the prompt tokens of those whose first event has not come.
-	Unread int64
+	// PendingPrefill is the prompt tokens of those whose first event has not come.
+	PendingPrefill int64
 }
 
 // Answer is a complete answer that is not yet passed on.
@@ -112,25 +112,25 @@
 	Body   []byte
 }
 
-// Pass gives the whole answer to a caller who has had nothing of one yet.
-func (a *Answer) Pass(out Caller) error {
+// SendTo gives the whole answer to a caller who has had nothing of one yet.
+func (a *Answer) SendTo(out Caller) error {
 	if err := out.Begin(a.Status, a.Header); err != nil {
 		return err
 	}
-	if err := out.Piece(a.Body); err != nil {
+	if err := out.WriteChunk(a.Body); err != nil {
 		return err
 	}
 	return out.Flush()
 }
 
-// End is how a request ended.
-type End struct {
+// Outcome is how a request ended.
+type Outcome struct {
 	Attempts []Attempt
 	// Refusal is set when the caller gets none of an upstream's answers.
 	Refusal *contract.Refusal
-	// Cut says that the caller has a part of an answer that never ends; its
+	// Truncated says that the caller has a part of an answer that never ends; its
 	// connection must be broken, or the part would look whole.
-	Cut bool
+	Truncated bool
 	// Used is what the team is charged, in tokens.
 	Used int64
 }
--- a/serving/decide.go
+++ b/serving/decide.go
@@ -27,7 +27,7 @@
 // not run may always be sent again.
 func decide(r *Request, attempts []Attempt, now time.Time) verdict {
 	last := attempts[len(attempts)-1]
-	if last.Result.final() || !now.Before(r.Until) {
+	if last.Result.final() || !now.Before(r.Deadline) {
 		return verdict{}
 	}
 	var sends, runs, unreached int
@@ -57,7 +57,7 @@
 		ran = ran || !a.Result.NotRun()
 		declined = declined || a.Result == Declined
 	}
-	late := !now.Before(r.Until)
+	late := !now.Before(r.Deadline)
 	if n := len(attempts); n > 0 && attempts[n-1].Refusal != nil && (!ran || attempts[n-1].Result == Failed) {
 		return attempts[n-1].Refusal
 	}
@@ -88,5 +88,5 @@
 	if began {
 		n += r.Prompt
 	}
-	return min(n, r.Worst())
+	return min(n, r.MaxTokens())
 }
--- a/serving/decide_test.go
+++ b/serving/decide_test.go
@@ -19,7 +19,7 @@
 )
 
 func requestOn(r *catalog.Route) *Request {
-	return &Request{ID: "r", Route: r, Until: start.Add(time.Second), Prompt: 100, MaxOutput: 10}
+	return &Request{ID: "r", Route: r, Deadline: start.Add(time.Second), Prompt: 100, MaxOutput: 10}
 }
 
 func attempts(results ...Result) []Attempt {
@@ -38,7 +38,7 @@
 		again   bool
 		counted bool
 	}{
-		{"whole is the end", safe, []Result{Whole}, false, false},
+		{"whole is the end", safe, []Result{Complete}, false, false},
 		{"unsafe is not repeated after it may have run", unsafe, []Result{Unknown}, false, false},
 		{"unsafe is not repeated after a failure", unsafe, []Result{Failed}, false, false},
 		{"unsafe goes on after a proof that it did not run", unsafe, []Result{Declined}, true, true},
@@ -85,7 +85,7 @@
 			if ran > 0 {
 				require.False(t, refused.Kind.Answer().NotRun, "%v: %s", results[:i+1], refused.Kind)
 			}
-			require.LessOrEqual(t, used(r, at), r.Worst())
+			require.LessOrEqual(t, used(r, at), r.MaxTokens())
 			if ran == 0 {
 				require.Zero(t, used(r, at))
 			}
--- a/serving/httpcaller.go
+++ b/serving/httpcaller.go
@@ -45,9 +45,9 @@
 	return nil
 }
 
-// Piece implements Caller. A caller that takes nothing within the write timeout
+// WriteChunk implements Caller. A caller that takes nothing within the write timeout
 // is cut off, so that slow ones hold bounded memory.
-func (c *HTTPCaller) Piece(b []byte) error {
+func (c *HTTPCaller) WriteChunk(b []byte) error {
 	if err := c.rc.SetWriteDeadline(time.Now().Add(c.writeTimeout)); err != nil {
 		return err
 	}
@@ -58,8 +58,8 @@
 // Flush implements Caller.
 func (c *HTTPCaller) Flush() error { return c.rc.Flush() }
 
-// FirstAfter is the time from a moment to the first piece, or 0 if there was none.
-func (c *HTTPCaller) FirstAfter(start time.Time) time.Duration {
+// TimeToFirstChunk is the time from a moment to the first piece, or 0 if there was none.
+func (c *HTTPCaller) TimeToFirstChunk(start time.Time) time.Duration {
 	if !c.began {
 		return 0
 	}
--- a/serving/path.go
+++ b/serving/path.go
@@ -25,15 +25,15 @@
 // Target is the upstream that was chosen.
 type Target struct {
 	// Life is the upstream and its start.
-	Life directory.Life
+	Life directory.Incarnation
 	// Address is host:port.
 	Address string
 	// FetchFrom is the address of an upstream that probably has more of the
 	// prompt cached, or "".
 	FetchFrom string
-	// Until bounds this attempt; it is before the request's own bound when
+	// Deadline bounds this attempt; it is before the request's own bound when
 	// another upstream may still be tried after it.
-	Until time.Time
+	Deadline time.Time
 	// Event is called as each event of the answer arrives, or once with all of it.
 	Event func(now time.Time)
 	// Limit is called as soon as an answer of the upstream has begun, with how many requests a second
@@ -48,8 +48,8 @@
 type Caller interface {
 	// Begin sends status and headers; it is called once, with the first piece.
 	Begin(status int, header map[string][]string) error
-	// Piece sends bytes; they need not be on their way before Flush.
-	Piece(b []byte) error
+	// WriteChunk sends bytes; they need not be on their way before Flush.
+	WriteChunk(b []byte) error
 	Flush() error
 	// Began reports whether Begin was called.
 	Began() bool
@@ -66,8 +66,8 @@
 	Reserve(ctx context.Context, r *Request) (settle func(used int64), refusal *contract.Refusal)
 }
 
-// Repeats bounds the sends beyond the first of each request.
-type Repeats interface {
+// RetryBudget bounds the sends beyond the first of each request.
+type RetryBudget interface {
 	// Request counts a request of a service.
 	Request(service string)
 	// Allow reports whether one more send of the request is within the bound, and
@@ -75,49 +75,49 @@
 	Allow(r *Request) bool
 }
 
-// Poison keeps prompts that end upstreams from being sent again.
-type Poison interface {
+// PromptGuard keeps prompts that end upstreams from being sent again.
+type PromptGuard interface {
 	// Refuse is asked before each send; nil lets the request be sent.
 	Refuse(ctx context.Context, r *Request) *contract.Refusal
 	// Proven is the final refusal of a prompt that is known to end upstreams, nil of others.
 	Proven(r *Request) *contract.Refusal
-	// Broke is told when the connection to an upstream broke under the last of a request's
+	// ConnectionBroken is told when the connection to an upstream broke under the last of a request's
 	// attempts. Unless it was the first one under its prompt, Broke returns when Refuse knows.
-	Broke(ctx context.Context, r *Request, attempts []Attempt)
-	// Answered is told that a request was answered.
-	Answered(r *Request)
-	// Sending is told of each send. The context that it returns ends with ErrRecalled as its cause if
+	ConnectionBroken(ctx context.Context, r *Request, attempts []Attempt)
+	// RecordAnswer is told that a request was answered.
+	RecordAnswer(r *Request)
+	// TrackSend is told of each send. The context that it returns ends with ErrRecalled as its cause if
 	// the request's prompt is found to end upstreams, unless began was called before, with the first
 	// piece of the answer. done is called when the send has ended.
-	Sending(ctx context.Context, r *Request) (sending context.Context, began, done func())
+	TrackSend(ctx context.Context, r *Request) (sending context.Context, began, done func())
 }
 
 // ErrRecalled is why a send ended: its prompt was found to end upstreams.
 var ErrRecalled = errors.New("the prompt was found to end upstreams")
 
-// Path is the path of requests.
-type Path struct {
+// Dispatcher is the path of requests.
+type Dispatcher struct {
 	Upstreams Upstreams
 	Budgets   Budgets
-	Repeats   Repeats
+	RetryBudget   RetryBudget
 	// Poison may be nil.
-	Poison Poison
+	Poison PromptGuard
 	// Now is the clock.
 	Now func() time.Time
 }
 
 // Serve takes a request to its end. The caller of Serve sends the refusal, if there is
 // one, or breaks the connection of an answer that was cut.
-func (p *Path) Serve(ctx context.Context, r *Request, out Caller) End {
-	ctx, cancel := context.WithDeadline(ctx, r.Until)
+func (p *Dispatcher) Serve(ctx context.Context, r *Request, out Caller) Outcome {
+	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
-	p.Repeats.Request(r.Service.Name)
+	p.RetryBudget.Request(r.Service.Name)
 	if refused := p.poisoned(ctx, r); refused != nil {
-		return End{Refusal: refused}
+		return Outcome{Refusal: refused}
 	}
 	settle, refused := p.Budgets.Reserve(ctx, r)
 	if refused != nil {
-		return End{Refusal: refused}
+		return Outcome{Refusal: refused}
 	}
 	end := p.run(ctx, r, out)
 	end.Used = used(r, end.Attempts)
@@ -126,7 +126,7 @@
 }
 
 // run sends the request until it has its answer or nothing more is allowed.
-func (p *Path) run(ctx context.Context, r *Request, out Caller) End {
+func (p *Dispatcher) run(ctx context.Context, r *Request, out Caller) Outcome {
 	var attempts []Attempt
 	for {
 		target, ok := p.Upstreams.Pick(r, attempts)
@@ -136,18 +136,18 @@
 		attempts = append(attempts, target.Done(p.send(ctx, r, target, out)))
 		p.learn(ctx, r, attempts)
 		v := decide(r, attempts, p.Now())
-		if !v.again || p.poisoned(ctx, r) != nil || v.counted && !p.Repeats.Allow(r) {
+		if !v.again || p.poisoned(ctx, r) != nil || v.counted && !p.RetryBudget.Allow(r) {
 			return p.end(r, attempts, out)
 		}
 	}
 }
 
 // send sends the request once, so that it can be recalled until its answer begins.
-func (p *Path) send(ctx context.Context, r *Request, t Target, out Caller) Attempt {
+func (p *Dispatcher) send(ctx context.Context, r *Request, t Target, out Caller) Attempt {
 	if p.Poison == nil || out.Began() {
 		return p.Upstreams.Send(ctx, r, t, out)
 	}
-	ctx, began, done := p.Poison.Sending(ctx, r)
+	ctx, began, done := p.Poison.TrackSend(ctx, r)
 	defer done()
 	event := t.Event
 	t.Event = func(now time.Time) {
@@ -158,7 +158,7 @@
 }
 
 // poisoned is the refusal of a prompt that must not be sent now.
-func (p *Path) poisoned(ctx context.Context, r *Request) *contract.Refusal {
+func (p *Dispatcher) poisoned(ctx context.Context, r *Request) *contract.Refusal {
 	if p.Poison == nil {
 		return nil
 	}
@@ -166,19 +166,19 @@
 }
 
 // learn tells what the last attempt says of the request's prompt.
-func (p *Path) learn(ctx context.Context, r *Request, attempts []Attempt) {
+func (p *Dispatcher) learn(ctx context.Context, r *Request, attempts []Attempt) {
 	last := attempts[len(attempts)-1]
 	switch {
 	case p.Poison == nil:
 	case last.Break != nil:
-		p.Poison.Broke(ctx, r, attempts)
-	case last.Result == Whole:
-		p.Poison.Answered(r)
+		p.Poison.ConnectionBroken(ctx, r, attempts)
+	case last.Result == Complete:
+		p.Poison.RecordAnswer(r)
 	}
 }
 
 // refusal names how a request without an answer ended.
-func (p *Path) refusal(r *Request, attempts []Attempt) *contract.Refusal {
+func (p *Dispatcher) refusal(r *Request, attempts []Attempt) *contract.Refusal {
 	hit := slices.ContainsFunc(attempts, func(a Attempt) bool { return a.Break != nil || a.Recalled })
 	if hit && p.Poison != nil {
 		if proven := p.Poison.Proven(r); proven != nil {
@@ -195,20 +195,20 @@
 }
 
 // end passes on the best of what there is.
-func (p *Path) end(r *Request, attempts []Attempt, out Caller) End {
-	e := End{Attempts: attempts}
+func (p *Dispatcher) end(r *Request, attempts []Attempt, out Caller) Outcome {
+	e := Outcome{Attempts: attempts}
 	if n := len(attempts); n > 0 {
 		last := attempts[n-1]
-		if last.Result == Whole || last.Result == CallerGone && !out.Began() {
+		if last.Result == Complete || last.Result == CallerGone && !out.Began() {
 			return e
 		}
 	}
 	if out.Began() {
-		e.Cut = true
+		e.Truncated = true
 		return e
 	}
 	if a := failure(attempts); a != nil {
-		e.Cut = a.Pass(out) != nil
+		e.Truncated = a.SendTo(out) != nil
 		return e
 	}
 	e.Refusal = p.refusal(r, attempts)
--- a/serving/request.go
+++ b/serving/request.go
@@ -37,8 +37,8 @@
 
 	// Arrived is when the request's headers were read.
 	Arrived time.Time
-	// Until is when the caller or the route stops waiting, whichever is first.
-	Until time.Time
+	// Deadline is when the caller or the route stops waiting, whichever is first.
+	Deadline time.Time
 
 	// Prompt and MaxOutput are tokens; both are 0 for plain services.
 	Prompt    int64
@@ -48,9 +48,9 @@
 	LastEvent string
 }
 
-// Worst is the most tokens that the request can use. A run that broke off may have
+// MaxTokens is the most tokens that the request can use. A run that broke off may have
 // produced output that is not known here, so each further run counts its own.
-func (r *Request) Worst() int64 {
+func (r *Request) MaxTokens() int64 {
 	if r.Prompt+r.MaxOutput == 0 {
 		return 0
 	}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -162,7 +162,7 @@
 		}
 	}
 	s := &platform.Store{Address: tf.storeAddress, Client: http.DefaultClient, Timeout: callerDeadline}
-	accounts := account.Book{Store: s, Layout: account.Layout{Prefix: prepaid.PagePrefix, Pages: settings.DefaultGateway().Budgets.Pages}}
+	accounts := account.AdminClient{Store: s, Layout: account.Layout{Prefix: prepaid.PagePrefix, Pages: settings.DefaultGateway().Budgets.Pages}}
 	for team, prepaidTokens := range map[string]int64{"pilots": pilotsPrepaid, "skippers": skippersPrepaid} {
 		require.LessOrEqual(tf.t, received[team], prepaidTokens, "%s received more tokens than it prepaid", team)
 		a, err := accounts.Get(context.Background(), team)
--- a/warmup/warmup.go
+++ b/warmup/warmup.go
@@ -16,18 +16,18 @@
 	"github.com/arbutusmill/arbutusmill/coord/rendezvous"
 )
 
-// Bound is what cold upstreams bear beyond the rate that their service names, the same for all
+// Tolerance is what cold upstreams bear beyond the rate that their service names, the same for all
 // services.
-type Bound struct {
+type Tolerance struct {
 	// Overshoot multiplies the rate.
 	Overshoot float64
 	// Slack is the requests in a second that are added to that.
 	Slack float64
 }
 
-// Most is how many requests in any second a cold upstream bears whose service names that rate; 0
+// MaxRequests is how many requests in any second a cold upstream bears whose service names that rate; 0
 // is no bound, for services that name none.
-func (b Bound) Most(perSecond float64) int {
+func (b Tolerance) MaxRequests(perSecond float64) int {
 	if perSecond <= 0 {
 		return 0
 	}
@@ -46,15 +46,15 @@
 // Take counts a request if fewer than most were counted in the last second, and reports whether
 // it did.
 func (w *Window) Take(now time.Time, most int) bool {
-	if !w.Room(now, most) {
+	if !w.HasCapacity(now, most) {
 		return false
 	}
 	w.Count(now)
 	return true
 }
 
-// Room reports whether fewer than most requests were counted in the last second.
-func (w *Window) Room(now time.Time, most int) bool {
+// HasCapacity reports whether fewer than most requests were counted in the last second.
+func (w *Window) HasCapacity(now time.Time, most int) bool {
 	w.Trim(now)
 	return len(w.times) < most
 }
@@ -90,8 +90,8 @@
 // may arrive in one.
 const leaveShare = 0.6
 
-// ByLeave is how many requests in any second get leave, of most that an upstream bears.
-func ByLeave(most int) int { return max(1, int(leaveShare*float64(most))) }
+// PermitLimit is how many requests in any second get leave, of most that an upstream bears.
+func PermitLimit(most int) int { return max(1, int(leaveShare*float64(most))) }
 
 // sharers is how many routers share the bound of one cold upstream. With one, its death leaves
 // the upstream without work; with more, routers that know different members and so find others
@@ -106,7 +106,7 @@
 	if listedFor < span {
 		return 0
 	}
-	rest := max(1, most-ByLeave(most))
+	rest := max(1, most-PermitLimit(most))
 	ranked := rendezvous.Rank(upstream, routers)
 	ranked = ranked[:min(len(ranked), sharers, rest)]
 	if !slices.Contains(ranked, router) {
--- a/warmup/warmup_test.go
+++ b/warmup/warmup_test.go
@@ -10,11 +10,11 @@
 )
 
 func TestMost(t *testing.T) {
-	b := Bound{Overshoot: 1.5, Slack: 5}
-	require.Equal(t, 14, b.Most(6.6))
-	require.Zero(t, b.Most(0), "the service names no rate")
-	require.Zero(t, b.Most(-1))
-	require.Equal(t, 1, Bound{Overshoot: 1}.Most(0.2))
+	b := Tolerance{Overshoot: 1.5, Slack: 5}
+	require.Equal(t, 14, b.MaxRequests(6.6))
+	require.Zero(t, b.MaxRequests(0), "the service names no rate")
+	require.Zero(t, b.MaxRequests(-1))
+	require.Equal(t, 1, Tolerance{Overshoot: 1}.MaxRequests(0.2))
 }
 
 // Requests come at any moments. No second, wherever it begins, has more than the bound, and one
@@ -53,7 +53,7 @@
 	require.True(t, w.Take(now, 1))
 	w.Return()
 	w.Return() // one too many does no harm
-	require.True(t, w.Room(now, 1))
+	require.True(t, w.HasCapacity(now, 1))
 }
 
 // All routers find the same few for an upstream, and together these do not pass the bound.
@@ -67,7 +67,7 @@
 		for _, r := range routers {
 			together += Share(r, time.Minute, routers, upstream, 14)
 		}
-		require.LessOrEqual(t, together+ByLeave(14), 14, "with all that others have leave for")
+		require.LessOrEqual(t, together+PermitLimit(14), 14, "with all that others have leave for")
 		require.Positive(t, together)
 	}
 	require.Equal(t, 1, Share("a", time.Minute, []string{"a", "b"}, "i", 1)+Share("b", time.Minute, []string{"a", "b"}, "i", 1))
@@ -81,7 +81,7 @@
 func TestRestartsGiveNoShareAgain(t *testing.T) {
 	const most = 14
 	routers := []string{"a", "b", "c"}
-	inOneSecond := ByLeave(most)
+	inOneSecond := PermitLimit(most)
 	for _, r := range routers {
 		inOneSecond += Share(r, time.Minute, routers, "i", most)
 		inOneSecond += Share(r, 900*time.Millisecond, routers, "i", most)
