--- a/coord/internal/lab/lab.go
+++ b/coord/internal/lab/lab.go
@@ -86,7 +86,9 @@
 }
 
 // Book returns an operator's client of the accounts.
-func (f *Fleet) Book() account.AdminClient { return account.AdminClient{Store: f.Store, Layout: f.Layout} }
+func (f *Fleet) Book() account.AdminClient {
+	return account.AdminClient{Store: f.Store, Layout: f.Layout}
+}
 
 // Quiesce waits for outstanding store calls, so that no call of one step continues in the
 // next. No request may begin in the meantime.
@@ -353,8 +355,8 @@
 	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
 	r := &recovery.Recoverer{Store: f.storeFrom(dc), Layout: f.Layout,
-		Incarnations:  incarnation.Registry{Store: f.storeFrom(dc), Prefix: f.Lives.Prefix},
-		Fences: recovery.Fences{Store: f.storeFrom(dc), Key: f.Fences.Key}, Fleet: recoveryView{f, dc, holder}}
+		Incarnations: incarnation.Registry{Store: f.storeFrom(dc), Prefix: f.Lives.Prefix},
+		Fences:       recovery.Fences{Store: f.storeFrom(dc), Key: f.Fences.Key}, Fleet: recoveryView{f, dc, holder}}
 	return r.Recover(ctx, holder, forfeit)
 }
 
