--- a/prepaid/budgets.go
+++ b/prepaid/budgets.go
@@ -1,5 +1,5 @@
-// Package prepaid keeps the tokens of prepaid budgets in one process on the operators'
-// platform: taken from the store, lent to other processes, borrowed from them.
+// Package prepaid manages the tokens of prepaid budgets that one process on the operators'
+// platform holds: it takes them from the store, lends them to and borrows them from others.
 package prepaid
 
 import (
@@ -24,156 +24,157 @@
 // PagePrefix begins the keys of the budget pages in the store.
 const PagePrefix = "arbutusmill/budget/"
 
-// storeName is the store in records of what failed.
+// storeName names the store in traces and in records of slow calls.
 const storeName = "store"
 
-// How tokens are held; see grant.HorizonPolicy.
+// Parameters of how tokens are held; see grant.HorizonPolicy.
 const (
-	// heldWorsts is how many of the largest recent requests a home keeps room for.
-	heldWorsts = 1
-	// heldShare is the most of a full budget that a home holds; the figures of the
-	// sweep are in docs/MEASUREMENTS.md.
-	heldShare = 0.9
-	// slowSync is the time from which a sync was slow: the store answers in
-	// milliseconds. waryFor is for how long a home then holds as much as for an outage.
-	slowSync = 100 * time.Millisecond
-	waryFor  = 10 * time.Second
+	// largestRequests is for how many of the largest recent requests a primary holds tokens.
+	largestRequests = 1
+	// maxHeldShare is the largest share of a full budget that a primary holds; see
+	// docs/MEASUREMENTS.md for the sweep over it.
+	maxHeldShare = 0.9
+	// slowSync is the duration from which a sync counts as slow: the store answers in
+	// milliseconds. degradedFor is for how long a primary then holds as much as for an outage.
+	slowSync    = 100 * time.Millisecond
+	degradedFor = 10 * time.Second
 	// callTimeout and syncTimeout bound one call of the store and all of one sync: a
-	// store that is slow by a factor of 100 still answers, and after an answer that was
-	// lost there is time to read the page again.
+	// store that is slow by a factor of 100 still answers, and after a lost response
+	// there is time to read the page again.
 	callTimeout = 700 * time.Millisecond
 	syncTimeout = 2 * time.Second
 	// refillStep is the demand that one take adds in the time recoveryTime after an
 	// outage of the store; takes come at most each lowPause.
 	refillStep   = 500 * time.Millisecond
 	recoveryTime = 8 * time.Second
-	// heldSlack spares writes for small deviations.
+	// heldSlack is the tolerated deviation from the target, which saves writes.
 	heldSlack = 0.25
-	// syncPause is the pause between two looks for pages that are due.
-	syncPause = 100 * time.Millisecond
-	// lowPause is the shortest time between two looks at a page that runs low.
-	lowPause = 300 * time.Millisecond
-	// foldAfter is the time without use after which a row is given up.
-	foldAfter = 5 * time.Minute
-	// emptyFor is the time for which an exhausted budget is not asked for again.
-	emptyFor = 300 * time.Millisecond
-	// probeTimeout bounds a probe. It is longer than what a request waits, for links
-	// that are full are slow for seconds.
+	// syncInterval is the pause between two checks for pages that are due.
+	syncInterval = 100 * time.Millisecond
+	// lowBackoff is the shortest time between two checks of a page that runs low.
+	lowBackoff = 300 * time.Millisecond
+	// removeIdleAfter is the time without use after which a row is removed.
+	removeIdleAfter = 5 * time.Minute
+	// exhaustedBackoff is the time for which an exhausted budget is not requested again.
+	exhaustedBackoff = 300 * time.Millisecond
+	// probeTimeout bounds a probe. It is longer than what a request waits, since
+	// saturated links stay slow for seconds.
 	probeTimeout = 1500 * time.Millisecond
-	// probePause is the pause between two tries of a store or peer that failed.
-	// Requests do not wait for it meanwhile.
-	probePause = 500 * time.Millisecond
-	// keepPages is how long a home plans on a page without reading it again.
-	keepPages = 10 * time.Second
-	// freshPages is how old a page may be to say that tokens lack. What others give
-	// back is then seen that much later.
-	freshPages = 500 * time.Millisecond
-	// askedHomes is how many processes a request asks for tokens: the home and the
-	// one that would be it next, for a home that is gone but still listed.
-	askedHomes = 4
-	// lotPause is the pause between two rounds of returning lots, lotIdle the
-	// time after which an unused lot goes back. Both keep short what is missing
-	// at the home.
-	lotPause = 250 * time.Millisecond
-	lotIdle  = time.Second
-	// auditPause is the pause between two rounds of questions about lent lots.
-	auditPause = 3 * time.Second
-	// standInFor is how long a process that was asked for tokens of a page acts as
-	// its home.
-	standInFor = 3 * time.Second
-	// standInHorizon is how long its tokens should last then.
-	standInHorizon = 2 * time.Second
-	// goneFor is the time after which the lots of a router that is not listed
-	// count as used. It is longer than a lease and what living routers need to
-	// register again after an outage of the store.
-	goneFor = 45 * time.Second
+	// probeInterval is the pause between two probes of a store or peer that failed.
+	// Requests do not wait for that store or peer meanwhile.
+	probeInterval = 500 * time.Millisecond
+	// pageCacheTTL is for how long a primary uses a cached page without reading it again.
+	pageCacheTTL = 10 * time.Second
+	// maxFreshAge is the largest age of a page that may prove a shortfall. Tokens that
+	// others return are seen that much later.
+	maxFreshAge = 500 * time.Millisecond
+	// maxQueriedLenders is how many processes a request asks for tokens: the primary and
+	// those that rank next, in case the primary is gone but still listed.
+	maxQueriedLenders = 4
+	// lotReturnInterval is the pause between two rounds of returning lots, lotIdleTime
+	// the time after which an unused lot is returned. Both limit for how long tokens
+	// are missing at the primary.
+	lotReturnInterval = 250 * time.Millisecond
+	lotIdleTime       = time.Second
+	// auditInterval is the pause between two rounds of queries about lent lots.
+	auditInterval = 3 * time.Second
+	// standbyDuration is for how long a process that was asked for tokens of a page acts
+	// as its standby lender.
+	standbyDuration = 3 * time.Second
+	// standbyHorizon is for how long a standby's tokens should last.
+	standbyHorizon = 2 * time.Second
+	// absenceTimeout is the time after which the lots of a router that is not listed
+	// count as used. It is longer than a lease and the time that running routers need
+	// to register again after an outage of the store.
+	absenceTimeout = 45 * time.Second
 )
 
-// Limits are the operators' limits on budgets, as far as a process knows them.
+// Limits are the operators' limits on budgets, as far as a process has them.
 type Limits interface {
 	// Each calls f with each budget that has a limit, its tokens, and the version of
-	// the configuration that says so.
+	// the configuration that sets it.
 	Each(f func(budget string, version, tokens int64))
-	// Of returns the limit of one budget; version is 0 if it is not known.
+	// Of returns the limit of one budget; version is 0 if it is unknown.
 	Of(budget string) (version, tokens int64)
-	// Note takes a limit that came with another process's request for tokens.
+	// Note records a limit that came with another process's request for tokens.
 	Note(budget string, version, tokens int64)
 }
 
 // Roles of members.
 const (
-	// RoleRouter is that of processes which serve callers.
+	// RoleRouter is the role of processes that serve callers.
 	RoleRouter = "router"
-	// RoleLender is that of processes which are there to be homes of budgets.
+	// RoleLender is the role of processes dedicated to lending, which are preferred as
+	// primary lenders of budgets.
 	RoleLender = "lender"
 )
 
 // Budgets implements serving.Budgets over the accounts in the store.
 //
-// Each page of accounts has a home: the process that ranks first for it among the
-// lenders, or among the routers where there are no lenders. The home takes grants from
-// the store and reports use; all others borrow from it for each request. So a budget's
-// tokens lie in one place whatever the number of routers, a page has one writer, and
-// while the store is cut off routers still reach the home.
+// Each page of accounts has a primary lender: the process that ranks first for it among
+// the lenders, or among the routers where there are no lenders. The primary takes grants
+// from the store and reports use; all others borrow from it for each request. So one
+// process holds a budget's tokens whatever the number of routers, a page has one writer,
+// and while the store is unreachable routers still reach the primary.
 type Budgets struct {
 	holder   *grant.Holder
 	pages    *grant.StoreGranter
 	acquirer *grant.Acquirer
-	desk     *lending.Desk
+	endpoint *lending.Desk
 	members  *member.Group
 	layout   account.Layout
 	limits   Limits
-	// timeout bounds one call of the store, wait all that a request waits.
+	// timeout bounds one call of the store, wait all calls that one request waits for.
 	timeout, wait time.Duration
 	log           zerolog.Logger
-	store         outage
-	// saidUsedUp is when a budget was last said to be used up.
-	saidUsedUp lastAsked
-	// slow is when the store was slow.
-	slow  lastAsked
-	peers outages
-	gone  absences
-	asked lastAsked
-	// asking counts the requests that turned to the store, by budget.
-	asking counts
-	// register lists the borrowers of a process that only lends; nil for others.
-	register *settlement.BorrowerRegistry
-	// exposure limits what such a process lends; witness keeps the limits of others.
+	storeOutage   outage
+	// exhaustedLogged records when a budget was last logged as exhausted.
+	exhaustedLogged recentTimes
+	// slowSyncs records when the store was slow.
+	slowSyncs    recentTimes
+	peerOutages  outageSet
+	absent       conditionTimers
+	lendRequests recentTimes
+	// storeRequests counts the requests that are calling the store, by budget.
+	storeRequests inFlight
+	// registry lists the borrowers of a process that only lends; nil for others.
+	registry *settlement.BorrowerRegistry
+	// exposure limits what such a process lends; witness stores the limits of others.
 	exposure *settlement.Exposure
 	witness  settlement.Witness
-	// silentWitnesses are the own witnesses that do not answer, and appointAgain says that the
-	// store may have other names than those in force. Only appointWitnesses uses both.
-	silentWitnesses absences
-	appointAgain    bool
-	admitting       singleflight.Group // by borrower
-	// notAdmitted is when the store took too long to name a borrower.
-	notAdmitted lastAsked
-	// settling is since when dead lenders have been waiting for their settlement, and
-	// unsettled names those that cannot be settled.
-	settling absences
-	// answers are what borrowers told of these lenders.
+	// unreachableWitnesses tracks the own witnesses that do not answer. reappoint is set while the
+	// store may have other names than the active ones. Only appointWitnesses uses both.
+	unreachableWitnesses conditionTimers
+	reappoint            bool
+	admissions           singleflight.Group // by borrower
+	// admissionTimeouts records when the store took too long to register a borrower.
+	admissionTimeouts recentTimes
+	// settling tracks for how long dead lenders have been waiting for their settlement,
+	// and unsettled names those that cannot be settled.
+	settling conditionTimers
+	// answers caches what borrowers reported about these lenders.
 	answers   settlement.AnswerCache
 	unsettled nameSet
-	// late are the peers whose answers came too late, since the last probes.
-	late nameSet
+	// latePeers are the peers whose replies came too late since the last probes.
+	latePeers nameSet
 }
 
-// Parts is what budgets are put together from.
+// Parts are the dependencies and settings of Budgets.
 type Parts struct {
-	// Life names this life of the process.
+	// Life names this incarnation of the process.
 	Life     string
 	Settings settings.HostedBudgets
 	Store    store.Store
 	Members  *member.Group
 	Links    lending.Caller
 	Limits   Limits
-	// LendsOnly says that the process spends nothing itself, so that its borrowers can
-	// settle it when it dies.
+	// LendsOnly is set if the process spends no tokens itself, so that it can be settled
+	// from its borrowers' reports when it dies.
 	LendsOnly bool
 	Log       zerolog.Logger
 }
 
-// New makes the budgets of a process; it makes no call.
+// New returns the budgets of a process; it makes no calls to other processes.
 func New(p Parts) *Budgets {
 	s := p.Settings
 	b := &Budgets{
@@ -185,69 +186,69 @@
 		log:     p.Log,
 	}
 	b.holder = grant.NewHolder(p.Life, b.layout, grant.HorizonPolicy{
-		Horizon: time.Duration(s.Horizon), LargestRequests: heldWorsts, Share: heldShare, Slack: heldSlack,
-		MaxLoss: s.MostLost, StoreDegraded: b.wary, Refill: refillStep, Recovering: b.recovering, Role: b.role, StandbyHorizon: standInHorizon, UsingStore: b.asking.has,
+		Horizon: time.Duration(s.Horizon), LargestRequests: largestRequests, Share: maxHeldShare, Slack: heldSlack,
+		MaxLoss: s.MostLost, StoreDegraded: b.storeDegraded, Refill: refillStep, Recovering: b.recovering, Role: b.role, StandbyHorizon: standbyHorizon, UsingStore: b.storeRequests.has,
 	})
 	b.holder.SetDemandWindow(time.Duration(s.DemandWindow))
 	b.holder.UseMinimalRows(b.isDead)
 	b.pages = &grant.StoreGranter{
 		Holder: b.holder, Store: p.Store, Layout: b.layout, Timeout: b.timeout,
 		CallTimeout: callTimeout, SyncTimeout: syncTimeout, Now: time.Now, Prepare: b.prepare,
-		PageCacheTTL: keepPages, MaxFreshAge: freshPages, OnTransfer: b.moved, OnExhausted: b.usedUp, OnSyncEnd: b.callEnded,
+		PageCacheTTL: pageCacheTTL, MaxFreshAge: maxFreshAge, OnTransfer: b.logTransfer, OnExhausted: b.logExhausted, OnSyncEnd: b.syncEnded,
 		Timing: grant.Timing{Rebalance: time.Duration(s.Report), Report: time.Duration(s.Report),
-			RemoveIdleAfter: foldAfter, ExhaustedBackoff: emptyFor, LowBackoff: lowPause},
+			RemoveIdleAfter: removeIdleAfter, ExhaustedBackoff: exhaustedBackoff, LowBackoff: lowBackoff},
 	}
 	if p.LendsOnly {
-		b.register = &settlement.BorrowerRegistry{Store: p.Store, Key: lendsPrefix + p.Life}
+		b.registry = &settlement.BorrowerRegistry{Store: p.Store, Key: lendsPrefix + p.Life}
 		b.exposure = b.newExposure()
 	}
-	b.desk = &lending.Desk{
+	b.endpoint = &lending.Desk{
 		Holder: b.holder, Links: p.Links, Address: b.addressOf, Timeout: time.Duration(s.PeerWait), Now: time.Now,
 		Limit: p.Limits.Of,
 		Fill:  &grant.Acquirer{Holder: b.holder, Now: time.Now, Chain: []grant.Granter{b}, Exposer: b.exposure},
 	}
-	peers := &grant.PeerGranter{Holder: b.holder, Lender: b, Peers: b.homes, Timeout: time.Duration(s.PeerWait), Now: time.Now}
+	peers := &grant.PeerGranter{Holder: b.holder, Lender: b, Peers: b.lendersFor, Timeout: time.Duration(s.PeerWait), Now: time.Now}
 	b.acquirer = &grant.Acquirer{Holder: b.holder, Now: time.Now, Chain: []grant.Granter{peers, b}}
 	return b
 }
 
-// Start starts a goroutine for each duty.
+// Start starts a goroutine for each periodic task.
 func (b *Budgets) Start(d *process.Duties) {
-	d.Every(syncPause, b.step)
-	d.Every(lotPause, b.returnLots)
-	d.Every(auditPause, b.desk.AuditLots)
-	d.Every(auditPause, b.settleGone)
-	d.Every(probePause, b.probePeers)
-	d.Every(settlePause, b.settleDead)
-	d.Every(settlePause, b.admitNew)
+	d.Every(syncInterval, b.syncOrProbe)
+	d.Every(lotReturnInterval, b.returnLots)
+	d.Every(auditInterval, b.endpoint.AuditLots)
+	d.Every(auditInterval, b.settleAbsentBorrowers)
+	d.Every(probeInterval, b.probePeers)
+	d.Every(settleInterval, b.settleDeadLenders)
+	d.Every(settleInterval, b.admitNewRouters)
 	b.startExposure(d.Every)
 }
 
-// State is what the process holds, for dumps.
+// State returns the tokens that the process holds, for dumps.
 func (b *Budgets) State() any { return b.holder.State(time.Now()) }
 
 // Reserve implements serving.Budgets.
 func (b *Budgets) Reserve(ctx context.Context, r *serving.Request) (func(int64), *contract.Refusal) {
-	worst := r.MaxTokens()
-	if worst == 0 || r.Prepaid == 0 {
+	maxTokens := r.MaxTokens()
+	if maxTokens == 0 || r.Prepaid == 0 {
 		return func(int64) {}, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, b.wait)
 	defer cancel()
 	trace := &grant.Trace{}
-	res, err := b.acquirer.Acquire(grant.WithTrace(ctx, trace), r.Team, worst)
+	res, err := b.acquirer.Acquire(grant.WithTrace(ctx, trace), r.Team, maxTokens)
 	if err != nil {
-		refusal := budgetRefusal(r.Team, worst, err)
+		refusal := budgetRefusal(r.Team, maxTokens, err)
 		refusal.Detail = trace.String()
 		return nil, refusal
 	}
 	return func(used int64) { b.holder.Settle(time.Now(), res, used) }, nil
 }
 
-func budgetRefusal(team string, worst int64, err error) *contract.Refusal {
+func budgetRefusal(team string, maxTokens int64, err error) *contract.Refusal {
 	switch {
 	case errors.Is(err, grant.ErrExhausted):
-		return contract.Refuse(contract.BudgetExhausted, "the budget of %s does not cover %d tokens", team, worst)
+		return contract.Refuse(contract.BudgetExhausted, "the budget of %s does not cover %d tokens", team, maxTokens)
 	case errors.Is(err, grant.ErrFenced):
 		return contract.Refuse(contract.Fenced, "this router was replaced")
 	}
--- a/prepaid/budgets_test.go
+++ b/prepaid/budgets_test.go
@@ -17,14 +17,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// network is the way to peers: each answer takes some time, or never comes.
-type network struct {
+// delayedCaller answers each call to a peer after a delay, which may exceed any timeout.
+type delayedCaller struct {
 	delay time.Duration
 	calls int
 }
 
 // Call implements lending.Caller.
-func (n *network) Call(ctx context.Context, _, _ string, _, _ any) error {
+func (n *delayedCaller) Call(ctx context.Context, _, _ string, _, _ any) error {
 	n.calls++
 	t := time.NewTimer(n.delay)
 	defer t.Stop()
@@ -32,32 +32,32 @@
 	case <-t.C:
 		return nil
 	case <-ctx.Done():
-		return link.Error.Wrap(joined{link.ErrDown, ctx.Err()})
+		return link.Error.Wrap(joinedError{link.ErrDown, ctx.Err()})
 	}
 }
 
-// joined is two errors as one, as package link returns them.
-type joined []error
+// joinedError joins two errors, as package link returns them.
+type joinedError []error
 
-func (j joined) Error() string   { return j[0].Error() }
-func (j joined) Unwrap() []error { return j }
+func (j joinedError) Error() string   { return j[0].Error() }
+func (j joinedError) Unwrap() []error { return j }
 
-// quiet hears of members and does nothing.
-type quiet struct{}
+// nopReporter is a member.Reporter that does nothing.
+type nopReporter struct{}
 
-func (quiet) MembersChanged(int) {}
-func (quiet) MembersLost(error)  {}
-func (quiet) MembersRead()       {}
+func (nopReporter) MembersChanged(int) {}
+func (nopReporter) MembersLost(error)  {}
+func (nopReporter) MembersRead()       {}
 
-func (quiet) NotRegistered(error)    {}
-func (quiet) Registered()            {}
-func (quiet) MemberUnreadable(error) {}
+func (nopReporter) NotRegistered(error)    {}
+func (nopReporter) Registered()            {}
+func (nopReporter) MemberUnreadable(error) {}
 
-// borrower is the budgets of a router that knows one lender.
-func borrower(t *testing.T, n *network) *Budgets {
+// newBorrower returns the budgets of a router that has one lender in its member list.
+func newBorrower(t *testing.T, n *delayedCaller) *Budgets {
 	s := memstore.New()
-	members := &member.Group{Store: s, Prefix: "m/", TTL: time.Hour, Interval: time.Second, Report: quiet{},
-		Self: member.Member{ID: "home/1", Role: RoleLender, VM: "home", Address: "home:1"}}
+	members := &member.Group{Store: s, Prefix: "m/", TTL: time.Hour, Interval: time.Second, Report: nopReporter{},
+		Self: member.Member{ID: "primary/1", Role: RoleLender, VM: "primary", Address: "primary:1"}}
 	ctx, cancel := context.WithCancel(t.Context())
 	go members.KeepAlive(ctx)
 	time.Sleep(2 * time.Second)
@@ -68,33 +68,33 @@
 		Links: n, Limits: &Told{}, Log: zerolog.New(io.Discard)})
 }
 
-// A hot team fills the link of a small VM, and every answer takes 0.7 s. Requests give up on
-// the lender before that, but it must not count as lost: for seconds all requests would be
-// refused at once although it has tokens. When it answers nothing at all it is lost, and
-// requests leave it alone until it answers again.
-func TestLateAnswersAreNoOutage(t *testing.T) {
+// A busy team saturates the link of a small VM, and every reply takes 0.7 s. Requests time out
+// before that, but the lender must not count as unreachable: all requests would be refused at once
+// for seconds although it has tokens. A lender that answers nothing at all is unreachable, and no
+// request calls it until it answers again.
+func TestLateRepliesAreNoOutage(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		n := &network{delay: 700 * time.Millisecond}
-		b := borrower(t, n)
+		n := &delayedCaller{delay: 700 * time.Millisecond}
+		b := newBorrower(t, n)
 		lend := func() error {
 			ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 			defer cancel()
-			_, err := b.Lend(ctx, "home/1", "team", "id", 10, 10)
+			_, err := b.Lend(ctx, "primary/1", "team", "id", 10, 10)
 			return err
 		}
 		require.ErrorIs(t, lend(), context.DeadlineExceeded)
-		require.False(t, b.peers.of("home/1").lasts(), "one late answer says little")
+		require.False(t, b.peerOutages.of("primary/1").ongoing(), "one late reply is no outage")
 		b.probePeers(t.Context())
-		require.False(t, b.peers.of("home/1").lasts(), "the probe was answered")
+		require.False(t, b.peerOutages.of("primary/1").ongoing(), "the probe was answered")
 
 		n.delay = time.Hour
 		require.ErrorIs(t, lend(), context.DeadlineExceeded)
 		b.probePeers(t.Context())
-		require.True(t, b.peers.of("home/1").lasts())
+		require.True(t, b.peerOutages.of("primary/1").ongoing())
 		before := n.calls
 		began := time.Now()
 		require.ErrorIs(t, lend(), link.ErrDown)
-		require.Equal(t, before, n.calls, "it is left alone")
+		require.Equal(t, before, n.calls, "a failed peer is not called")
 		require.Zero(t, time.Since(began))
 
 		n.delay = 0
@@ -103,9 +103,9 @@
 	})
 }
 
-// A limit that comes with a late router's request is older than the one known: it must not
-// undo what operators decided since.
-func TestToldLimitsOnlyGetNewer(t *testing.T) {
+// A router with an outdated configuration sends an older limit than the recorded one: it must not
+// revert the newer limit.
+func TestOlderReportedLimitsAreIgnored(t *testing.T) {
 	var l Told
 	l.Note("team", 5, 1000)
 	l.Note("team", 4, 9000)
@@ -118,21 +118,21 @@
 	require.EqualValues(t, 500, tokens)
 }
 
-// The home has looked at the whole page and everything left is set aside for requests in
-// progress. The borrower asks neither another lender nor the store: there is nothing, and
-// near the end of a budget each request would cost all these calls.
-func TestNobodyAsksOnForTokensThatAreSetAside(t *testing.T) {
+// The primary has checked the whole page, and all that is left is reserved for requests in
+// progress. The borrower must call neither another lender nor the store: they have nothing, and
+// near the end of a budget each request would make all these calls.
+func TestNoFurtherRequestsWhenAllTokensAreReserved(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		asked := 0
-		held := lenderFunc(func() error { asked++; return grant.Error.Wrap(grant.ErrAllReserved) })
-		b := borrower(t, &network{})
-		peers := &grant.PeerGranter{Holder: b.holder, Lender: held, Timeout: time.Second, Now: time.Now,
-			Peers: func(string) []string { return []string{"home/1", "next/1"} }}
-		storeAsked := granterFunc(func() error { asked += 100; return nil })
-		a := &grant.Acquirer{Holder: b.holder, Now: time.Now, Chain: []grant.Granter{peers, storeAsked}}
+		calls := 0
+		allReserved := lenderFunc(func() error { calls++; return grant.Error.Wrap(grant.ErrAllReserved) })
+		b := newBorrower(t, &delayedCaller{})
+		peers := &grant.PeerGranter{Holder: b.holder, Lender: allReserved, Timeout: time.Second, Now: time.Now,
+			Peers: func(string) []string { return []string{"primary/1", "next/1"} }}
+		storeGranter := granterFunc(func() error { calls += 100; return nil })
+		a := &grant.Acquirer{Holder: b.holder, Now: time.Now, Chain: []grant.Granter{peers, storeGranter}}
 		_, err := a.Acquire(t.Context(), "team", 10)
-		require.ErrorIs(t, err, grant.ErrUnreachable, "some may come back: it is not exhausted")
-		require.Equal(t, 1, asked)
+		require.ErrorIs(t, err, grant.ErrUnreachable, "reserved tokens may become free: the budget is not exhausted")
+		require.Equal(t, 1, calls)
 	})
 }
 
--- a/prepaid/exposure.go
+++ b/prepaid/exposure.go
@@ -12,71 +12,71 @@
 )
 
 const (
-	// exposeAhead is for how long a lender's limits of exposure are raised ahead of what it lends.
-	// A team may lose twice that of one router's demand when a lender dies together with it.
-	exposeAhead = 100 * time.Millisecond
-	// exposePause is the pause between two looks for limits that are nearly reached.
-	exposePause = 50 * time.Millisecond
-	// exposeTimeout bounds one message to a witness.
-	exposeTimeout = 300 * time.Millisecond
-	// appointPause is the pause between two looks for witnesses that are gone.
-	appointPause = time.Second
-	// witnessLostFor is the time without an answer after which a witness is replaced.
-	witnessLostFor = 2 * time.Second
-	// rememberLimits is for how long a witness keeps the limits of a lender that is gone: longer
-	// than the settlement of a dead lender can be put off by an outage of the store.
-	rememberLimits = 10 * time.Minute
-	// forgetPause is the pause between two looks for such lenders.
-	forgetPause = time.Minute
+	// exposureLookahead is how far in advance a lender's exposure limits are raised. A team may lose
+	// twice this time of one router's demand when a lender and that router die together.
+	exposureLookahead = 100 * time.Millisecond
+	// exposureInterval is the pause between two checks for limits that are nearly reached.
+	exposureInterval = 50 * time.Millisecond
+	// witnessTimeout bounds one message to a witness.
+	witnessTimeout = 300 * time.Millisecond
+	// appointInterval is the pause between two checks for witnesses that are gone.
+	appointInterval = time.Second
+	// replaceWitnessAfter is the time without an answer after which a witness is replaced.
+	replaceWitnessAfter = 2 * time.Second
+	// limitsRetention is for how long a witness keeps the limits of a lender that is gone: longer
+	// than an outage of the store can delay the settlement of a dead lender.
+	limitsRetention = 10 * time.Minute
+	// forgetInterval is the pause between two checks for such lenders.
+	forgetInterval = time.Minute
 )
 
-// newExposure is a lender's side of its limits of exposure.
+// newExposure returns the manager of this lender's exposure limits.
 func (b *Budgets) newExposure() *settlement.Exposure {
-	return &settlement.Exposure{Holder: b.holder, Register: b.register, Notify: b.tellWitness,
-		Timeout: exposeTimeout, Lookahead: exposeAhead, Now: time.Now}
+	return &settlement.Exposure{Holder: b.holder, Register: b.registry, Notify: b.notifyWitness,
+		Timeout: witnessTimeout, Lookahead: exposureLookahead, Now: time.Now}
 }
 
-// startExposure starts the duties of witnesses, and those of lenders.
+// startExposure starts the periodic tasks of witnesses, and those of lenders.
 func (b *Budgets) startExposure(every func(time.Duration, func(context.Context))) {
-	every(forgetPause, b.forgetLimits)
+	every(forgetInterval, b.forgetLimits)
 	if b.exposure != nil {
-		every(exposePause, b.keepExposure)
-		every(appointPause, b.appointWitnesses)
+		every(exposureInterval, b.raiseExposureLimits)
+		every(appointInterval, b.appointWitnesses)
 	}
 }
 
-func (b *Budgets) keepExposure(ctx context.Context) {
+func (b *Budgets) raiseExposureLimits(ctx context.Context) {
 	if len(b.exposure.Witnesses()) > 0 {
 		_ = b.exposure.RaiseLimits(ctx) // witnesses that do not answer are logged by tellWitness
 	}
 }
 
-// tellWitness does not wait for a witness that failed before it has answered a probe.
-func (b *Budgets) tellWitness(ctx context.Context, witness string, notice settlement.Notice) error {
-	o := b.peers.of(witness)
-	if o.lasts() {
+// notifyWitness sends limits to a witness. One that failed is skipped until it answers a probe.
+func (b *Budgets) notifyWitness(ctx context.Context, witness string, notice settlement.Notice) error {
+	o := b.peerOutages.of(witness)
+	if o.ongoing() {
 		return link.Error.Wrap(link.ErrDown)
 	}
-	err := b.desk.Tell(ctx, witness, notice)
-	b.noteOutage(o, "witness", witness, err, link.ErrDown)
+	err := b.endpoint.Tell(ctx, witness, notice)
+	b.recordOutage(o, "witness", witness, err, link.ErrDown)
 	return err
 }
 
-// askWitness asks a witness, which may be this process, for a dead lender's limits.
-func (b *Budgets) askWitness(ctx context.Context, witness, lender string, term int64) (settlement.WitnessAnswer, error) {
+// queryWitness requests a dead lender's limits from a witness, which may be this process.
+func (b *Budgets) queryWitness(ctx context.Context, witness, lender string, term int64) (settlement.WitnessAnswer, error) {
 	if witness == b.holder.ID() {
 		return b.witness.Limits(lender, term), nil
 	}
-	return b.desk.AskLimits(ctx, witness, link.LimitsRequest{Witness: witness, Lender: lender, Term: term})
+	return b.endpoint.AskLimits(ctx, witness, link.LimitsRequest{Witness: witness, Lender: lender, Term: term})
 }
 
-// noteLimits takes another lender's limits.
-func (b *Budgets) noteLimits(_ context.Context, in settlement.Notice) (link.Empty, error) {
+// applyWitnessNotice stores another lender's limits.
+func (b *Budgets) applyWitnessNotice(_ context.Context, in settlement.Notice) (link.Empty, error) {
 	return link.Empty{}, b.witness.Apply(time.Now(), in)
 }
 
-// testify answers only for this life: what an earlier one was told is not known.
-func (b *Budgets) testify(_ context.Context, in link.LimitsRequest) (settlement.WitnessAnswer, error) {
+// answerLimits answers only for this incarnation: the limits that an earlier one received are lost.
+func (b *Budgets) answerLimits(_ context.Context, in link.LimitsRequest) (settlement.WitnessAnswer, error) {
 	if in.Witness != b.holder.ID() {
 		return settlement.WitnessAnswer{}, nil
 	}
@@ -85,80 +85,79 @@
 
 // forgetLimits drops the limits of lenders that are long gone.
 func (b *Budgets) forgetLimits(context.Context) {
-	if b.store.lasts() {
-		return // members cannot be told from missing ones now
+	if b.storeOutage.ongoing() {
+		return // missing members cannot be detected without the store
 	}
-	b.witness.Forget(time.Now().Add(-rememberLimits), func(lender string) bool {
+	b.witness.Forget(time.Now().Add(-limitsRetention), func(lender string) bool {
 		_, listed := b.members.Get(lender)
 		return !listed
 	})
 }
 
-// appointWitnesses names witnesses once something is lent, and others in the place of those that
-// are gone.
+// appointWitnesses appoints witnesses once something is lent, and replaces those that are gone.
 func (b *Budgets) appointWitnesses(ctx context.Context) {
-	if !b.register.HasBorrowers() || b.store.lasts() {
+	if !b.registry.HasBorrowers() || b.storeOutage.ongoing() {
 		return
 	}
 	now := b.exposure.Witnesses()
-	next := chooseWitnesses(b.members.Self, b.serving(now), b.members.Rank(b.holder.ID(), RoleLender), b.isLost)
-	if len(next) == 0 || slices.Equal(now, next) && !b.appointAgain {
+	next := chooseWitnesses(b.members.Self, b.reachableWitnesses(now), b.members.Rank(b.holder.ID(), RoleLender), b.isUnreachable)
+	if len(next) == 0 || slices.Equal(now, next) && !b.reappoint {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
 	err := b.exposure.Appoint(ctx, next...)
-	b.appointAgain = err != nil // the store may have taken the names all the same
+	b.reappoint = err != nil // the store may have accepted the names nevertheless
 	switch {
 	case errors.Is(err, settlement.ErrSealed):
-		b.takenForDead(err)
+		b.stopPresumedDead(err)
 		return
 	case err != nil:
-		b.log.Warn().Err(err).Strs("witnesses", next).Msg("witnesses_not_appointed") // it is tried again
+		b.log.Warn().Err(err).Strs("witnesses", next).Msg("witnesses_not_appointed") // retried with the next run
 		return
 	}
 	b.log.Info().Strs("witnesses", next).Strs("before", now).Msg("witnesses_appointed")
 }
 
-// serving are the members among the witnesses that are listed and answer.
-func (b *Budgets) serving(witnesses []string) []member.Member {
+// reachableWitnesses returns the witnesses that are listed members and answer.
+func (b *Budgets) reachableWitnesses(witnesses []string) []member.Member {
 	var out []member.Member
 	for _, id := range witnesses {
 		m, listed := b.members.Get(id)
-		silent := b.silentWitnesses.since(time.Now(), id, b.peers.of(id).lasts())
-		if listed && silent < witnessLostFor {
+		unreachable := b.unreachableWitnesses.heldFor(time.Now(), id, b.peerOutages.of(id).ongoing())
+		if listed && unreachable < replaceWitnessAfter {
 			out = append(out, m)
 		}
 	}
 	return out
 }
 
-// isLost reports whether a member did not answer lately.
-func (b *Budgets) isLost(id string) bool { return b.peers.of(id).lasts() }
+// isUnreachable reports whether the last call to a member failed.
+func (b *Budgets) isUnreachable(id string) bool { return b.peerOutages.of(id).ongoing() }
 
-// mostWitnesses is one in the lender's data centre, which answers when that is cut off, and one
-// elsewhere, which outlives it.
-const mostWitnesses = 2
+// maxWitnesses allows one in the lender's data centre, which answers while that is partitioned, and
+// one elsewhere, which survives the loss of that data centre.
+const maxWitnesses = 2
 
-// chooseWitnesses keeps those that serve and fills up from the ranked lenders, one in the own
-// data centre and one in another where there are such.
-func chooseWitnesses(self member.Member, serving, ranked []member.Member, lost func(id string) bool) []string {
-	chosen := slices.Clone(serving)
-	near := func(m member.Member) bool { return m.Datacentre == self.Datacentre }
-	far := func(m member.Member) bool { return !near(m) }
+// chooseWitnesses keeps the reachable witnesses and adds ranked lenders, one in the own data centre
+// and one in another if there are any.
+func chooseWitnesses(self member.Member, reachable, ranked []member.Member, unreachable func(id string) bool) []string {
+	chosen := slices.Clone(reachable)
+	local := func(m member.Member) bool { return m.Datacentre == self.Datacentre }
+	remote := func(m member.Member) bool { return !local(m) }
 	add := func(wanted func(member.Member) bool) {
-		if len(chosen) == mostWitnesses || slices.ContainsFunc(chosen, wanted) {
+		if len(chosen) == maxWitnesses || slices.ContainsFunc(chosen, wanted) {
 			return
 		}
 		for _, m := range ranked {
-			if m.VM != self.VM && wanted(m) && !lost(m.ID) {
+			if m.VM != self.VM && wanted(m) && !unreachable(m.ID) {
 				chosen = append(chosen, m)
 				return
 			}
 		}
 	}
-	add(near)
-	add(far)
+	add(local)
+	add(remote)
 	add(func(m member.Member) bool { return !slices.Contains(chosen, m) })
 	out := make([]string, 0, len(chosen))
 	for _, m := range chosen {
--- a/prepaid/limits.go
+++ b/prepaid/limits.go
@@ -6,7 +6,7 @@
 	"github.com/arbutusmill/arbutusmill/catalog"
 )
 
-// Configured are the limits of the configuration in force.
+// Configured returns the limits of the active configuration.
 type Configured struct{ Catalog *catalog.Current }
 
 // Each implements Limits.
@@ -35,12 +35,12 @@
 	return t.Version, team.Prepaid
 }
 
-// Note implements Limits: this process reads the configuration itself.
+// Note implements Limits and does nothing: this process reads the configuration itself.
 func (Configured) Note(string, int64, int64) {}
 
-// Told are limits that came with the requests of others. A process that only lends needs
-// no copy of the configuration: whoever asks it for tokens says what the limit is, and by
-// which version. It is safe for concurrent use; the zero value knows none.
+// Told stores limits that came with the requests of other processes. A process that only lends
+// needs no copy of the configuration: each request for tokens includes the limit and the version
+// that sets it. It is safe for concurrent use; the zero value is empty.
 type Told struct {
 	mu      sync.Mutex
 	budgets map[string]limit
@@ -48,8 +48,8 @@
 
 type limit struct{ version, tokens int64 }
 
-// Note implements Limits. It keeps a limit unless a newer one is known: a router that is
-// late would undo what operators decided since.
+// Note implements Limits. It ignores a limit that is not newer than the recorded one: a router
+// with an outdated configuration would otherwise revert a newer limit.
 func (t *Told) Note(budget string, version, tokens int64) {
 	if version <= 0 || tokens <= 0 {
 		return
--- a/prepaid/outage.go
+++ b/prepaid/outage.go
@@ -7,36 +7,36 @@
 	"time"
 )
 
-// outage is whether something outside answers.
+// outage tracks whether a dependency answers. It is safe for concurrent use.
 type outage struct {
 	mu     sync.Mutex
-	failed time.Time // the last failure; zero while it answers
-	ended  time.Time // when it last answered again
+	failed time.Time // time of the last failure; zero while the dependency answers
+	ended  time.Time // end of the last outage
 }
 
-// endedWithin reports whether an outage ended so recently.
+// endedWithin reports whether an outage ended less than d ago.
 func (o *outage) endedWithin(d time.Duration) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return !o.ended.IsZero() && time.Since(o.ended) < d
 }
 
-// lasts reports whether the last call failed.
-func (o *outage) lasts() bool {
+// ongoing reports whether the last call failed.
+func (o *outage) ongoing() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return !o.failed.IsZero()
 }
 
-// within reports whether a call failed so recently.
-func (o *outage) within(d time.Duration) bool {
+// failedWithin reports whether the last call failed less than d ago.
+func (o *outage) failedWithin(d time.Duration) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return !o.failed.IsZero() && time.Since(o.failed) < d
 }
 
-// note keeps the outcome of a call and reports whether that changed the belief.
-func (o *outage) note(failed bool) bool {
+// record stores the outcome of a call and reports whether it differs from the previous one.
+func (o *outage) record(failed bool) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	was := !o.failed.IsZero()
@@ -50,163 +50,164 @@
 	return was != failed
 }
 
-// outages are those of several others, by name.
-type outages struct {
-	mu sync.Mutex
-	by map[string]*outage
+// outageSet holds the outages of several dependencies, by name. It is safe for concurrent use.
+type outageSet struct {
+	mu     sync.Mutex
+	byName map[string]*outage
 }
 
-func (o *outages) of(name string) *outage {
+func (o *outageSet) of(name string) *outage {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.by == nil {
-		o.by = map[string]*outage{}
+	if o.byName == nil {
+		o.byName = map[string]*outage{}
 	}
-	if o.by[name] == nil {
-		o.by[name] = &outage{}
+	if o.byName[name] == nil {
+		o.byName[name] = &outage{}
 	}
-	return o.by[name]
+	return o.byName[name]
 }
 
-// lasting lists those that failed last.
-func (o *outages) lasting() []string {
+// ongoing lists the dependencies whose last call failed.
+func (o *outageSet) ongoing() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var out []string
-	for name, one := range o.by {
-		if one.lasts() {
+	for name, entry := range o.byName {
+		if entry.ongoing() {
 			out = append(out, name)
 		}
 	}
 	return out
 }
 
-func (o *outages) forget(name string) {
+func (o *outageSet) forget(name string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	delete(o.by, name)
+	delete(o.byName, name)
 }
 
-// absences is since when others have been missing.
-type absences struct {
-	mu sync.Mutex
-	at map[string]time.Time
+// conditionTimers records since when a condition has held, by name. It is safe for concurrent use.
+type conditionTimers struct {
+	mu    sync.Mutex
+	since map[string]time.Time
 }
 
-// since notes whether one is missing and returns for how long it has been.
-func (a *absences) since(now time.Time, name string, missing bool) time.Duration {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.at == nil {
-		a.at = map[string]time.Time{}
+// heldFor records whether the condition holds and returns for how long it has.
+func (t *conditionTimers) heldFor(now time.Time, name string, holds bool) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.since == nil {
+		t.since = map[string]time.Time{}
 	}
-	if !missing {
-		delete(a.at, name)
+	if !holds {
+		delete(t.since, name)
 		return 0
 	}
-	if a.at[name].IsZero() {
-		a.at[name] = now
+	if t.since[name].IsZero() {
+		t.since[name] = now
 	}
-	return now.Sub(a.at[name])
+	return now.Sub(t.since[name])
 }
 
-// lastAsked is when others last asked for something, by name. It forgets what is older than
-// rememberAsked.
-type lastAsked struct {
+// recentTimes records when an event last occurred, by name. It forgets times older than
+// recentRetention. It is safe for concurrent use.
+type recentTimes struct {
 	mu sync.Mutex
 	at map[string]time.Time
 }
 
-// rememberAsked is longer than any time that is asked about, and mostAsked bounds the names
-// that are kept without looking for older ones.
+// recentRetention is longer than any duration passed to within. pruneThreshold is the number of
+// names from which old ones are pruned.
 const (
-	rememberAsked = time.Minute
-	mostAsked     = 64
+	recentRetention = time.Minute
+	pruneThreshold  = 64
 )
 
-func (l *lastAsked) note(name string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.at == nil {
-		l.at = map[string]time.Time{}
+func (r *recentTimes) record(name string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.at == nil {
+		r.at = map[string]time.Time{}
 	}
 	now := time.Now()
-	if len(l.at) >= mostAsked {
-		maps.DeleteFunc(l.at, func(_ string, at time.Time) bool { return now.Sub(at) > rememberAsked })
+	if len(r.at) >= pruneThreshold {
+		maps.DeleteFunc(r.at, func(_ string, at time.Time) bool { return now.Sub(at) > recentRetention })
 	}
-	l.at[name] = now
+	r.at[name] = now
 }
 
-func (l *lastAsked) within(name string, d time.Duration) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	t, ok := l.at[name]
+// within reports whether the event occurred less than d ago.
+func (r *recentTimes) within(name string, d time.Duration) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	t, ok := r.at[name]
 	return ok && time.Since(t) < d
 }
 
-// counts is how many of something are in progress, by name.
-type counts struct {
-	mu sync.Mutex
-	by map[string]int
+// inFlight counts operations in progress, by name. It is safe for concurrent use.
+type inFlight struct {
+	mu     sync.Mutex
+	byName map[string]int
 }
 
-// begin counts one in; the returned func counts it out.
-func (c *counts) begin(name string) (end func()) {
-	c.add(name, 1)
-	return func() { c.add(name, -1) }
+// begin counts an operation as started; the returned func counts it as ended.
+func (f *inFlight) begin(name string) (end func()) {
+	f.add(name, 1)
+	return func() { f.add(name, -1) }
 }
 
-func (c *counts) add(name string, n int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.by == nil {
-		c.by = map[string]int{}
+func (f *inFlight) add(name string, n int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.byName == nil {
+		f.byName = map[string]int{}
 	}
-	if c.by[name] += n; c.by[name] == 0 {
-		delete(c.by, name)
+	if f.byName[name] += n; f.byName[name] == 0 {
+		delete(f.byName, name)
 	}
 }
 
-func (c *counts) has(name string) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.by[name] > 0
+func (f *inFlight) has(name string) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.byName[name] > 0
 }
 
 // nameSet is a set of names. It is safe for concurrent use.
 type nameSet struct {
-	mu sync.Mutex
-	in map[string]struct{}
+	mu    sync.Mutex
+	names map[string]struct{}
 }
 
 func (s *nameSet) add(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.in == nil {
-		s.in = map[string]struct{}{}
+	if s.names == nil {
+		s.names = map[string]struct{}{}
 	}
-	s.in[name] = struct{}{}
+	s.names[name] = struct{}{}
 }
 
 func (s *nameSet) has(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, ok := s.in[name]
+	_, ok := s.names[name]
 	return ok
 }
 
-// keep drops the names that are not listed.
-func (s *nameSet) keep(listed []string) {
+// retain removes the names that are not listed.
+func (s *nameSet) retain(listed []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	maps.DeleteFunc(s.in, func(name string, _ struct{}) bool { return !slices.Contains(listed, name) })
+	maps.DeleteFunc(s.names, func(name string, _ struct{}) bool { return !slices.Contains(listed, name) })
 }
 
-// take returns the names, and begins anew.
-func (s *nameSet) take() []string {
+// drain returns the names and empties the set.
+func (s *nameSet) drain() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	names := slices.Collect(maps.Keys(s.in))
-	s.in = nil
+	names := slices.Collect(maps.Keys(s.names))
+	s.names = nil
 	return names
 }
--- a/prepaid/pages.go
+++ b/prepaid/pages.go
@@ -11,18 +11,18 @@
 	"github.com/arbutusmill/arbutusmill/coord/store"
 )
 
-// Wait waits for calls that are on their way, after the duties have ended.
+// Wait waits for calls in progress after the periodic tasks have ended.
 func (b *Budgets) Wait() { b.pages.Wait() }
 
-// recovering reports whether the store came back lately.
-func (b *Budgets) recovering() bool { return b.store.endedWithin(recoveryTime) }
+// recovering reports whether an outage of the store ended recently.
+func (b *Budgets) recovering() bool { return b.storeOutage.endedWithin(recoveryTime) }
 
-// wary reports whether the store was slow or silent lately, or is so now.
-func (b *Budgets) wary() bool {
-	return b.pages.SyncOverdue(slowSync) || b.slow.within(storeName, waryFor) || b.store.endedWithin(waryFor)
+// storeDegraded reports whether the store is or recently was slow or unreachable.
+func (b *Budgets) storeDegraded() bool {
+	return b.pages.SyncOverdue(slowSync) || b.slowSyncs.within(storeName, degradedFor) || b.storeOutage.endedWithin(degradedFor)
 }
 
-// prepare brings the accounts of a page up to the operators' limits.
+// prepare applies the operators' limits to the accounts of a page.
 func (b *Budgets) prepare(key string, p *account.Page) bool {
 	changed := false
 	b.limits.Each(func(budget string, version, tokens int64) {
@@ -39,90 +39,91 @@
 	return changed
 }
 
-// Obtain implements grant.Granter: the store, unless it just failed or is late for others. A
-// store that has fallen silent would else cost each request its whole wait, at one process
-// after the other, before it is refused.
-func (b *Budgets) Obtain(ctx context.Context, budget string, lack int64) (err error) {
+// Obtain implements grant.Granter with the store, unless the store just failed or a sync is
+// overdue. Otherwise a store that stops answering would cost each request its whole wait, at one
+// process after the other, before it is refused.
+func (b *Budgets) Obtain(ctx context.Context, budget string, shortfall int64) (err error) {
 	began := time.Now()
 	defer func() { grant.NoteAsked(ctx, storeName, time.Since(began), err) }()
-	if b.store.lasts() || b.pages.SyncOverdue(b.timeout) {
+	if b.storeOutage.ongoing() || b.pages.SyncOverdue(b.timeout) {
 		return grant.Error.Wrap(grant.ErrUnreachable)
 	}
-	defer b.asking.begin(budget)()
-	err = b.pages.Obtain(ctx, budget, lack)
+	defer b.storeRequests.begin(budget)()
+	err = b.pages.Obtain(ctx, budget, shortfall)
 	if errors.Is(err, grant.ErrInsufficientTokens) {
-		// This was the last place where there could be some.
+		// The store is the last source of tokens.
 		return grant.Error.Wrap(grant.ErrAllReserved)
 	}
 	return err
 }
 
-// callEnded hears how the calls of a sync ended.
-func (b *Budgets) callEnded(took time.Duration, err error) {
+// syncEnded records the duration and result of a sync.
+func (b *Budgets) syncEnded(took time.Duration, err error) {
 	if took >= slowSync {
-		b.slow.note(storeName)
+		b.slowSyncs.record(storeName)
 	}
-	b.noteOutage(&b.store, "store", "", err, store.ErrUnknown)
+	b.recordOutage(&b.storeOutage, "store", "", err, store.ErrUnknown)
 }
 
-// moved logs tokens that this process took or gave back.
-func (b *Budgets) moved(d grant.Decision, v grant.View) {
+// logTransfer logs tokens that this process took or returned.
+func (b *Budgets) logTransfer(d grant.Decision, v grant.View) {
 	b.log.Info().Str("budget", v.Budget).Bool("home", b.role(v.Budget) == grant.RolePrimary).Int64("took", d.Take).Int64("gave", d.Give).
 		Int64("free", v.Free).Int64("unspent", v.Unspent).Int64("available", v.Available).Int64("reserved", v.Reserved).
 		Int64("waiting", v.Waiting).Int64("largest", v.LargestRecent).Int64("demand_per_s", int64(v.Demand)).Msg("tokens_moved")
 }
 
-// usedUpPause is the pause between two lines about one budget that is used up: each request of its
-// team would else write one.
-const usedUpPause = 10 * time.Second
+// exhaustedLogInterval is the shortest time between two log lines about one exhausted budget;
+// otherwise each request of its team would write one.
+const exhaustedLogInterval = 10 * time.Second
 
-// usedUp logs that a page has too little left of a budget for a request that waits. Tokens of lives
-// that died with them count as spent: where they would have sufficed, the refusal is the fleet's
-// fault and not the end of the budget.
-func (b *Budgets) usedUp(v grant.View) {
-	if b.saidUsedUp.within(v.Budget, usedUpPause) {
+// logExhausted logs that a page has too little left of a budget for a waiting request. Tokens held by
+// dead incarnations count as spent: if they would have sufficed, the refusal is due to a failure in
+// the fleet and not to the end of the budget.
+func (b *Budgets) logExhausted(v grant.View) {
+	if b.exhaustedLogged.within(v.Budget, exhaustedLogInterval) {
 		return
 	}
-	b.saidUsedUp.note(v.Budget)
+	b.exhaustedLogged.record(v.Budget)
 	b.log.Info().Str("budget", v.Budget).Int64("unspent", v.Unspent).Int64("lost_with_dead", v.HeldByDead).Int64("credit", v.Credit).
 		Int64("wanted", v.SmallestWaiting).Bool("would_have_sufficed", v.Unspent+v.HeldByDead >= v.SmallestWaiting).Msg("budget_used_up")
 }
 
-// noteOutage keeps whether the store or a peer answers, and logs when that changes.
-func (b *Budgets) noteOutage(o *outage, what, name string, err, sign error) {
-	failed := errors.Is(err, sign)
-	if !o.note(failed) {
+// recordOutage records whether the store or a peer answers, and logs when that changes. An err that
+// matches outageErr is a failure.
+func (b *Budgets) recordOutage(o *outage, kind, name string, err, outageErr error) {
+	failed := errors.Is(err, outageErr)
+	if !o.record(failed) {
 		return
 	}
 	if failed {
-		b.log.Warn().Err(err).Str("of", what).Str("name", name).Msg("tokens_lost")
+		b.log.Warn().Err(err).Str("of", kind).Str("name", name).Msg("tokens_lost")
 		return
 	}
-	b.log.Info().Str("of", what).Str("name", name).Msg("tokens_regained")
+	b.log.Info().Str("of", kind).Str("name", name).Msg("tokens_regained")
 }
 
-// step keeps the pages in step, or looks whether a store that failed is back.
-func (b *Budgets) step(ctx context.Context) {
+// syncOrProbe syncs the pages that are due, or probes a store that failed.
+func (b *Budgets) syncOrProbe(ctx context.Context) {
 	switch {
-	case !b.store.lasts():
-		b.sync(ctx, b.holder.Due(time.Now()))
-	case !b.store.within(probePause):
-		b.probe(ctx)
+	case !b.storeOutage.ongoing():
+		b.syncPages(ctx, b.holder.Due(time.Now()))
+	case !b.storeOutage.failedWithin(probeInterval):
+		b.probeStore(ctx)
 	}
 }
 
-// probe asks a store that failed whether it answers again, by a cheap read.
-func (b *Budgets) probe(ctx context.Context) {
+// probeStore checks with a cheap read whether a store that failed answers again.
+func (b *Budgets) probeStore(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	_, err := b.pages.Store.StaleSnapshot(ctx, PagePrefix+"none")
-	b.noteOutage(&b.store, "store", "", err, store.ErrUnknown)
+	b.recordOutage(&b.storeOutage, "store", "", err, store.ErrUnknown)
 }
 
-func (b *Budgets) sync(ctx context.Context, keys []string) {
+func (b *Budgets) syncPages(ctx context.Context, keys []string) {
 	for _, key := range keys {
-		if b.store.lasts() {
-			return // calls are paid for, also those that fail
+		if b.storeOutage.ongoing() {
+			return // failed calls are billed too
 		}
 		ctx, cancel := context.WithTimeout(ctx, b.timeout)
 		err := b.pages.Sync(ctx, key)
@@ -133,37 +134,37 @@
 	}
 }
 
-// drainPause is the pause between two rounds of giving back at a planned stop; each is a
-// write for each page.
-const drainPause = 500 * time.Millisecond
+// returnInterval is the pause between two rounds of returning tokens at a planned stop; each round
+// writes each page.
+const returnInterval = 500 * time.Millisecond
 
-// GiveBack returns everything that is not reserved, and the rest as it becomes free, until
-// nothing is left or the context ends. It is the end of a planned stop: what others have
-// borrowed at its end counts as used, so it waits for their requests to end.
+// GiveBack returns all tokens that are not reserved, and the rest as it becomes free, until
+// nothing is left or the context ends. It ends a planned stop: tokens that are still lent
+// afterwards count as used, so it waits for the borrowers' requests to end.
 func (b *Budgets) GiveBack(ctx context.Context) error {
 	for {
-		if err := b.giveBackOnce(ctx); err != nil {
+		if err := b.returnOnce(ctx); err != nil {
 			return err
 		}
 		if b.holder.Empty() {
-			return b.forgetBorrowers(ctx)
+			return b.removeBorrowerList(ctx)
 		}
-		if err := backoff.Sleep(ctx, drainPause); err != nil {
+		if err := backoff.Sleep(ctx, returnInterval); err != nil {
 			return err
 		}
 	}
 }
 
-// forgetBorrowers removes the list of those that this process lent to: it has no rows left.
-func (b *Budgets) forgetBorrowers(ctx context.Context) error {
-	if b.register == nil {
+// removeBorrowerList removes the list of this process's borrowers once it has no rows left.
+func (b *Budgets) removeBorrowerList(ctx context.Context) error {
+	if b.registry == nil {
 		return nil
 	}
-	return b.register.Remove(ctx)
+	return b.registry.Remove(ctx)
 }
 
-func (b *Budgets) giveBackOnce(ctx context.Context) error {
-	b.desk.ReturnLots(ctx, 0)
+func (b *Budgets) returnOnce(ctx context.Context) error {
+	b.endpoint.ReturnLots(ctx, 0)
 	b.holder.ReturnAll()
 	for _, key := range b.holder.Pages() {
 		if err := b.pages.Sync(ctx, key); err != nil {
--- a/prepaid/settle.go
+++ b/prepaid/settle.go
@@ -14,55 +14,56 @@
 const lendsPrefix = "arbutusmill/lends/"
 
 const (
-	// settlePause is the pause between two looks for dead lenders.
-	settlePause = time.Second
-	// settlePatience is for how long a settlement waits for requests that run on the dead
-	// lender's tokens. Most streams end within it; what later ones set aside counts as used.
-	settlePatience = 8 * time.Second
-	// admitPause is the pause between two tries to name a router for which the store took
-	// too long. Its requests do not wait for them: each would wait at each lender.
-	admitPause = time.Second
+	// settleInterval is the pause between two checks for dead lenders.
+	settleInterval = time.Second
+	// settleWait is for how long a settlement waits for requests that run on the dead
+	// lender's tokens. Most streams end within it; what longer ones reserved counts as used.
+	settleWait = 8 * time.Second
+	// admitInterval is the pause between two attempts to register a router for which the store
+	// took too long. Its requests do not wait for them: each would wait at each lender.
+	admitInterval = time.Second
 )
 
-// admit makes sure that the store names a borrower before anything is lent to it. All
-// routers that are listed are named with the first one: one write instead of one for each.
-// The request waits for its own time only; the write goes on, for those that come next.
-func (b *Budgets) admit(ctx context.Context, borrower string) error {
-	if b.register == nil || b.register.Has(borrower) {
+// ensureAdmitted registers a borrower in the store before anything is lent to it. All listed
+// routers are registered together with the first one: one write instead of one for each.
+// The request waits within its own timeout; the write continues for the following requests.
+func (b *Budgets) ensureAdmitted(ctx context.Context, borrower string) error {
+	if b.registry == nil || b.registry.Has(borrower) {
 		return nil
 	}
-	if b.store.lasts() {
+	if b.storeOutage.ongoing() {
 		return grant.Error.Wrap(grant.ErrUnreachable)
 	}
-	if b.notAdmitted.within(borrower, rememberAsked) {
-		b.admitLater(borrower)
+	if b.admissionTimeouts.within(borrower, recentRetention) {
+		b.retryAdmission(borrower)
 		return grant.Error.Wrap(grant.ErrUnreachable)
 	}
 	ctx, cancel := context.WithTimeout(ctx, b.timeout)
 	defer cancel()
 	select {
-	case done := <-b.startAdmitting(borrower):
+	case done := <-b.startAdmission(borrower):
 		return done.Err
 	case <-ctx.Done():
-		b.notAdmitted.note(borrower)
+		b.admissionTimeouts.record(borrower)
 		return grant.Error.Wrap(grant.ErrUnreachable)
 	}
 }
 
-func (b *Budgets) startAdmitting(borrower string) <-chan singleflight.Result {
-	return b.admitting.DoChan(borrower, func() (any, error) { return nil, b.admitListed(borrower) })
+func (b *Budgets) startAdmission(borrower string) <-chan singleflight.Result {
+	return b.admissions.DoChan(borrower, func() (any, error) { return nil, b.admitListed(borrower) })
 }
 
-// admitLater tries again, now and then, for the requests that come next; nobody waits for it.
-func (b *Budgets) admitLater(borrower string) {
-	if b.notAdmitted.within(borrower, admitPause) {
+// retryAdmission retries at most once per admitInterval, for the following requests; no request
+// waits for it.
+func (b *Budgets) retryAdmission(borrower string) {
+	if b.admissionTimeouts.within(borrower, admitInterval) {
 		return
 	}
-	b.notAdmitted.note(borrower)
-	b.startAdmitting(borrower)
+	b.admissionTimeouts.record(borrower)
+	b.startAdmission(borrower)
 }
 
-// admitListed names the borrower and all routers that are listed.
+// admitListed registers the borrower and all routers that are listed.
 func (b *Budgets) admitListed(borrower string) error {
 	names := []string{borrower}
 	for _, m := range b.members.Members() {
@@ -72,100 +73,101 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), syncTimeout)
 	defer cancel()
-	err := b.register.Admit(ctx, names...)
+	err := b.registry.Admit(ctx, names...)
 	switch {
 	case err == nil:
 		return nil
 	case errors.Is(err, settlement.ErrSealed):
-		b.takenForDead(err)
+		b.stopPresumedDead(err)
 		return grant.Error.Wrap(grant.ErrFenced)
 	}
 	b.log.Warn().Err(err).Str("borrower", borrower).Msg("borrower_not_admitted")
 	return grant.Error.Wrap(grant.ErrUnreachable)
 }
 
-// takenForDead ends all lending: others took this life for dead and freed its rest.
-func (b *Budgets) takenForDead(err error) {
+// stopPresumedDead stops all lending: others presumed this incarnation dead and released its
+// unused tokens.
+func (b *Budgets) stopPresumedDead(err error) {
 	b.holder.Fence()
 	b.log.Error().Err(err).Msg("taken_for_dead")
 }
 
-// admitNew names routers that have just been listed, ahead of need: one that asks for the
-// first time while the store is away could not be lent anything.
-func (b *Budgets) admitNew(context.Context) {
-	if b.register == nil || !b.register.HasBorrowers() || b.store.lasts() {
+// admitNewRouters registers newly listed routers in advance: a router whose first request comes
+// while the store is unavailable could not borrow anything.
+func (b *Budgets) admitNewRouters(context.Context) {
+	if b.registry == nil || !b.registry.HasBorrowers() || b.storeOutage.ongoing() {
 		return
 	}
 	for _, m := range b.members.Members() {
-		if m.Role == RoleRouter && !b.register.Has(m.ID) && !b.isDead(m.ID) {
-			_ = b.admitListed(m.ID) // it is logged there, and tried again
-			return                  // all others that are listed were named with it
+		if m.Role == RoleRouter && !b.registry.Has(m.ID) && !b.isDead(m.ID) {
+			_ = b.admitListed(m.ID) // it logs errors, and the next run retries
+			return                  // all other listed routers were registered with it
 		}
 	}
 }
 
-// newSettler is this process's side of settling others.
+// newSettler returns a settler of dead lenders.
 func (b *Budgets) newSettler() *settlement.Settler {
-	return &settlement.Settler{Store: b.pages.Store, Prefix: lendsPrefix, Answers: &b.answers, Ended: b.isDead, AskBorrower: b.desk.AskBorrowed,
-		AskWitness: b.askWitness}
+	return &settlement.Settler{Store: b.pages.Store, Prefix: lendsPrefix, Answers: &b.answers, Ended: b.isDead, AskBorrower: b.endpoint.AskBorrowed,
+		AskWitness: b.queryWitness}
 }
 
-// settleDead settles the rows of dead lenders on the pages of which this process is the home.
-func (b *Budgets) settleDead(ctx context.Context) {
-	if b.store.lasts() {
-		return // members cannot be told from missing ones now
+// settleDeadLenders settles the rows of dead lenders on the pages of which this process is the primary.
+func (b *Budgets) settleDeadLenders(ctx context.Context) {
+	if b.storeOutage.ongoing() {
+		return // missing members cannot be detected without the store
 	}
 	others := b.holder.OtherHolders()
-	b.unsettled.keep(others)
-	for _, life := range others {
-		if b.isDead(life) && !b.unsettled.has(life) {
-			b.settleLife(ctx, life)
+	b.unsettled.retain(others)
+	for _, lender := range others {
+		if b.isDead(lender) && !b.unsettled.has(lender) {
+			b.settleLender(ctx, lender)
 		}
 	}
 }
 
-func (b *Budgets) settleLife(ctx context.Context, life string) {
-	patient := b.settling.since(time.Now(), life, true) < settlePatience
-	whole := true
+func (b *Budgets) settleLender(ctx context.Context, lender string) {
+	waitForRunning := b.settling.heldFor(time.Now(), lender, true) < settleWait
+	complete := true
 	for _, page := range b.holder.Pages() {
 		if b.pageRole(page) == grant.RolePrimary {
-			whole = b.settlePage(ctx, life, page, patient) && whole
+			complete = b.settlePage(ctx, lender, page, waitForRunning) && complete
 		}
 	}
-	if !whole {
+	if !complete {
 		return
 	}
-	b.holder.ForgetRecovered(life)
-	b.answers.Forget(life)
-	b.settling.since(time.Now(), life, false)
+	b.holder.ForgetRecovered(lender)
+	b.answers.Forget(lender)
+	b.settling.heldFor(time.Now(), lender, false)
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
-	if err := b.newSettler().Forget(ctx, life, PagePrefix); err != nil {
-		b.log.Warn().Err(err).Str("lender", life).Msg("list_of_borrowers_not_removed") // it does no harm
+	if err := b.newSettler().Forget(ctx, lender, PagePrefix); err != nil {
+		b.log.Warn().Err(err).Str("lender", lender).Msg("list_of_borrowers_not_removed") // a stale list is harmless
 	}
 }
 
-// settlePage settles one page and reports whether nothing is left to do there.
-func (b *Budgets) settlePage(ctx context.Context, life, page string, patient bool) bool {
+// settlePage settles one page and reports whether nothing is left to settle there.
+func (b *Budgets) settlePage(ctx context.Context, lender, page string, waitForRunning bool) bool {
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
-	done, err := b.newSettler().Settle(ctx, life, page, patient)
+	done, err := b.newSettler().Settle(ctx, lender, page, waitForRunning)
 	switch {
 	case errors.Is(err, settlement.ErrUsagePending):
 		return false
 	case errors.Is(err, settlement.ErrUsageUnknown):
-		b.unsettled.add(life)
-		b.answers.Forget(life)
-		b.log.Warn().Err(err).Str("lender", life).Msg("lender_not_settled")
+		b.unsettled.add(lender)
+		b.answers.Forget(lender)
+		b.log.Warn().Err(err).Str("lender", lender).Msg("lender_not_settled")
 		return false
 	case err != nil:
-		b.log.Warn().Err(err).Str("lender", life).Str("page", page).Msg("settlement_failed")
+		b.log.Warn().Err(err).Str("lender", lender).Str("page", page).Msg("settlement_failed")
 		return false
 	}
 	b.pages.InvalidatePage(page)
 	for budget, freed := range done.Freed {
-		b.log.Info().Str("lender", life).Str("budget", budget).Int64("used", done.Used[budget]).Int64("freed", freed).
-			Bool("patient", patient).Strs("missing", done.Missing).Msg("lender_settled")
+		b.log.Info().Str("lender", lender).Str("budget", budget).Int64("used", done.Used[budget]).Int64("freed", freed).
+			Bool("patient", waitForRunning).Strs("missing", done.Missing).Msg("lender_settled")
 	}
 	return true
 }
