--- a/lending/lending.go
+++ b/lending/lending.go
@@ -1,6 +1,6 @@
-// Package lending moves prepaid tokens between the routers of a fleet without the
-// store: one reserves a lot out of its own grant, another spends from it and settles
-// it. The rules are those of coord/grant; this package carries the messages.
+// Package lending moves prepaid tokens between the processes of a fleet without the
+// store: the lender reserves a lot out of its own grant, the borrower spends from it and
+// settles it. coord/grant implements the rules; this package sends and handles the messages.
 package lending
 
 import (
@@ -17,19 +17,19 @@
 	Call(ctx context.Context, addr, method string, params, result any) error
 }
 
-// Desk is one router's side of lending, as lender and as borrower.
+// Desk sends and handles the lending messages of one process, as lender and as borrower.
 type Desk struct {
 	Holder *grant.Holder
 	Links  Caller
-	// Address returns where a router answers, by the name of its VM or of one of
-	// its lives; false if it is not known.
+	// Address returns the address of a process by the name of its VM or of one of its
+	// incarnations; false if it is unknown.
 	Address func(name string) (string, bool)
-	// Fill brings tokens of a budget for a peer that asks for more than there are
-	// at hand. It may be nil: then a peer gets what there is.
+	// Fill acquires tokens of a budget for a peer that requests more than are spendable.
+	// It may be nil: then a peer gets only spendable tokens.
 	Fill *grant.Acquirer
 	// Limit returns the operators' limit on a budget and the version of the
-	// configuration that says so, to go along with each request for tokens. It may
-	// be nil, for lenders that read the configuration themselves.
+	// configuration that sets it, which are sent with each request for tokens. It may
+	// be nil if the lenders read the configuration themselves.
 	Limit func(budget string) (version, tokens int64)
 	// Timeout bounds one message.
 	Timeout time.Duration
@@ -37,7 +37,7 @@
 	Now func() time.Time
 }
 
-// Methods answers the messages of other routers.
+// Methods returns the handlers of messages from other processes.
 func (d *Desk) Methods() map[string]link.Handler {
 	return map[string]link.Handler{
 		link.MethodLend:     link.Handle(d.lend),
@@ -56,8 +56,8 @@
 	return d.Holder.Lend(d.Now(), in.Budget, in.ID, in.Borrower, in.Need, in.Want)
 }
 
-// takeBack settles lots. Those of an earlier life are not known here; its row's
-// recovery settles them.
+// takeBack settles lots. Those of an earlier incarnation are ignored: the recovery of
+// its row settles them.
 func (d *Desk) takeBack(_ context.Context, in link.ReturnRequest) (link.Empty, error) {
 	for _, r := range in.Lots {
 		if r.Lender == d.Holder.ID() {
@@ -67,8 +67,8 @@
 	return link.Empty{}, nil
 }
 
-// disown answers only for this life: what an earlier one did with its lots is for its
-// recovery to find out.
+// disown answers only for this incarnation: recovery determines what an earlier one did
+// with its lots.
 func (d *Desk) disown(_ context.Context, in link.DisownRequest) (link.DisownReply, error) {
 	if in.Borrower != d.Holder.ID() {
 		return link.DisownReply{}, nil
@@ -76,7 +76,7 @@
 	return link.DisownReply{Parts: d.Holder.Disown(in.Parts)}, nil
 }
 
-// borrowed answers only for this life: what an earlier one used is not known.
+// borrowed answers only for this incarnation: the usage of an earlier one is unknown.
 func (d *Desk) borrowed(_ context.Context, in link.BorrowedRequest) (grant.Borrowed, error) {
 	if in.Borrower != d.Holder.ID() {
 		return grant.Borrowed{}, nil
@@ -84,26 +84,26 @@
 	return d.Holder.BorrowedFrom(in.Lender), nil
 }
 
-// AskBorrowed asks a borrower for its final word on a dead lender.
+// AskBorrowed requests a borrower's final usage report on a dead lender.
 func (d *Desk) AskBorrowed(ctx context.Context, borrower, lender string) (grant.Borrowed, error) {
 	var out grant.Borrowed
 	err := d.call(ctx, borrower, link.MethodBorrowed, link.BorrowedRequest{Borrower: borrower, Lender: lender}, &out)
 	return out, err
 }
 
-// Tell brings this lender's limits of exposure to a witness.
+// Tell sends this lender's exposure limits to a witness.
 func (d *Desk) Tell(ctx context.Context, witness string, notice settlement.Notice) error {
 	return d.call(ctx, witness, link.MethodLimits, notice, nil)
 }
 
-// AskLimits asks a witness for the limits of a lender that is gone.
+// AskLimits requests the exposure limits of a lender that is gone from a witness.
 func (d *Desk) AskLimits(ctx context.Context, witness string, in link.LimitsRequest) (settlement.WitnessAnswer, error) {
 	var out settlement.WitnessAnswer
 	err := d.call(ctx, witness, link.MethodTestify, in, &out)
 	return out, err
 }
 
-// Lend implements grant.Lender: it asks a peer for a lot.
+// Lend implements grant.Lender: it requests a lot from a peer.
 func (d *Desk) Lend(ctx context.Context, peer, budget, id string, need, want int64) (grant.Lot, error) {
 	addr, ok := d.Address(peer)
 	if !ok {
@@ -118,7 +118,7 @@
 	return out, err
 }
 
-// Probe asks whether a peer answers within the context's time, by a question about no lots.
+// Probe checks whether a peer answers before the context ends, with a disown request for no lots.
 func (d *Desk) Probe(ctx context.Context, peer string) error {
 	addr, ok := d.Address(peer)
 	if !ok {
@@ -128,8 +128,8 @@
 	return d.Links.Call(ctx, addr, link.MethodDisown, link.DisownRequest{Borrower: peer}, &out)
 }
 
-// ReturnLots settles the lots that were not used for the idle time with their lenders,
-// one message for each lender.
+// ReturnLots settles the lots that were not used for the idle time with their lenders, with
+// one message to each lender. Lots whose message fails are sent again by the next call.
 func (d *Desk) ReturnLots(ctx context.Context, idle time.Duration) {
 	byLender := map[string][]grant.LotReturn{}
 	for _, r := range d.Holder.CloseLots(d.Now().Add(-idle)) {
@@ -137,7 +137,7 @@
 	}
 	for lender, lots := range byLender {
 		if d.call(ctx, lender, link.MethodReturn, link.ReturnRequest{Lots: lots}, nil) != nil {
-			continue // they are sent again with the next round
+			continue // sent again by the next call
 		}
 		for _, r := range lots {
 			d.Holder.Acknowledge(r)
@@ -145,14 +145,14 @@
 	}
 }
 
-// AuditLots asks borrowers about the lots lent to them, and takes back those whose
-// answer was lost: without it such a lot would stay open for ever.
+// AuditLots queries borrowers about the lots lent to them, and takes back those whose
+// reply was lost: without it such a lot would stay open forever.
 func (d *Desk) AuditLots(ctx context.Context) {
 	for borrower, parts := range d.Holder.LentLots() {
 		var out link.DisownReply
 		in := link.DisownRequest{Borrower: borrower, Parts: parts}
 		if d.call(ctx, borrower, link.MethodDisown, in, &out) != nil {
-			continue // asked again with the next round
+			continue // queried again by the next call
 		}
 		for _, p := range out.Parts {
 			d.Holder.TakeBackLost(d.Now(), p)
