--- a/lender/lender.go
+++ b/lender/lender.go
@@ -1,11 +1,11 @@
-// Package lender is the process on the VMs of upstreams. It holds prepaid budgets: it is home
-// to some, takes their tokens from the store and lends them to routers. And it tells routers
-// what the engine beside it has cached and has yet to read, since all of them announce to it
-// what they send there. No request passes through it.
+// Package lender implements the process that runs on the VMs of upstreams. It holds prepaid
+// budgets: as their primary it takes their tokens from the store and lends them to routers. It
+// also reports to routers the cached prompt parts and the pending prefill of the engine on its VM,
+// since all routers announce to it what they send there. No request passes through it.
 //
-// Routers could be the homes of budgets, and are where there is no lender. But they are
-// cut off from the store, restarted and replaced far more often: each death of a home
-// loses the tokens that it held, and a home that is cut off runs out of them.
+// Routers can be primaries of budgets, and are where there is no lender. But they are partitioned
+// from the store, restarted and replaced far more often: each death of a primary loses the tokens
+// that it held, and a primary that cannot reach the store runs out of them.
 package lender
 
 import (
@@ -31,37 +31,37 @@
 	"github.com/arbutusmill/arbutusmill/settings"
 )
 
-// liveFields are the settings that a reload changes in a running process.
-var liveFields = map[string]bool{"stop": true}
+// reloadableFields are the settings that a reload applies without a restart.
+var reloadableFields = map[string]bool{"stop": true}
 
-// Lender is one such process.
+// Lender is the state of a lender process.
 type Lender struct {
 	*hosted.Base
-	// settings are those of the start, current those of the last reload.
+	// settings are those from the start, current those from the last reload.
 	settings *settings.Lender
 	current  atomic.Pointer[settings.Lender]
-	upstream neighbour
-	// engine is what the upstream has read and has yet to read.
+	upstream upstreamMonitor
+	// engine models the upstream's cache and pending prefill.
 	engine *prefill.Engine
-	// prompts are those that end upstreams, as routers told.
+	// prompts stores the prompts that crash upstreams, as reported by routers.
 	prompts *promptKeeper
-	// loggedLimit is the upstream's limit as it was last logged, the bits of a float64.
+	// loggedLimit is the last logged limit of the upstream, as the bits of a float64.
 	loggedLimit atomic.Uint64
-	// stopping says that a planned stop has begun.
+	// stopping is set when a planned stop begins.
 	stopping atomic.Bool
 }
 
-// New makes a lender; it makes no call. dropped returns the lines that the log's writer
-// could not keep.
+// New returns a lender; it makes no calls to other processes. dropped returns the number of lines
+// that the log writer dropped.
 func New(s *settings.Lender, network hosted.Network, log io.Writer, dropped func() uint64) *Lender {
 	l := &Lender{settings: s, engine: prefill.NewEngine(time.Now(), s.Upstream.PrefillPerMs)}
-	l.prompts = &promptKeeper{first: l.isFirstKeeper}
+	l.prompts = &promptKeeper{isWriter: l.isPromptWriter}
 	methods := l.prompts.methods()
 	maps.Copy(methods, map[string]link.Handler{
 		link.MethodAnnounce:      link.Handle(l.announce),
 		link.MethodWithdraw:      link.Handle(l.withdraw),
-		link.MethodReadElsewhere: link.Handle(l.readElsewhere),
-		link.MethodLimit:         link.Handle(l.limitNamed),
+		link.MethodReadElsewhere: link.Handle(l.recordRemotePrefill),
+		link.MethodLimit:         link.Handle(l.observeLimit),
 	})
 	l.Base = hosted.New(hosted.Parts{
 		Role: prepaid.RoleLender, VM: s.VM, Datacentre: s.Datacentre, Link: s.Listen.Link, Beside: s.Upstream.Address, Relays: true,
@@ -69,45 +69,47 @@
 		Store:   s.Store, Budgets: s.Budgets, Limits: &prepaid.Told{},
 		Network: network, Log: observe.NewJSONLogger(log, s.Log.Level, s.VM), LogDropped: dropped,
 	})
-	l.prompts.store, l.prompts.unreadable, l.prompts.log = l.Store, l.Unreadable, l.Log
+	l.prompts.store, l.prompts.recordUnreadable, l.prompts.log = l.Store, l.Unreadable, l.Log
 	l.current.Store(s)
-	l.upstream = neighbour{
+	l.upstream = upstreamMonitor{
 		address: s.Upstream.Address,
 		timeout: time.Duration(s.Upstream.Timeout),
 		client:  &http.Client{Transport: &http.Transport{DialContext: network.Dial, MaxIdleConnsPerHost: 1}},
 	}
 	l.Admin.Dump = l.dump
-	l.Metrics.NewGauge("arbutusmill_lender_kept_prompts", func() float64 { return float64(len(l.prompts.register.List(time.Now()))) })
+	l.Metrics.NewGauge("arbutusmill_lender_kept_prompts", func() float64 { return float64(len(l.prompts.registry.List(time.Now()))) })
 	l.Metrics.NewGauge("arbutusmill_lender_limit_per_second", func() float64 { return l.engine.State(time.Now()).Limit })
 	return l
 }
 
-// isFirstKeeper reports whether this process is the first of those that keep prompts.
-func (l *Lender) isFirstKeeper() bool {
+// isPromptWriter reports whether this process ranks first among those that keep prompts and
+// therefore writes them to the store.
+func (l *Lender) isPromptWriter() bool {
 	ranked := l.Members.Rank(poison.KeepersKey, prepaid.RoleLender)
 	return len(ranked) > 0 && ranked[0].ID == l.Life
 }
 
-// state is a lender as dumps show it.
+// state is the part of a lender that dumps contain.
 type state struct {
 	Life    string `json:"life"`
 	Aside   bool   `json:"aside"`
 	Budgets any    `json:"budgets"`
 	Engine  any    `json:"engine"`
 	Members any    `json:"members"`
-	// Followed is whom the process follows, Relay what it relays to others.
+	// Followed is the relay that the process follows, Relay what it relays to others.
 	Followed any `json:"followed"`
 	Relay    any `json:"relay"`
-	// Prompts are those that upstreams ended under, as routers told.
+	// Prompts are those during which upstreams crashed, as reported by routers.
 	Prompts any `json:"prompts"`
 }
 
 func (l *Lender) dump() any {
 	return state{Life: l.Life, Aside: l.Members.Withdrawn(), Engine: l.engine.State(time.Now()), Budgets: l.Budgets.State(), Members: l.Members.Members(),
-		Followed: l.Follower.State(), Relay: l.Hub.State(), Prompts: l.prompts.register.List(time.Now())}
+		Followed: l.Follower.State(), Relay: l.Hub.State(), Prompts: l.prompts.registry.List(time.Now())}
 }
 
-// Run serves until stop is done, then gives unused tokens back.
+// Run serves until stop is done, then returns unused tokens. Its error is that of a listening
+// address that cannot be opened.
 func (l *Lender) Run(stop context.Context) error {
 	hosted.LimitMemory(l.settings.Limits.MemoryMB)
 	var admin, links net.Listener
@@ -125,10 +127,10 @@
 	l.Serve(duties, admin, links)
 	if l.upstream.address != "" {
 		l.Members.SetWithdrawn(true) // until the upstream has answered
-		duties.Go(l.followUpstream)
+		duties.Go(l.monitorUpstream)
 	}
-	duties.Every(lapsePause, l.prompts.lapse)
-	duties.Every(storePause, l.prompts.write)
+	duties.Every(expireInterval, l.prompts.expire)
+	duties.Every(storeInterval, l.prompts.write)
 	l.Start(duties)
 	l.Admin.SetReady(true)
 	<-stop.Done()
@@ -140,16 +142,16 @@
 	return nil
 }
 
-// announce takes a prompt that a router sends to the upstream beside.
+// announce records a prompt that a router sends to the upstream on this VM.
 func (l *Lender) announce(_ context.Context, in prefill.Announcement) (prefill.AnnounceReply, error) {
 	reply := l.engine.Announce(time.Now(), in)
-	l.announced(reply)
-	l.limitKnown(reply.Limit)
+	l.countAnnouncement(reply)
+	l.logLimit(reply.Limit)
 	return reply, nil
 }
 
-// announced counts a prompt by whether it may go to the upstream.
-func (l *Lender) announced(reply prefill.AnnounceReply) {
+// countAnnouncement counts a prompt by whether it may be sent to the upstream.
+func (l *Lender) countAnnouncement(reply prefill.AnnounceReply) {
 	result := "taken"
 	switch {
 	case reply.Denied && reply.RetryAfter > 0:
@@ -160,38 +162,39 @@
 	l.Metrics.GetOrCreateCounter(fmt.Sprintf("arbutusmill_lender_announced_prompts_total{result=%q}", result)).Inc()
 }
 
-// limitNamed takes what an answer of the upstream beside said of the requests that it takes.
-func (l *Lender) limitNamed(_ context.Context, in link.LimitNamed) (ratelimit.State, error) {
-	known := l.engine.ObserveLimit(time.Now(), in.Born, in.Word)
-	l.limitKnown(known)
-	return known, nil
+// observeLimit records the request limit that a response of the upstream on this VM named.
+func (l *Lender) observeLimit(_ context.Context, in link.LimitNamed) (ratelimit.State, error) {
+	limit := l.engine.ObserveLimit(time.Now(), in.Born, in.Word)
+	l.logLimit(limit)
+	return limit, nil
 }
 
-// limitKnown logs when what is known of the upstream's limit has changed.
-func (l *Lender) limitKnown(s ratelimit.State) {
+// logLimit logs changes of the upstream's recorded limit.
+func (l *Lender) logLimit(s ratelimit.State) {
 	if was := l.loggedLimit.Swap(math.Float64bits(s.PerSecond)); was != math.Float64bits(s.PerSecond) {
 		l.Log.Info().Float64("was_per_second", math.Float64frombits(was)).Float64("per_second", s.PerSecond).
 			Int64("number", s.Mark.Number).Msg("upstream_limit")
 	}
 }
 
-// withdraw takes back a prompt that went elsewhere.
+// withdraw revokes the announcement of a prompt that went to another upstream.
 func (l *Lender) withdraw(_ context.Context, in link.Withdrawal) (link.Empty, error) {
 	l.engine.Withdraw(time.Now(), in.Announcement, in.Told)
 	return link.Empty{}, nil
 }
 
-// readElsewhere takes that another engine reads parts of prompts which prefer the one beside.
-func (l *Lender) readElsewhere(_ context.Context, in prefill.RemotePrefill) (link.Empty, error) {
+// recordRemotePrefill records that another engine prefills parts of prompts whose preferred engine
+// is the one on this VM.
+func (l *Lender) recordRemotePrefill(_ context.Context, in prefill.RemotePrefill) (link.Empty, error) {
 	l.engine.RecordRemotePrefill(time.Now(), in)
 	return link.Empty{}, nil
 }
 
-// stopMargin is the part of the grace that is kept for the end of the process.
+// stopMargin is the part of the grace period that is reserved for the end of the process.
 const stopMargin = time.Second
 
-// stop is a planned stop: others become homes in this process's place, and what it lent
-// comes back as the borrowers' requests end. What is still out then counts as used.
+// stop performs a planned stop: other processes become primaries in this one's place, and lent
+// tokens are returned as the borrowers' requests end. Tokens still lent afterwards count as used.
 func (l *Lender) stop(ctx context.Context) {
 	began := time.Now()
 	l.stopping.Store(true)
@@ -204,15 +207,15 @@
 	l.Log.Info().Int64("took_ms", time.Since(began).Milliseconds()).Msg("stopped")
 }
 
-// Reload puts checked settings in force, as far as a running process can change.
+// Reload applies validated settings as far as a running process can change them.
 func (l *Lender) Reload(s *settings.Lender) {
-	changed, restart := settings.Differences(l.current.Load(), s, liveFields)
+	changed, restart := settings.Differences(l.current.Load(), s, reloadableFields)
 	l.current.Store(s)
 	l.Reloaded("taken")
 	l.Log.Info().Str("changed", strings.Join(changed, ",")).Str("needs_restart", strings.Join(restart, ",")).Msg("reloaded")
 }
 
-// ReloadRefused notes settings that are wrong; those in force stay.
+// ReloadRefused records a reload with invalid settings; the active settings stay.
 func (l *Lender) ReloadRefused(err error) {
 	l.Reloaded("refused")
 	l.Log.Error().Err(err).Msg("reload_refused")
--- a/lender/prompts.go
+++ b/lender/prompts.go
@@ -15,40 +15,41 @@
 )
 
 const (
-	// promptsKey is the store's key of what is known of prompts.
+	// promptsKey is the store's key of the evidence about prompts.
 	promptsKey = "arbutusmill/prompts"
-	// lapsePause is the pause between two looks for prompts whose time is over.
-	lapsePause = time.Second
-	// storePause is the pause between two writes to the store: the requests that one engine's end
-	// cuts are told within less, and go in one write.
-	storePause = time.Second
-	// loadTimeout bounds the read of the store that a router's question waits for.
+	// expireInterval is the pause between two checks for expired evidence.
+	expireInterval = time.Second
+	// storeInterval is the pause between two writes to the store: the requests that one engine's
+	// crash interrupts are reported within less, and go into one write.
+	storeInterval = time.Second
+	// loadTimeout bounds the read of the store that a router's request waits for.
 	loadTimeout = 100 * time.Millisecond
 )
 
-// errNotLoaded says that nothing is known of prompts here, and that the store could not be read.
-var errNotLoaded = errors.New("what the store has of prompts was not read")
+// errNotLoaded is returned if no prompts are recorded here and the store could not be read.
+var errNotLoaded = errors.New("the recorded prompts could not be read from the store")
 
-// promptKeeper keeps what routers know of prompts that end upstreams. It outlives them here when
-// all routers start anew, and in the store when all processes do.
+// promptKeeper stores the routers' evidence about prompts that crash upstreams. The evidence
+// survives a restart of all routers here, and a restart of all processes in the store.
 type promptKeeper struct {
-	register poison.Registry
+	registry poison.Registry
 	store    store.Store
-	// first reports whether this process is the first of the keepers, which writes to the store.
-	first func() bool
-	// unreadable is told of a value in the store that cannot be decoded.
-	unreadable func(of string)
-	log        zerolog.Logger
+	// isWriter reports whether this process ranks first among the keepers and writes to the store.
+	isWriter func() bool
+	// recordUnreadable counts a value in the store that cannot be decoded.
+	recordUnreadable func(of string)
+	log              zerolog.Logger
 
-	// calls is held during calls of the store, so that one is made at a time.
-	calls sync.Mutex
-	// loaded says that the store's value was read, changed that more is known than was written.
+	// storeMu is held during calls of the store, so that one is made at a time.
+	storeMu sync.Mutex
+	// loaded is set once the store's value was read, changed while the registry differs from the
+	// written value.
 	loaded, changed atomic.Bool
-	// revision is the one that a write replaces. It belongs to the holder of calls.
+	// revision is the one that a write replaces. It is guarded by storeMu.
 	revision store.Revision
 }
 
-// methods answer routers.
+// methods returns the handlers of messages from routers.
 func (k *promptKeeper) methods() map[string]link.Handler {
 	return map[string]link.Handler{
 		link.MethodPromptKeep: link.Handle(k.keep),
@@ -56,34 +57,34 @@
 	}
 }
 
-// keep takes what a router knows.
+// keep records a router's evidence and returns the merged evidence.
 func (k *promptKeeper) keep(_ context.Context, in link.PromptKeep) ([]poison.Evidence, error) {
 	now := time.Now()
 	for _, a := range in.Answered {
-		k.register.RecordAnswer(now, a.Prompt, a.Service)
+		k.registry.RecordAnswer(now, a.Prompt, a.Service)
 	}
-	kept := make([]poison.Evidence, 0, len(in.Known))
-	news := 0
+	merged := make([]poison.Evidence, 0, len(in.Known))
+	added := 0
 	for _, e := range in.Known {
-		all, isNew := k.register.Add(now, e)
-		kept = append(kept, all)
+		all, isNew := k.registry.Add(now, e)
+		merged = append(merged, all)
 		if isNew {
-			news++
+			added++
 		}
 	}
-	if news+len(in.Answered) > 0 {
+	if added+len(in.Answered) > 0 {
 		k.changed.Store(true)
 	}
-	k.log.Info().Int("prompts", len(in.Known)).Int("news", news).Int("answered", len(in.Answered)).Msg("prompts_kept")
-	return kept, nil
+	k.log.Info().Int("prompts", len(in.Known)).Int("news", added).Int("answered", len(in.Answered)).Msg("prompts_kept")
+	return merged, nil
 }
 
-// list tells a router that has just started.
+// list returns all evidence to a router that has just started.
 func (k *promptKeeper) list(ctx context.Context, _ link.Empty) ([]poison.Evidence, error) {
-	if err := k.load(ctx); err != nil && k.register.Empty() {
+	if err := k.load(ctx); err != nil && k.registry.Empty() {
 		return nil, fmt.Errorf("%w: %w", errNotLoaded, err)
 	}
-	return k.register.List(time.Now()), nil
+	return k.registry.List(time.Now()), nil
 }
 
 // load reads the store's value, once.
@@ -91,8 +92,8 @@
 	if k.loaded.Load() {
 		return nil
 	}
-	k.calls.Lock()
-	defer k.calls.Unlock()
+	k.storeMu.Lock()
+	defer k.storeMu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	return k.loadLocked(ctx)
@@ -108,7 +109,7 @@
 	}
 	all := k.decode(item)
 	for _, e := range all {
-		k.register.Add(time.Now(), e)
+		k.registry.Add(time.Now(), e)
 	}
 	k.revision = item.Revision
 	k.loaded.Store(true)
@@ -116,30 +117,30 @@
 	return nil
 }
 
-// decode reads the store's value. One that is unreadable counts as empty, and the next write replaces it.
+// decode decodes the store's value. An undecodable value counts as empty, and the next write replaces it.
 func (k *promptKeeper) decode(item store.Item) []poison.Evidence {
 	if item.Revision == 0 {
 		return nil
 	}
 	all, err := poison.Decode(time.Now(), item.Value)
 	if err != nil {
-		k.unreadable("prompts")
+		k.recordUnreadable("prompts")
 		k.log.Error().Err(err).Str("key", promptsKey).Int64("revision", int64(item.Revision)).Msg("prompts_unreadable")
 	}
 	return all
 }
 
-// write writes what changed to the store, at the first of the keepers. The next call repeats one that failed.
+// write writes changes to the store if this process is the writer. The next call retries a failed write.
 func (k *promptKeeper) write(ctx context.Context) {
-	if !k.changed.Load() || !k.first() {
+	if !k.changed.Load() || !k.isWriter() {
 		return
 	}
-	k.calls.Lock()
-	defer k.calls.Unlock()
-	k.changed.Store(false) // what changes from here on may not be in the value
+	k.storeMu.Lock()
+	defer k.storeMu.Unlock()
+	k.changed.Store(false) // later changes may not be in the written value
 	if err := k.writeLocked(ctx); err != nil {
 		k.changed.Store(true)
-		k.loaded.Store(false) // another one may have written, or this write may be done later
+		k.loaded.Store(false) // another process may have written, or this write may take effect later
 		k.log.Warn().Err(err).Msg("prompts_not_stored")
 	}
 }
@@ -149,7 +150,7 @@
 		return err
 	}
 	now := time.Now()
-	value, err := poison.Encode(now, k.register.List(now))
+	value, err := poison.Encode(now, k.registry.List(now))
 	if err != nil {
 		return err
 	}
@@ -162,9 +163,9 @@
 	return nil
 }
 
-// lapse forgets prompts whose time is over.
-func (k *promptKeeper) lapse(context.Context) {
-	for _, lapsed := range k.register.Expire(time.Now()) {
-		k.log.Info().Str("prompt", string(lapsed.Prompt)).Stringer("was", lapsed.Was).Stringer("standing", lapsed.Now).Msg("prompt_lapsed")
+// expire removes expired evidence and logs the prompts whose standing changes.
+func (k *promptKeeper) expire(context.Context) {
+	for _, change := range k.registry.Expire(time.Now()) {
+		k.log.Info().Str("prompt", string(change.Prompt)).Stringer("was", change.Was).Stringer("standing", change.Now).Msg("prompt_lapsed")
 	}
 }
--- a/lender/upstream.go
+++ b/lender/upstream.go
@@ -11,118 +11,119 @@
 	"github.com/arbutusmill/arbutusmill/prefill"
 )
 
-// mostSilent is the number of questions in a row that the upstream may leave unanswered
-// before it counts as gone: one may be lost to a moment of load.
-const mostSilent = 2
+// maxMissedReports is the number of consecutive polls without an answer from which the upstream
+// counts as gone: one may be lost to a moment of load.
+const maxMissedReports = 2
 
-// errRestarted says that the upstream started again between its report and its list.
-var errRestarted = errors.New("the upstream has started again meanwhile")
+// errRestarted is returned if the upstream restarted between its report and its cache list.
+var errRestarted = errors.New("the upstream restarted before it listed its cache")
 
-// neighbour follows the upstream on the lender's VM. A VM is taken away with its upstream,
-// often without a signal to the other processes on it, and what a lender holds at that
-// moment is lost. So a lender is home to budgets only while its upstream serves: it steps
-// aside when the upstream says that it leaves, or says nothing, and gives its tokens back.
-type neighbour struct {
-	address string
-	timeout time.Duration
-	client  *http.Client
-	silent  int
-	fit     bool
-	// born is when the upstream started, by its last answer; answered says that there was one.
-	born     int64
-	answered bool
+// upstreamMonitor polls the upstream on the lender's VM. A VM is removed with its upstream, often
+// without a signal to the other processes on it, and the tokens that a lender holds at that
+// moment are lost. So a lender is a primary of budgets only while its upstream serves: it
+// withdraws when the upstream reports that it is leaving or does not answer, and returns its
+// tokens.
+type upstreamMonitor struct {
+	address  string
+	timeout  time.Duration
+	client   *http.Client
+	missed   int
+	eligible bool
+	// startedAt is the upstream's start time by its last answer; answered is set if there was one.
+	startedAt int64
+	answered  bool
 }
 
-// news is what one question to the upstream brought.
-type news struct {
+// observation is the result of one poll of the upstream.
+type observation struct {
 	report platform.Report
-	// fit says that the lender should be a home; changed, that this has changed, and why.
-	fit, changed bool
-	why          string
-	// restarted says that the upstream is a new one under the address.
+	// eligible is set if the lender may be a primary, changed if this differs from the previous
+	// poll; reason explains it.
+	eligible, changed bool
+	reason            string
+	// restarted is set if another incarnation of the upstream answers at the address.
 	restarted bool
 }
 
-// ask asks once.
-func (n *neighbour) ask(ctx context.Context) news {
-	ctx, cancel := context.WithTimeout(ctx, n.timeout)
+// poll requests one report from the upstream.
+func (m *upstreamMonitor) poll(ctx context.Context) observation {
+	ctx, cancel := context.WithTimeout(ctx, m.timeout)
 	defer cancel()
-	r, err := platform.ReadReport(ctx, n.client, n.address)
-	return n.take(r, err)
+	r, err := platform.ReadReport(ctx, m.client, m.address)
+	return m.observe(r, err)
 }
 
-// take notes an answer. An upstream may crash and start again between two questions, so that
-// none of them stays without an answer; its start then tells.
-func (n *neighbour) take(r platform.Report, err error) news {
-	fit, why := n.judge(r, err)
-	out := news{report: r, fit: fit, changed: fit != n.fit, why: why}
-	n.fit = fit
+// observe records the result of a poll. An upstream may crash and restart between two polls, so
+// that no poll fails; the changed start time then reveals it.
+func (m *upstreamMonitor) observe(r platform.Report, err error) observation {
+	eligible, reason := m.assess(r, err)
+	out := observation{report: r, eligible: eligible, changed: eligible != m.eligible, reason: reason}
+	m.eligible = eligible
 	if err == nil {
-		out.restarted = n.answered && r.Born != n.born
-		n.answered, n.born = true, r.Born
+		out.restarted = m.answered && r.Born != m.startedAt
+		m.answered, m.startedAt = true, r.Born
 	}
 	return out
 }
 
-// judge decides by the newest answer.
-func (n *neighbour) judge(r platform.Report, err error) (fit bool, why string) {
+// assess decides from the newest result whether the lender may be a primary.
+func (m *upstreamMonitor) assess(r platform.Report, err error) (eligible bool, reason string) {
 	if errors.Is(err, platform.ErrNoReport) {
-		n.silent = 0
-		return true, err.Error() // it answers, which is all that can be known
+		m.missed = 0
+		return true, err.Error() // it answers but sends no reports
 	}
 	if err != nil {
-		n.silent++
-		return n.fit && n.silent < mostSilent, err.Error()
+		m.missed++
+		return m.eligible && m.missed < maxMissedReports, err.Error()
 	}
-	n.silent = 0
+	m.missed = 0
 	return !r.Leaving, "state " + r.State
 }
 
-// followUpstream asks the upstream again and again until the context ends, at once for the first
-// time: when all processes come back together, routers ask for tokens within milliseconds, and
-// each one that finds no lender takes tokens from the store and keeps a row there. Of 103 routers
-// 98 did so while the first question came half a second late, and made a third of all the calls
-// of the store that day.
-func (l *Lender) followUpstream(ctx context.Context) {
+// monitorUpstream polls the upstream until the context ends, and starts with no delay: when all
+// processes restart together, routers request tokens within milliseconds, and each one that finds
+// no lender takes tokens from the store and keeps a row there. With a first poll half a second late,
+// 98 of 103 routers did so, which made a third of all calls of the store on that day.
+func (l *Lender) monitorUpstream(ctx context.Context) {
 	for ctx.Err() == nil {
-		l.askUpstream(ctx)
-		_ = backoff.Sleep(ctx, time.Duration(l.settings.Upstream.Interval)) // ends early only with the context
+		l.pollUpstream(ctx)
+		_ = backoff.Sleep(ctx, time.Duration(l.settings.Upstream.Interval)) // returns early only when the context ends
 	}
 }
 
-// askUpstream asks once and steps aside or comes back.
-func (l *Lender) askUpstream(ctx context.Context) {
-	n := l.upstream.ask(ctx)
-	if room := n.report.MemoryTokens - n.report.HeldTokens; room > 0 {
-		l.engine.SetCacheCapacity(room)
+// pollUpstream polls the upstream once and withdraws this process or ends its withdrawal.
+func (l *Lender) pollUpstream(ctx context.Context) {
+	o := l.upstream.poll(ctx)
+	if capacity := o.report.MemoryTokens - o.report.HeldTokens; capacity > 0 {
+		l.engine.SetCacheCapacity(capacity)
 	}
-	if n.changed || n.restarted {
-		parts, read := l.cachedBeside(ctx, n)
-		l.engine.Reset(l.upstream.born, parts)
-		if read && len(parts) == 0 && n.report.Requests == 0 {
+	if o.changed || o.restarted {
+		parts, read := l.readUpstreamCache(ctx, o)
+		l.engine.Reset(l.upstream.startedAt, parts)
+		if read && len(parts) == 0 && o.report.Requests == 0 {
 			l.engine.MarkUnused()
 		}
-		l.Log.Info().Bool("home", n.fit).Str("why", n.why).Int64("born", l.upstream.born).Bool("restarted", n.restarted).
+		l.Log.Info().Bool("home", o.eligible).Str("why", o.reason).Int64("born", l.upstream.startedAt).Bool("restarted", o.restarted).
 			Msg("upstream_beside")
 	}
-	l.Members.SetWithdrawn(!n.fit || l.stopping.Load())
+	l.Members.SetWithdrawn(!o.eligible || l.stopping.Load())
 }
 
-// cachedBeside is what the upstream has cached when this process begins to hear of prompts:
-// after all processes were lost at once, upstreams still keep what they had read. It is asked
-// once, since the answer delays the upstream, and not at all of one that has just started.
-func (l *Lender) cachedBeside(ctx context.Context, n news) (parts []prefill.Part, read bool) {
-	if !n.fit || n.restarted {
+// readUpstreamCache returns what the upstream has cached when this process starts to receive
+// announcements: after a loss of all processes, upstreams still have their caches. It is read
+// once, since listing the cache delays the upstream, and not from an upstream that just started.
+func (l *Lender) readUpstreamCache(ctx context.Context, o observation) (parts []prefill.Part, read bool) {
+	if !o.eligible || o.restarted {
 		return nil, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, l.upstream.timeout)
 	defer cancel()
 	list, err := platform.ReadCache(ctx, l.upstream.client, l.upstream.address)
-	if err == nil && list.Born != l.upstream.born {
+	if err == nil && list.Born != l.upstream.startedAt {
 		err = errRestarted
 	}
 	if err != nil {
-		l.Log.Warn().Err(err).Msg("cache_not_read") // prompts are taken for unread
+		l.Log.Warn().Err(err).Msg("cache_not_read") // prompts are treated as not cached
 		return nil, false
 	}
 	return list.Parts, true
--- a/lender/upstream_test.go
+++ b/lender/upstream_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A lender is a home while its upstream serves. One lost answer changes nothing, for each
-// change moves budgets; two in a row, or the upstream's own word, do.
-func TestHomeWhileTheUpstreamServes(t *testing.T) {
+// A lender is a primary while its upstream serves. One lost answer changes nothing, since each
+// change moves budgets; two in a row, or the upstream's own report, do.
+func TestPrimaryWhileTheUpstreamServes(t *testing.T) {
 	serves := platform.Report{State: "ready"}
 	leaves := platform.Report{State: "draining", Leaving: true}
 	silent := errors.New("no answer")
@@ -19,7 +19,7 @@
 		name    string
 		reports []platform.Report
 		errs    []error
-		home    bool
+		primary bool
 	}{
 		{"not before the first answer", []platform.Report{{}}, []error{silent}, false},
 		{"serves", []platform.Report{serves}, []error{nil}, true},
@@ -31,32 +31,36 @@
 		{"a plain service that does not report", []platform.Report{{}}, []error{platform.ErrNoReport}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			n := &neighbour{}
+			m := &upstreamMonitor{}
 			for i, r := range c.reports {
-				n.fit, _ = n.judge(r, c.errs[i])
+				m.eligible, _ = m.assess(r, c.errs[i])
 			}
-			require.Equal(t, c.home, n.fit)
+			require.Equal(t, c.primary, m.eligible)
 		})
 	}
 }
 
-// An upstream crashes and is back before it was asked twice in vain, or even once. What the
-// lender knew of its cache and queue is then of an earlier life, and only its start tells so.
-func TestRestartBetweenTwoQuestions(t *testing.T) {
-	n := &neighbour{}
-	serves := func(born int64) news { return n.take(platform.Report{State: "ready", Born: born}, nil) }
-	require.Equal(t, news{report: platform.Report{State: "ready", Born: 1}, fit: true, changed: true, why: "state ready"}, serves(1))
+// An upstream crashes and restarts before two polls, or even one, went unanswered. The lender's
+// model of its cache and queue is then of the previous incarnation, which only the changed start
+// time reveals.
+func TestRestartBetweenTwoPolls(t *testing.T) {
+	m := &upstreamMonitor{}
+	serves := func(startedAt int64) observation {
+		return m.observe(platform.Report{State: "ready", Born: startedAt}, nil)
+	}
+	require.Equal(t, observation{report: platform.Report{State: "ready", Born: 1}, eligible: true, changed: true, reason: "state ready"}, serves(1))
 	require.False(t, serves(1).restarted)
 	again := serves(2)
 	require.True(t, again.restarted)
 	require.False(t, again.changed)
-	n.take(platform.Report{}, errors.New("no answer"))
-	require.False(t, serves(2).restarted, "it was late once")
-	require.EqualValues(t, 2, n.born)
+	m.observe(platform.Report{}, errors.New("no answer"))
+	require.False(t, serves(2).restarted, "one lost answer is no restart")
+	require.EqualValues(t, 2, m.startedAt)
 }
 
-// The platform knows no upstream beside this process, and leaves the field empty.
-func TestNoUpstreamBeside(t *testing.T) {
+// On a VM without an upstream, the platform leaves the address field empty; such settings must be
+// accepted.
+func TestNoUpstreamOnTheVM(t *testing.T) {
 	s, err := settings.ParseLender([]byte("vm: a\ndatacentre: b\nlisten: {admin: \"127.0.0.1:1\", link: \"127.0.0.1:2\"}\n" +
 		"store: {address: \"127.0.0.1:3\"}\nupstream:\n  address: \nlimits:\n  memory_mb: 100\n"))
 	require.NoError(t, err)
