--- a/hosted/base.go
+++ b/hosted/base.go
@@ -1,5 +1,5 @@
-// Package hosted is what the processes on the operators' platform have in common: a name
-// for each life, a network, the store, the other members, and prepaid budgets.
+// Package hosted implements what the processes on the operators' platform have in common: a name
+// for each incarnation, a network, the store, the other members, and prepaid budgets.
 package hosted
 
 import (
@@ -24,29 +24,29 @@
 	"github.com/rs/zerolog"
 )
 
-// memberPrefix begins the keys by which members know of each other.
+// memberPrefix begins the keys of the members' entries in the store.
 const memberPrefix = "arbutusmill/member/"
 
 const (
-	// lifeLetters is the length of the random part of a life's name: 40 bits.
-	lifeLetters = 8
-	// linkHeartbeat and linkDialTimeout watch the connections between members.
+	// incarnationSuffixLen is the length of the random part of an incarnation's name: 40 bits.
+	incarnationSuffixLen = 8
+	// linkHeartbeat and linkDialTimeout detect broken connections between members.
 	linkHeartbeat   = time.Second
 	linkDialTimeout = 400 * time.Millisecond
 	// adminHeaderTimeout bounds the wait for the headers of an operator's request.
 	adminHeaderTimeout = 10 * time.Second
 	// storeDialTimeout bounds the start of a connection to the store.
 	storeDialTimeout = time.Second
-	// storeIdleConns bounds the kept connections to the store: two watches, the
-	// lease and a few calls at once.
+	// storeIdleConns bounds the idle connections to the store: two watches, the
+	// lease and a few concurrent calls.
 	storeIdleConns = 8
 )
 
-// private is the security of control messages: the platform's internal ports are
-// reached by the system's own VMs only.
-var private = link.Security{Private: true}
+// internalSecurity is the security of control messages: only the system's own VMs can reach
+// the platform's internal ports.
+var internalSecurity = link.Security{Private: true}
 
-// Parts is what a process is put together from.
+// Parts are the settings and dependencies of a Base.
 type Parts struct {
 	// Role is prepaid.RoleRouter or prepaid.RoleLender.
 	Role       string
@@ -56,25 +56,25 @@
 	Link string
 	// Beside is the address of the upstream on the same VM, "" if there is none.
 	Beside string
-	// Methods answers messages of other members beside those of the budgets; it may
-	// be nil.
+	// Methods are the handlers of messages of other members in addition to those of the
+	// budgets; it may be nil.
 	Methods map[string]link.Handler
-	// Readers are told of the store's keys under their prefixes.
+	// Readers receive the store's keys under their prefixes.
 	Readers map[string]mirror.Reader
-	// Relays says that the VM is strong enough to relay the store's changes.
+	// Relays is set if the VM has the resources to relay the store's changes.
 	Relays  bool
 	Store   settings.HostedStore
 	Budgets settings.HostedBudgets
 	Limits  prepaid.Limits
 	Network Network
 	Log     zerolog.Logger
-	// LogDropped returns the lines that the log's writer could not keep.
+	// LogDropped returns the number of lines that the log writer dropped.
 	LogDropped func() uint64
 }
 
 // Base is the common part of a process.
 type Base struct {
-	// Life names this life of the process.
+	// Life names this incarnation of the process.
 	Life    string
 	Log     zerolog.Logger
 	Network Network
@@ -89,17 +89,17 @@
 	Metrics  *metrics.Set
 
 	methods map[string]link.Handler
-	// relays is whom the follower asks, as of the version relaysOf of the members.
-	relays   []relay.Source
-	relaysOf uint64
-	// What of the store the process depends on: the other members, and its own entry.
+	// relaySources are the relays for the follower, computed from relaySourcesVersion of the members.
+	relaySources        []relay.Source
+	relaySourcesVersion uint64
+	// memberEntries is the store's list of members, ownEntry this process's entry in it.
 	memberEntries, ownEntry Dependency
 }
 
-// New makes the common part; it makes no call.
+// New returns the common part of a process; it makes no calls to other processes.
 func New(p Parts) *Base {
 	b := &Base{
-		Life:    p.VM + "/" + rand.Text()[:lifeLetters],
+		Life:    p.VM + "/" + rand.Text()[:incarnationSuffixLen],
 		Network: p.Network,
 		Admin:   &observe.Admin{},
 		methods: p.Methods,
@@ -108,7 +108,7 @@
 	b.Admin.Metrics = b.Metrics
 	b.Log = p.Log.With().Str("life", b.Life).Logger()
 	b.Store = newStore(p.Store, p.Network)
-	b.Store.Ended = b.storeCallEnded
+	b.Store.Ended = b.recordStoreCall
 	b.Members = &member.Group{
 		Store:    b.Store,
 		Prefix:   memberPrefix,
@@ -119,7 +119,7 @@
 	}
 	b.Hub = b.newHub(p.Store)
 	b.Follower = b.newFollower(p.Store.Address, p.Readers)
-	b.Links = &link.Pool{From: b.Life, Security: private, Heartbeat: linkHeartbeat, DialTimeout: linkDialTimeout,
+	b.Links = &link.Pool{From: b.Life, Security: internalSecurity, Heartbeat: linkHeartbeat, DialTimeout: linkDialTimeout,
 		Log: b.Log.Printf, Dial: p.Network.Dial}
 	b.Budgets = prepaid.New(prepaid.Parts{Life: b.Life, Settings: p.Budgets, Store: b.Store, Members: b.Members,
 		Links: b.Links, Limits: p.Limits, LendsOnly: p.Role == prepaid.RoleLender, Log: b.Log})
@@ -145,13 +145,13 @@
 	maps.Copy(methods, b.methods)
 	methods[link.MethodFollow] = link.Handle(b.Hub.Serve)
 	for name, h := range methods {
-		methods[name] = b.measured(name, h)
+		methods[name] = b.instrumented(name, h)
 	}
-	s := &link.Server{Security: private, Log: b.Log.Printf, Methods: methods}
+	s := &link.Server{Security: internalSecurity, Log: b.Log.Printf, Methods: methods}
 	d.Go(func(ctx context.Context) { s.Serve(ctx, links) })
 }
 
-// Start starts a goroutine for each duty of the common part.
+// Start starts a goroutine for each background task of the common part.
 func (b *Base) Start(d *process.Duties) {
 	d.Go(b.Members.KeepAlive)
 	d.Go(b.Hub.Run)
@@ -159,19 +159,19 @@
 	b.Budgets.Start(d)
 }
 
-// leaveTime is the part of the time for leaving that is kept for the end of the membership:
-// tokens that cannot go back, since their lender is gone, are waited for until the end.
-const leaveTime = 150 * time.Millisecond
+// leaveReserve is the part of the time for leaving that is reserved for the end of the membership:
+// otherwise the wait for tokens that cannot be returned, since their lender is gone, takes all of it.
+const leaveReserve = 150 * time.Millisecond
 
-// Leave gives unused tokens back and ends the membership; it is the end of a planned stop.
+// Leave returns unused tokens and ends the membership; it ends a planned stop.
 func (b *Base) Leave(ctx context.Context) {
 	b.Hub.Stop()
-	giving, cancel := ctx, context.CancelFunc(func() {})
+	returnCtx, cancel := ctx, context.CancelFunc(func() {})
 	if deadline, ok := ctx.Deadline(); ok {
-		giving, cancel = context.WithDeadline(ctx, deadline.Add(-leaveTime))
+		returnCtx, cancel = context.WithDeadline(ctx, deadline.Add(-leaveReserve))
 	}
 	defer cancel()
-	if err := b.Budgets.GiveBack(giving); err != nil {
+	if err := b.Budgets.GiveBack(returnCtx); err != nil {
 		b.Log.Warn().Err(err).Msg("tokens_not_given_back")
 	}
 	if err := b.Members.Leave(ctx); err != nil {
--- a/hosted/metrics.go
+++ b/hosted/metrics.go
@@ -12,14 +12,14 @@
 	"github.com/arbutusmill/arbutusmill/link"
 )
 
-// storeCallEnded counts a call of the store and its time. A waiting call of a watch counts
-// with its wait.
-func (b *Base) storeCallEnded(call string, took time.Duration, err error) {
+// recordStoreCall counts a call of the store and its duration, which includes the wait of a watch
+// call.
+func (b *Base) recordStoreCall(call string, took time.Duration, err error) {
 	b.Metrics.GetOrCreateCounter(fmt.Sprintf("arbutusmill_store_calls_total{call=%q,result=%q}", call, storeResult(err))).Inc()
 	b.Metrics.GetOrCreateHistogram(fmt.Sprintf("arbutusmill_store_call_duration_seconds{call=%q}", call)).Update(took.Seconds())
 }
 
-// storeResult names how a call ended.
+// storeResult returns the result label of a call.
 func storeResult(err error) string {
 	switch {
 	case err == nil:
@@ -32,8 +32,8 @@
 	return "failed"
 }
 
-// measured counts the messages of other members that a method answers, and their time.
-func (b *Base) measured(method string, h link.Handler) link.Handler {
+// instrumented returns a handler that also counts a method's messages and their duration.
+func (b *Base) instrumented(method string, h link.Handler) link.Handler {
 	return func(ctx context.Context, params json.RawMessage) (any, error) {
 		began := time.Now()
 		out, err := h(ctx, params)
@@ -52,7 +52,7 @@
 	b.Metrics.GetOrCreateCounter(fmt.Sprintf("arbutusmill_reloads_total{result=%q}", result)).Inc()
 }
 
-// newMetrics are the metrics that both processes have.
+// newMetrics returns the metrics that routers and lenders have in common.
 func (b *Base) newMetrics(dropped func() uint64) *metrics.Set {
 	m := metrics.NewSet()
 	m.NewGauge("arbutusmill_dropped_log_lines_total", func() float64 { return float64(dropped()) })
@@ -62,7 +62,7 @@
 	return m
 }
 
-// FollowedAge is how old what this process knows of the store's keys is, 0 before the start.
+// FollowedAge returns the age of this process's view of the store's keys, 0 before the first reply.
 func (b *Base) FollowedAge() time.Duration {
 	s := b.Follower.State()
 	if s.LastReply.IsZero() {
--- a/hosted/network.go
+++ b/hosted/network.go
@@ -8,11 +8,11 @@
 	"github.com/arbutusmill/arbutusmill/process"
 )
 
-// Keep-alive probes find an upstream or a peer that went dark while an answer is awaited:
-// without them a caller would wait for its whole deadline.
+// keepAlive detects an upstream or a peer that becomes unreachable during a request: without
+// keep-alive probes a caller would wait for its whole deadline.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 3}
 
-// Network is how a process reaches others and is reached.
+// Network opens listeners and connections.
 type Network struct {
 	// Listen opens a listening address, as net.Listen does.
 	Listen func(network, address string) (net.Listener, error)
@@ -20,13 +20,13 @@
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// TCP is the network of a real process.
+// TCP returns the network of a real process.
 func TCP() Network {
-	d := &net.Dialer{KeepAliveConfig: keepAlive, Control: boundUnacknowledged}
+	d := &net.Dialer{KeepAliveConfig: keepAlive, Control: setUserTimeout}
 	return Network{Listen: net.Listen, Dial: d.DialContext}
 }
 
-// Within bounds the start of a connection.
+// Within returns a dial function that fails if connecting takes longer than the timeout.
 func (n Network) Within(timeout time.Duration) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -37,10 +37,11 @@
 
 // Listening is one address to listen on.
 type Listening struct {
-	// Field is the setting that has the address.
+	// Field is the name of the setting that has the address.
 	Field   string
 	Address string
-	Into    *net.Listener
+	// Into receives the listener.
+	Into *net.Listener
 }
 
 // ListenAll opens all addresses; an error names the setting.
--- a/hosted/relays.go
+++ b/hosted/relays.go
@@ -14,53 +14,53 @@
 )
 
 const (
-	// memberWait and memberPause are those of the watches of members. A view of them that is
-	// seconds old does no harm, and when a fleet starts each of them would end a waiting call.
+	// memberWait and memberPause are the wait and pause of watches of members. A member list that
+	// is seconds old is harmless, and when a fleet starts each new member would end a waiting call.
 	memberWait  = 3 * time.Second
 	memberPause = time.Second
-	// staleSlack is what a waiting call of the store may take beyond its wait before a relay
-	// says that it has lost the store: a store that is slow by a factor of 100 answers in it.
+	// staleSlack is how much longer than its wait a watch call may take before a relay reports the
+	// store as unreachable: a store that is slow by a factor of 100 still answers within it.
 	staleSlack = 500 * time.Millisecond
-	// processesPerRelay is how many processes one relay is for. On the VM of an upstream, with
-	// a third of a core, their questions take a hundredth of it.
+	// processesPerRelay is how many processes one relay serves. On the VM of an upstream, with
+	// a third of a core, their requests take a hundredth of it.
 	processesPerRelay = 100
-	// mostFollowers is how many a relay takes: those of two relays, when one of them ends.
-	mostFollowers = 2*processesPerRelay + processesPerRelay/2
-	// mostRelays is how many relays a process turns to before it asks the store itself. Each
-	// one that is silent takes half a second of the time in which changes are to be in force.
-	mostRelays = 2
-	// probeTimeout bounds the question whether the store answers this process.
+	// maxFollowers is how many followers a relay accepts: those of two relays, for when one ends.
+	maxFollowers = 2*processesPerRelay + processesPerRelay/2
+	// maxRelays is how many relays a process tries before it calls the store itself. Each one that
+	// does not answer takes half a second of the time within which changes must be active.
+	maxRelays = 2
+	// probeTimeout bounds the probe of whether the store answers this process.
 	probeTimeout = 300 * time.Millisecond
 	// ownHub is the name of this process's own hub among the sources.
 	ownHub = "store"
 )
 
-// newHub makes the process a relay for whoever asks it.
+// newHub returns the hub through which this process relays the store's changes to others.
 func (b *Base) newHub(s settings.HostedStore) *relay.Hub {
 	return &relay.Hub{
 		Store: s.Address,
 		Prefixes: []relay.Prefix{
-			followed(platform.OperatorPrefix, b.Store),
-			followed(platform.UpstreamPrefix, b.Store),
-			followed(memberPrefix, patient(b.Store)),
+			relayPrefix(platform.OperatorPrefix, b.Store),
+			relayPrefix(platform.UpstreamPrefix, b.Store),
+			relayPrefix(memberPrefix, withSlowWatches(b.Store)),
 		},
-		MaxFollowers: mostFollowers,
+		MaxFollowers: maxFollowers,
 		Now:          time.Now,
 	}
 }
 
-func followed(prefix string, s *platform.Store) relay.Prefix {
+func relayPrefix(prefix string, s *platform.Store) relay.Prefix {
 	return relay.Prefix{Name: prefix, Store: s, StaleAfter: s.WatchWait + s.WatchPause + staleSlack}
 }
 
-// patient is a store whose watches make fewer calls, for what need not be known at once.
-func patient(s *platform.Store) *platform.Store {
-	other := *s
-	other.WatchWait, other.WatchPause = memberWait, memberPause
-	return &other
+// withSlowWatches returns a store whose watches make fewer calls, for changes that are not urgent.
+func withSlowWatches(s *platform.Store) *platform.Store {
+	slow := *s
+	slow.WatchWait, slow.WatchPause = memberWait, memberPause
+	return &slow
 }
 
-// newFollower follows the members and what else the process reads.
+// newFollower returns a follower of the members and of the process's other readers.
 func (b *Base) newFollower(address string, readers map[string]mirror.Reader) *relay.Follower {
 	all := map[string]mirror.Reader{memberPrefix: b.Members}
 	for prefix, r := range readers {
@@ -69,37 +69,37 @@
 	return &relay.Follower{Store: address, Readers: all, Sources: b.sources, Report: b, Now: time.Now}
 }
 
-// sources lists the relays for this process, made anew when the members have changed. Only the
+// sources lists the relays for this process, recomputed when the members have changed. Only the
 // follower's goroutine calls it.
 func (b *Base) sources() []relay.Source {
-	if v := b.Members.Version(); b.relays == nil || v != b.relaysOf {
-		b.relays, b.relaysOf = b.findRelays(), v
+	if v := b.Members.Version(); b.relaySources == nil || v != b.relaySourcesVersion {
+		b.relaySources, b.relaySourcesVersion = b.findRelaySources(), v
 	}
-	return b.relays
+	return b.relaySources
 }
 
-// findRelays returns the relays for this process, and its own hub at last, or in its place if
-// it is one of those relays.
-func (b *Base) findRelays() []relay.Source {
+// findRelaySources returns the relays for this process, followed by its own hub. If this process is
+// one of those relays, its own hub takes its rank and ends the list.
+func (b *Base) findRelaySources() []relay.Source {
 	candidates := b.relayCandidates()
 	var out []relay.Source
-	for _, vm := range b.orderRelays(candidates) {
+	for _, vm := range b.rankRelays(candidates) {
 		if vm == b.Members.Self.VM {
 			return append(out, relay.Source{Name: ownHub, Follow: b.Hub.Follow})
 		}
-		out = append(out, b.remote(candidates[vm]))
+		out = append(out, b.remoteSource(candidates[vm]))
 	}
 	own := relay.Source{Name: ownHub, Follow: b.Hub.Follow}
 	if len(out) > 0 {
-		own.Usable = b.storeAnswers
+		own.Usable = b.storeReachable
 	}
 	return append(out, own)
 }
 
-// orderRelays lists the VMs of the relays for this process, best first: those of its own data
-// centre before others, since each change goes to each follower and bytes between data centres are
-// paid for.
-func (b *Base) orderRelays(candidates map[string]member.Member) []string {
+// rankRelays lists the VMs of the relays for this process, best first: those of its own data
+// centre before others, since each change goes to each follower and traffic between data centres
+// is billed.
+func (b *Base) rankRelays(candidates map[string]member.Member) []string {
 	var near, far []string
 	for vm, m := range candidates {
 		if m.Datacentre == b.Members.Self.Datacentre {
@@ -108,37 +108,37 @@
 			far = append(far, vm)
 		}
 	}
-	here := 0
+	localMembers := 0
 	for _, m := range b.Members.Members() {
 		if m.Datacentre == b.Members.Self.Datacentre {
-			here++
+			localMembers++
 		}
 	}
-	order := relay.RankRelays(b.Members.Self.VM, near, here, processesPerRelay, mostRelays)
-	rest := relay.RankRelays(b.Members.Self.VM, far, len(b.Members.Members()), processesPerRelay, mostRelays-len(order))
-	return append(order, rest...)
+	ranked := relay.RankRelays(b.Members.Self.VM, near, localMembers, processesPerRelay, maxRelays)
+	rest := relay.RankRelays(b.Members.Self.VM, far, len(b.Members.Members()), processesPerRelay, maxRelays-len(ranked))
+	return append(ranked, rest...)
 }
 
-// relayCandidates are the processes beside upstreams, whose VMs reach the store while routers
-// are cut off and have the stronger links; without those, the routers on strong VMs.
+// relayCandidates returns the lenders, whose VMs reach the store while routers are partitioned
+// from it and have faster links; without lenders, the routers that can relay, or else all routers.
 func (b *Base) relayCandidates() map[string]member.Member {
 	if lenders := b.Members.Newest(prepaid.RoleLender); len(lenders) > 0 {
 		return lenders
 	}
 	routers := b.Members.Newest(prepaid.RoleRouter)
-	strong := map[string]member.Member{}
+	capable := map[string]member.Member{}
 	for vm, m := range routers {
 		if m.CanRelay {
-			strong[vm] = m
+			capable[vm] = m
 		}
 	}
-	if len(strong) > 0 {
-		return strong
+	if len(capable) > 0 {
+		return capable
 	}
 	return routers
 }
 
-func (b *Base) remote(m member.Member) relay.Source {
+func (b *Base) remoteSource(m member.Member) relay.Source {
 	return relay.Source{Name: m.VM, Follow: func(ctx context.Context, r relay.Request) (out relay.Reply, err error) {
 		if err = b.Links.Call(ctx, m.Address, link.MethodFollow, r, &out); err != nil {
 			return out, err
@@ -147,28 +147,28 @@
 	}}
 }
 
-// storeAnswers asks the store for something that costs it little. A process that no relay can
-// serve turns to the store only if that answers: while it is away for all, hundreds of
-// processes would ask it for all keys again and again.
-func (b *Base) storeAnswers(ctx context.Context) bool {
+// storeReachable probes the store with a cheap read. A process that no relay can serve calls the
+// store only if the probe succeeds: during an outage of the store, hundreds of processes would
+// otherwise keep requesting all keys from it.
+func (b *Base) storeReachable(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	_, err := b.Store.StaleSnapshot(ctx, memberPrefix+"none")
 	return err == nil
 }
 
-// follow finds the other members and follows what changes until the context ends.
+// follow finds the other members and follows changes until the context ends.
 func (b *Base) follow(ctx context.Context) {
 	b.Members.FindPeers(ctx)
 	b.Follower.Run(ctx)
 }
 
 // SourceChanged implements relay.Reporter.
-func (b *Base) SourceChanged(source string, why error) {
-	b.Log.Info().Str("source", source).AnErr("left", why).Msg("changes_followed_at")
+func (b *Base) SourceChanged(source string, reason error) {
+	b.Log.Info().Str("source", source).AnErr("left", reason).Msg("changes_followed_at")
 }
 
 // SourceRefused implements relay.Reporter.
-func (b *Base) SourceRefused(source string, why error) {
-	b.Log.Warn().Err(why).Str("source", source).Msg("answer_of_relay_refused")
+func (b *Base) SourceRefused(source string, reason error) {
+	b.Log.Warn().Err(reason).Str("source", source).Msg("answer_of_relay_refused")
 }
--- a/hosted/relays_test.go
+++ b/hosted/relays_test.go
@@ -10,19 +10,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// silent hears of members and does nothing.
-type silent struct{}
+// nopReporter is a member.Reporter that does nothing.
+type nopReporter struct{}
 
-func (silent) MembersChanged(int)     {}
-func (silent) MembersLost(error)      {}
-func (silent) MembersRead()           {}
-func (silent) NotRegistered(error)    {}
-func (silent) Registered()            {}
-func (silent) MemberUnreadable(error) {}
+func (nopReporter) MembersChanged(int)     {}
+func (nopReporter) MembersLost(error)      {}
+func (nopReporter) MembersRead()           {}
+func (nopReporter) NotRegistered(error)    {}
+func (nopReporter) Registered()            {}
+func (nopReporter) MemberUnreadable(error) {}
 
-// baseIn is a router in a data centre that knows lenders in others, as "VM datacentre".
-func baseIn(datacentre string, lenders ...string) *Base {
-	g := &member.Group{Prefix: "m/", TTL: time.Minute, Report: silent{},
+// newRouterBase returns the Base of a router in a data centre that has the lenders, given as
+// "VM datacentre", in its member list.
+func newRouterBase(datacentre string, lenders ...string) *Base {
+	g := &member.Group{Prefix: "m/", TTL: time.Minute, Report: nopReporter{},
 		Self: member.Member{ID: "router/1", Role: "router", VM: "router", Datacentre: datacentre, Address: "r:1"}}
 	var items []store.Item
 	for i, l := range lenders {
@@ -35,21 +36,22 @@
 	return &Base{Members: g}
 }
 
-// A large configuration changes often. Relays of the own data centre are asked, so that it does
-// not pass between data centres for each follower; one without two of them asks others too.
+// A large configuration changes often. A process follows relays in its own data centre, so that the
+// configuration does not cross between data centres for each follower; with fewer than two such
+// relays it follows others too.
 func TestRelaysOfTheOwnDatacentreComeFirst(t *testing.T) {
 	for datacentre, near := range map[string][]string{"bergen": {"a", "b", "c"}, "oslo": {"d", "e"}} {
-		b := baseIn(datacentre, "a bergen", "b bergen", "c bergen", "d oslo", "e oslo")
-		order := b.orderRelays(b.relayCandidates())
-		require.Len(t, order, mostRelays)
+		b := newRouterBase(datacentre, "a bergen", "b bergen", "c bergen", "d oslo", "e oslo")
+		order := b.rankRelays(b.relayCandidates())
+		require.Len(t, order, maxRelays)
 		require.Subset(t, near, order)
 	}
-	b := baseIn("bergen", "a bergen", "d oslo", "e oslo")
-	order := b.orderRelays(b.relayCandidates())
+	b := newRouterBase("bergen", "a bergen", "d oslo", "e oslo")
+	order := b.rankRelays(b.relayCandidates())
 	require.Equal(t, "a", order[0])
-	require.Len(t, order, mostRelays)
-	b = baseIn("bergen", "d oslo")
-	require.Equal(t, []string{"d"}, b.orderRelays(b.relayCandidates()))
-	b = baseIn("bergen")
-	require.Empty(t, b.orderRelays(b.relayCandidates()))
+	require.Len(t, order, maxRelays)
+	b = newRouterBase("bergen", "d oslo")
+	require.Equal(t, []string{"d"}, b.rankRelays(b.relayCandidates()))
+	b = newRouterBase("bergen")
+	require.Empty(t, b.rankRelays(b.relayCandidates()))
 }
