--- a/prepaid/limits.go
+++ b/prepaid/limits.go
@@ -6,7 +6,7 @@
 	"github.com/arbutusmill/arbutusmill/catalog"
 )
 
-// Configured returns the limits of the active configuration.
+// Configured implements Limits with the limits of the active configuration.
 type Configured struct{ Catalog *catalog.Current }
 
 // Each implements Limits.
@@ -38,9 +38,9 @@
 // Note implements Limits and does nothing: this process reads the configuration itself.
 func (Configured) Note(string, int64, int64) {}
 
-// Told stores limits that came with the requests of other processes. A process that only lends
-// needs no copy of the configuration: each request for tokens includes the limit and the version
-// that sets it. It is safe for concurrent use; the zero value is empty.
+// Told implements Limits with limits that came with the requests of other processes. A process
+// that only lends needs no copy of the configuration: each request for tokens includes the limit
+// and the version that sets it. It is safe for concurrent use; the zero value is empty.
 type Told struct {
 	mu      sync.Mutex
 	budgets map[string]limit
