--- a/gateway/announce.go
+++ b/gateway/announce.go
@@ -11,110 +11,111 @@
 	"github.com/arbutusmill/arbutusmill/prefill"
 )
 
-// silentFor is how long the process beside an engine is left alone after it did not answer.
-const silentFor = 2 * time.Second
+// lenderCooldown is how long an engine's lender is not called after it failed to reply.
+const lenderCooldown = 2 * time.Second
 
-// announcer tells the processes beside engines of prompts that are sent there.
-type announcer struct {
+// lenderClient sends messages to the lenders of upstreams, for example announcements of prompts that
+// are sent to their engines.
+type lenderClient struct {
 	members *member.Group
 	links   *link.Pool
 	timeout time.Duration
-	// notes are to be sent; see run.
-	notes chan note
+	// messages is the queue of messages that run sends.
+	messages chan lenderMessage
 
 	mu sync.Mutex
-	// silent are the addresses that did not answer, and until when they are left alone.
-	silent map[string]time.Time
+	// cooldownUntil is the end of the cooldown of lenders that failed to reply, by address.
+	cooldownUntil map[string]time.Time
 }
 
-// note is one message that nobody waits for, to the process beside the upstream at an address.
-type note struct {
+// lenderMessage is an asynchronous message to the lender of the upstream at an address.
+type lenderMessage struct {
 	address, method string
-	message         any
-	// answer takes the answer, and answered is called then; both may be nil.
-	answer   any
-	answered func()
+	body            any
+	// reply receives the reply, then onReply is called; both may be nil.
+	reply   any
+	onReply func()
 }
 
-// mostNotes bounds those that wait to be sent. One that finds no room is dropped: the process
-// beside the engine then believes for a moment that it has a prompt more to read, or a part that
-// another engine has read is read once more.
-const mostNotes = 256
+// maxQueuedMessages limits the messages that wait to be sent. Further ones are dropped. The lender then
+// counts a withdrawn prompt in its engine's backlog for a moment, or a part that another engine has
+// prefilled is prefilled once more.
+const maxQueuedMessages = 256
 
-func newAnnouncer(members *member.Group, links *link.Pool, timeout time.Duration) *announcer {
-	return &announcer{members: members, links: links, timeout: timeout, notes: make(chan note, mostNotes),
-		silent: map[string]time.Time{}}
+func newLenderClient(members *member.Group, links *link.Pool, timeout time.Duration) *lenderClient {
+	return &lenderClient{members: members, links: links, timeout: timeout, messages: make(chan lenderMessage, maxQueuedMessages),
+		cooldownUntil: map[string]time.Time{}}
 }
 
-// run sends notes until the context ends.
-func (a *announcer) run(ctx context.Context) {
+// run sends queued messages until the context ends.
+func (c *lenderClient) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case n := <-a.notes:
-			if a.call(n.address, n.method, n.message, n.answer) && n.answered != nil {
-				n.answered()
+		case m := <-c.messages:
+			if c.call(m.address, m.method, m.body, m.reply) && m.onReply != nil {
+				m.onReply()
 			}
 		}
 	}
 }
 
-// ask implements pool.Pool's Announce.
-func (a *announcer) ask(address string, what prefill.Announcement) (reply prefill.AnnounceReply, ok bool) {
-	ok = a.call(address, link.MethodAnnounce, what, &reply)
+// announce implements pool.Pool's Announce.
+func (c *lenderClient) announce(address string, announcement prefill.Announcement) (reply prefill.AnnounceReply, ok bool) {
+	ok = c.call(address, link.MethodAnnounce, announcement, &reply)
 	return reply, ok
 }
 
-// withdraw implements pool.Pool's Withdraw. Nobody waits for it.
-func (a *announcer) withdraw(address string, what prefill.Announcement, reply prefill.AnnounceReply) {
-	a.send(note{address: address, method: link.MethodWithdraw, message: link.Withdrawal{Announcement: what, Told: reply}})
+// withdraw implements pool.Pool's Withdraw. It does not wait for the lender.
+func (c *lenderClient) withdraw(address string, announcement prefill.Announcement, reply prefill.AnnounceReply) {
+	c.enqueue(lenderMessage{address: address, method: link.MethodWithdraw, body: link.Withdrawal{Announcement: announcement, Told: reply}})
 }
 
-// readElsewhere implements pool.Pool's ReportRemotePrefill. Nobody waits for it.
-func (a *announcer) readElsewhere(address string, what prefill.RemotePrefill) {
-	a.send(note{address: address, method: link.MethodReadElsewhere, message: what})
+// reportRemotePrefill implements pool.Pool's ReportRemotePrefill. It does not wait for the lender.
+func (c *lenderClient) reportRemotePrefill(address string, remote prefill.RemotePrefill) {
+	c.enqueue(lenderMessage{address: address, method: link.MethodReadElsewhere, body: remote})
 }
 
-func (a *announcer) send(n note) {
+func (c *lenderClient) enqueue(m lenderMessage) {
 	select {
-	case a.notes <- n:
-	default: // see mostNotes
+	case c.messages <- m:
+	default: // see maxQueuedMessages
 	}
 }
 
-// known reports whether there is a process beside the upstream at an address.
-func (a *announcer) known(address string) bool {
-	_, known := a.members.ByUpstream(address)
+// hasLender reports whether the upstream at an address has a lender.
+func (c *lenderClient) hasLender(address string) bool {
+	_, known := c.members.ByUpstream(address)
 	return known
 }
 
-// call sends a message to the process beside an upstream and reports whether it was
-// answered. Without an answer the choice goes by what this router knows itself.
-func (a *announcer) call(address, method string, in, out any) bool {
-	m, known := a.members.ByUpstream(address)
-	if !known || a.isSilent(m.Address) {
+// call calls an upstream's lender and reports whether it replied. Without a reply, the pool chooses
+// upstreams by this router's own data.
+func (c *lenderClient) call(address, method string, in, out any) bool {
+	m, known := c.members.ByUpstream(address)
+	if !known || c.inCooldown(m.Address) {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), a.timeout)
+	ctx, cancel := context.WithTimeout(context.Background(), c.timeout)
 	defer cancel()
-	if a.links.Call(ctx, m.Address, method, in, out) != nil {
-		a.setSilent(m.Address)
+	if c.links.Call(ctx, m.Address, method, in, out) != nil {
+		c.startCooldown(m.Address)
 		return false
 	}
 	return true
 }
 
-func (a *announcer) isSilent(address string) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return time.Now().Before(a.silent[address])
+func (c *lenderClient) inCooldown(address string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return time.Now().Before(c.cooldownUntil[address])
 }
 
-func (a *announcer) setSilent(address string) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+func (c *lenderClient) startCooldown(address string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	now := time.Now()
-	maps.DeleteFunc(a.silent, func(_ string, until time.Time) bool { return now.After(until) })
-	a.silent[address] = now.Add(silentFor)
+	maps.DeleteFunc(c.cooldownUntil, func(_ string, until time.Time) bool { return now.After(until) })
+	c.cooldownUntil[address] = now.Add(lenderCooldown)
 }
--- a/gateway/broken.go
+++ b/gateway/broken.go
@@ -7,33 +7,32 @@
 	"syscall"
 )
 
-// upstreamState is what a look at an upstream shows.
+// upstreamState is the result of probing an upstream.
 type upstreamState string
 
-// The states.
+// The results of probing an upstream.
 const (
-	// upstreamEnded says that nobody listens at the address.
-	upstreamEnded upstreamState = "ended"
-	// upstreamListens says that only the connection broke, or that another life listens.
-	upstreamListens upstreamState = "listens"
-	// upstreamUnknown says that the address did not answer: it may be cut off.
+	// upstreamDown means that no process listens at the address.
+	upstreamDown upstreamState = "ended"
+	// upstreamListening means that only the connection broke, or that another incarnation listens.
+	upstreamListening upstreamState = "listens"
+	// upstreamUnknown means that the address did not respond: it may be partitioned from this VM.
 	upstreamUnknown upstreamState = "unknown"
 )
 
-// dialer makes a connection, as a net.Dialer does.
-type dialer func(ctx context.Context, network, address string) (net.Conn, error)
+// dialFunc opens a connection, like net.Dialer.DialContext.
+type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// lookAt finds out whether the upstream at an address ended, by the start of a connection. A
-// broken connection alone does not tell: connections are reset, and answers spoiled, by upstreams
-// that live.
-func lookAt(ctx context.Context, dial dialer, address string) upstreamState {
+// probeUpstream determines whether the upstream at an address is down by dialing it. A broken
+// connection is no proof of that: running upstreams reset connections and send corrupt responses, too.
+func probeUpstream(ctx context.Context, dial dialFunc, address string) upstreamState {
 	conn, err := dial(ctx, "tcp", address)
 	switch {
 	case err == nil:
 		_ = conn.Close() // nothing was sent
-		return upstreamListens
+		return upstreamListening
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return upstreamEnded
+		return upstreamDown
 	}
 	return upstreamUnknown
 }
--- a/gateway/callerconn.go
+++ b/gateway/callerconn.go
@@ -12,88 +12,88 @@
 	"github.com/arbutusmill/arbutusmill/catalog"
 )
 
-// mostAhead bounds the bytes of further requests that are read ahead on one connection.
-// A caller that has sent more than that is only seen to leave when its answer is written.
-const mostAhead = 64 << 10
+// maxReadAhead limits the bytes of further requests that are read ahead on one connection. If a caller
+// has sent more than that, its disconnect is only detected when its response is written.
+const maxReadAhead = 64 << 10
 
-// aheadStep is what one read ahead takes at most.
-const aheadStep = 4 << 10
+// readAheadChunk is the maximum size of one read ahead.
+const readAheadChunk = 4 << 10
 
-// connPhase is what a caller's connection is being read for.
+// connPhase is the phase of a caller's connection, which determines its read deadline.
 type connPhase int
 
-// The phases.
+// The phases of a caller's connection.
 const (
 	// phaseIdle waits for the first byte of a request.
 	phaseIdle connPhase = iota
-	// phaseHeaders is while a request's headers come in.
+	// phaseHeaders lasts while a request's headers are received.
 	phaseHeaders
-	// phaseServing is while a request is served: its body is read, then only the
-	// caller's leaving is watched.
+	// phaseServing lasts while a request is served: its body is read, then the connection is
+	// only watched for the caller's disconnect.
 	phaseServing
 )
 
 // callerConn is a connection of a caller. It does two things that http.Server does not.
 //
-// It keeps the operators' limits on headers and idle time, which may change while the
-// process runs; the server's own are fixed at its start.
+// It enforces the operators' timeouts for headers and idle connections, which may change while the
+// process runs; those of the server are fixed at its start.
 //
-// It notices that a caller left although bytes of a further request were sent before.
-// The server watches for the end of the connection by reading one byte, and stops
-// watching when that byte comes; the upstream would then go on working for nobody. So
-// from that byte on the rest is read ahead into a bounded buffer, and the end of the
-// connection ends the context of the request that is being served.
+// It detects a caller's disconnect even if bytes of a further request arrived before. The server
+// detects the end of the connection by reading one byte in the background, and stops when that byte
+// arrives; the upstream would then continue a request whose caller is gone. So from that byte on
+// callerConn reads ahead into a bounded buffer, and the end of the connection cancels the context of
+// the request that is being served.
 type callerConn struct {
 	net.Conn
-	// limits returns the operators' limits in force.
+	// limits returns the operators' current limits.
 	limits func() catalog.Limits
-	// gone ends the context of the connection's requests.
-	gone context.CancelFunc
+	// cancelRequests cancels the context of the connection's requests.
+	cancelRequests context.CancelFunc
 
-	mu      sync.Mutex
-	changed *sync.Cond // ahead, watching or failed changed
-	phase   connPhase
-	since   time.Time // when the phase began
-	ahead   []byte    // read ahead and not yet taken by the server
-	// watching says that a goroutine reads ahead, failed how it ended.
-	watching bool
-	failed   error
+	mu            sync.Mutex
+	readAheadCond *sync.Cond // buffered, readingAhead or readErr changed
+	phase         connPhase
+	phaseStart    time.Time // start of the phase
+	buffered      []byte    // read ahead and not yet read by the server
+	// readingAhead is set while a goroutine reads ahead; readErr is the error that ended it.
+	readingAhead bool
+	readErr      error
 }
 
 func newCallerConn(conn net.Conn, limits func() catalog.Limits) *callerConn {
-	c := &callerConn{Conn: conn, limits: limits, gone: func() {}, since: time.Now()}
-	c.changed = sync.NewCond(&c.mu)
+	c := &callerConn{Conn: conn, limits: limits, cancelRequests: func() {}, phaseStart: time.Now()}
+	c.readAheadCond = sync.NewCond(&c.mu)
 	return c
 }
 
 // Read implements net.Conn.
 func (c *callerConn) Read(p []byte) (int, error) {
 	c.mu.Lock()
-	if err := c.boundLocked(); err != nil {
+	if err := c.setDeadlineLocked(); err != nil {
 		c.mu.Unlock()
 		return 0, err
 	}
-	for c.watching && len(c.ahead) == 0 {
-		c.changed.Wait()
+	for c.readingAhead && len(c.buffered) == 0 {
+		c.readAheadCond.Wait()
 	}
-	if len(c.ahead) > 0 || c.failed != nil {
+	if len(c.buffered) > 0 || c.readErr != nil {
 		defer c.mu.Unlock()
-		return c.takeLocked(p)
+		return c.readBufferedLocked(p)
 	}
 	c.mu.Unlock()
 	n, err := c.Conn.Read(p)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.arrivedLocked(n)
+	c.recordReadLocked(n)
 	if c.phase == phaseServing && len(p) == 1 && n == 1 {
-		c.watching = true
-		go c.watch()
+		c.readingAhead = true
+		go c.readAhead()
 	}
 	return n, err
 }
 
-// boundLocked sets the time by which the bytes of this phase must come.
-func (c *callerConn) boundLocked() error {
+// setDeadlineLocked sets the read deadline of the current phase.
+func (c *callerConn) setDeadlineLocked() error {
 	var limit time.Duration
 	switch c.phase {
 	case phaseIdle:
@@ -103,70 +103,70 @@
 	case phaseServing:
 		return nil
 	}
-	return c.SetReadDeadline(c.since.Add(limit))
+	return c.SetReadDeadline(c.phaseStart.Add(limit))
 }
 
-// takeLocked takes what was read ahead, then its error.
-func (c *callerConn) takeLocked(p []byte) (int, error) {
-	if len(c.ahead) == 0 {
-		return 0, c.failed
+// readBufferedLocked reads from the buffer; once that is empty, it returns the read-ahead error.
+func (c *callerConn) readBufferedLocked(p []byte) (int, error) {
+	if len(c.buffered) == 0 {
+		return 0, c.readErr
 	}
-	n := copy(p, c.ahead)
-	c.ahead = c.ahead[n:]
-	c.arrivedLocked(n)
+	n := copy(p, c.buffered)
+	c.buffered = c.buffered[n:]
+	c.recordReadLocked(n)
 	return n, nil
 }
 
-// arrivedLocked notes bytes: the first of a request begin its headers.
-func (c *callerConn) arrivedLocked(n int) {
+// recordReadLocked starts the headers phase when the first bytes of a request were read.
+func (c *callerConn) recordReadLocked(n int) {
 	if n > 0 && c.phase == phaseIdle {
-		c.phase, c.since = phaseHeaders, time.Now()
+		c.phase, c.phaseStart = phaseHeaders, time.Now()
 	}
 }
 
-// enter begins a phase; idle and serving are the server's to tell.
-func (c *callerConn) enter(p connPhase) error {
+// setPhase starts a phase. The server's connection states start the idle and serving phases.
+func (c *callerConn) setPhase(p connPhase) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.phase, c.since = p, time.Now()
+	c.phase, c.phaseStart = p, time.Now()
 	if p != phaseServing {
 		return nil
 	}
 	return c.SetReadDeadline(time.Time{})
 }
 
-// watch reads ahead until the connection ends, its deadline passes or the buffer is full.
-func (c *callerConn) watch() {
-	buf := make([]byte, aheadStep)
+// readAhead reads into the buffer until the connection ends, its deadline passes or the buffer is full.
+func (c *callerConn) readAhead() {
+	buf := make([]byte, readAheadChunk)
 	for {
 		n, err := c.Conn.Read(buf)
-		if !c.keep(buf[:n], err) {
+		if !c.bufferRead(buf[:n], err) {
 			return
 		}
 	}
 }
 
-// keep notes the result of one read ahead, and reports whether another one should follow.
-func (c *callerConn) keep(b []byte, err error) bool {
+// bufferRead stores the result of one read ahead, and reports whether another one should follow.
+func (c *callerConn) bufferRead(b []byte, err error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	defer c.changed.Broadcast()
-	c.ahead = append(c.ahead, b...)
-	c.watching = err == nil && len(c.ahead) < mostAhead
+	defer c.readAheadCond.Broadcast()
+	c.buffered = append(c.buffered, b...)
+	c.readingAhead = err == nil && len(c.buffered) < maxReadAhead
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-		c.failed = err
-		c.gone()
+		c.readErr = err
+		c.cancelRequests()
 	}
-	return c.watching
+	return c.readingAhead
 }
 
 // Close implements net.Conn.
 func (c *callerConn) Close() error {
-	c.gone()
+	c.cancelRequests()
 	return c.Conn.Close()
 }
 
-// callerListener accepts callers' connections.
+// callerListener accepts callers' connections as callerConn.
 type callerListener struct {
 	net.Listener
 	limits func() catalog.Limits
@@ -181,25 +181,25 @@
 	return newCallerConn(c, l.limits), nil
 }
 
-// callerServer is the server for callers.
+// callerServer returns the HTTP server for callers.
 func (g *Gateway) callerServer() *http.Server {
 	return &http.Server{
 		Handler:        g,
-		MaxHeaderBytes: mostHeaderBytes,
-		ConnContext:    callerContext,
-		ConnState:      g.callerState,
+		MaxHeaderBytes: maxHeaderBytes,
+		ConnContext:    callerConnContext,
+		ConnState:      g.onConnState,
 	}
 }
 
-// callerContext is the context of a connection's requests.
-func callerContext(ctx context.Context, conn net.Conn) context.Context {
-	ctx, gone := context.WithCancel(ctx)
-	conn.(*callerConn).gone = gone
+// callerConnContext returns the context of a connection's requests.
+func callerConnContext(ctx context.Context, conn net.Conn) context.Context {
+	ctx, cancel := context.WithCancel(ctx)
+	conn.(*callerConn).cancelRequests = cancel
 	return ctx
 }
 
-// callerState hears from the server what a connection is used for.
-func (g *Gateway) callerState(conn net.Conn, state http.ConnState) {
+// onConnState is the server's callback for a connection's new state; it sets the phase.
+func (g *Gateway) onConnState(conn net.Conn, state http.ConnState) {
 	phase := phaseIdle
 	switch state {
 	case http.StateActive:
@@ -208,12 +208,12 @@
 	default:
 		return
 	}
-	if err := conn.(*callerConn).enter(phase); err != nil {
-		g.Log.Debug().Err(err).Msg("caller_connection_ended") // the next read ends it
+	if err := conn.(*callerConn).setPhase(phase); err != nil {
+		g.Log.Debug().Err(err).Msg("caller_connection_ended") // the next read fails
 	}
 }
 
-// callerLimits are the operators' limits in force, with ours for those that are not set.
+// callerLimits returns the operators' current limits, with defaults for those that are not set.
 func (g *Gateway) callerLimits() catalog.Limits {
 	l := catalog.Limits{}
 	if t := g.catalog.Load(); t != nil {
@@ -226,17 +226,17 @@
 		l.IdleTimeout = idleTimeout
 	}
 	if l.HeaderBytes <= 0 {
-		l.HeaderBytes = mostHeaderBytes
+		l.HeaderBytes = maxHeaderBytes
 	}
 	if l.BodyBytes <= 0 {
-		l.BodyBytes = mostBodyBytes
+		l.BodyBytes = maxBodyBytes
 	}
 	return l
 }
 
-// sizeOfHeaders is what a request's line and headers took on the wire, by the bytes that
-// count towards the operators' limit.
-func sizeOfHeaders(req *http.Request) int {
+// headerSize returns the size of a request's line and headers on the wire, which counts towards the
+// operators' limit.
+func headerSize(req *http.Request) int {
 	const separators = len(": \r\n")
 	n := len(req.Method) + len(req.RequestURI) + len(req.Host) + len("  HTTP/1.1\r\nHost: \r\n\r\n")
 	for name, values := range req.Header {
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -7,18 +7,18 @@
 	"io"
 )
 
-// maxEventBytes bounds one event of a stream; a longer one counts as garbled.
+// maxEventBytes limits the size of one event of a stream; a larger one is invalid.
 const maxEventBytes = 1 << 20
 
-// errPartialEvent says that a stream ended inside an event.
+// errPartialEvent is returned if a stream ends inside an event.
 var errPartialEvent = errors.New("the stream ended inside an event")
 
-// errLongEvent says that an event passes maxEventBytes.
+// errLongEvent is returned for an event of more than maxEventBytes.
 var errLongEvent = errors.New("an event is too long")
 
-// eventReader cuts a stream of server-sent events into whole events. Only whole ones
-// are passed on: after a break in the middle of one, another upstream can go on from
-// the last whole event without a piece of the broken one in between.
+// eventReader splits a stream of server-sent events into complete events. Only complete ones are
+// forwarded: if the stream breaks inside an event, another upstream can continue after the last
+// complete one, without a fragment in between.
 type eventReader struct {
 	r   *bufio.Reader
 	buf []byte
@@ -30,13 +30,13 @@
 }
 
 // next returns the bytes of the next event with its blank line, and its id, which is ""
-// if it has none. The bytes are valid until the next call. At the end it returns
-// io.EOF, or errPartialEvent when bytes of an event came before it.
+// if it has none. The bytes are valid until the next call. At the end of the stream it
+// returns io.EOF, or errPartialEvent if the last event is incomplete.
 func (e *eventReader) next() ([]byte, string, error) {
 	e.buf, e.id = e.buf[:0], ""
 	for {
 		start := len(e.buf)
-		if err := e.line(); err != nil {
+		if err := e.readLine(); err != nil {
 			if errors.Is(err, io.EOF) && len(e.buf) > 0 {
 				return nil, "", errPartialEvent
 			}
@@ -52,8 +52,8 @@
 	}
 }
 
-// line appends the next line with its end.
-func (e *eventReader) line() error {
+// readLine appends the next line with its line ending to the buffer.
+func (e *eventReader) readLine() error {
 	for {
 		b, err := e.r.ReadSlice('\n')
 		e.buf = append(e.buf, b...)
@@ -66,5 +66,5 @@
 	}
 }
 
-// more reports whether bytes of a further event are at hand without waiting.
-func (e *eventReader) more() bool { return e.r.Buffered() > 0 }
+// hasMore reports whether bytes of a further event are buffered.
+func (e *eventReader) hasMore() bool { return e.r.Buffered() > 0 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway is the router process on the operators' platform: it answers callers
-// on an entry VM, and keeps what must last in the platform's store. What the platform
-// speaks is translated in package platform; the path of a request is package serving.
+// Package gateway implements the router process on the operators' platform. A router serves
+// callers on an entry VM and keeps durable state in the platform's store. Package platform
+// translates the platform's protocols; package serving processes the requests.
 package gateway
 
 import (
@@ -33,103 +33,105 @@
 )
 
 const (
-	// lagPeriod is that of the timer by which the wait for the processor is seen.
+	// lagPeriod is the period of the timer that measures the wait for the processor.
 	lagPeriod = 50 * time.Millisecond
-	// assumedRouters is the number of routers assumed until the store told it.
+	// assumedRouters is the number of routers assumed until the store has been read.
 	assumedRouters = 8
-	// headerTimeout bounds the wait for a request's headers where the operators set
+	// headerTimeout limits the wait for a request's headers where the operators set
 	// no limit, and on the listeners that are not for callers.
 	headerTimeout = 10 * time.Second
-	// idleTimeout bounds a caller's unused connection where the operators set no
-	// limit. Callers use connections again that were idle for many seconds, and a
-	// close that crosses a request costs it.
+	// idleTimeout limits the idle time of a caller's connection where the operators set
+	// no limit. Callers reuse connections that were idle for many seconds, and a request
+	// that crosses the close is lost.
 	idleTimeout = 75 * time.Second
-	// mostHeaderBytes and mostBodyBytes bound a request whatever the operators
-	// allow: a thousand callers at once must fit the memory of a small VM.
-	mostHeaderBytes = 64 << 10
-	mostBodyBytes   = 8 << 20
-	// expirePause is the pause between two looks for entries that did not return.
-	expirePause = 200 * time.Millisecond
-	// forgetPause is the pause between two looks for upstreams that are gone.
-	forgetPause = 10 * time.Second
-	// relayMbps is the rate of a VM's link (Mbit/s) from which it may relay the store's
-	// changes: the copies that a hundred followers ask for at once go through it in a second.
-	relayMbps = 100
-	// stopMargin is the part of the grace that is kept for the last writes.
+	// maxHeaderBytes and maxBodyBytes limit a request's size where the operators set no
+	// limit, maxHeaderBytes also above their limit: a thousand concurrent callers must fit
+	// the memory of a small VM.
+	maxHeaderBytes = 64 << 10
+	maxBodyBytes   = 8 << 20
+	// expireInterval is the interval between checks for missing entries that did not return.
+	expireInterval = 200 * time.Millisecond
+	// pruneInterval is the interval between removals of the state of upstreams that are gone.
+	pruneInterval = 10 * time.Second
+	// minRelayMbps is the minimum rate of a VM's link (Mbit/s) for relaying the store's
+	// changes: at this rate, a hundred followers that request a copy at once are served in a second.
+	minRelayMbps = 100
+	// stopMargin is the part of the grace period reserved for the final writes.
 	stopMargin = 700 * time.Millisecond
 )
 
 // Gateway is one router process.
 type Gateway struct {
 	*hosted.Base
-	// settings are those of the start, current those of the last reload.
+	// settings are the settings at startup, current those of the last reload.
 	settings *settings.Gateway
 	current  atomic.Pointer[settings.Gateway]
 	meter    linkMeter
 	lag      *admission.Lag
 
-	catalog    catalog.Current
-	operators  *operatorReader
-	directory  *directory.Directory
-	pool       *pool.Pool
-	beside     *announcer
-	repeats    *repeats
-	prompts    *promptGuard
-	dispatcher *serving.Dispatcher
-	metrics    *gatewayMetrics
+	catalog        catalog.Current
+	operatorReader *operatorReader
+	directory      *directory.Directory
+	pool           *pool.Pool
+	lenders        *lenderClient
+	retryBudgets   *retryBudgets
+	prompts        *promptGuard
+	dispatcher     *serving.Dispatcher
+	metrics        *gatewayMetrics
 
-	// What is followed in the store.
-	configuration, upstreamEntries hosted.Dependency
+	// Availability of the store's data that the gateway follows.
+	configWatch, upstreamWatch hosted.Dependency
 
-	active   atomic.Int64
-	stopping atomic.Bool
-	// wasCrowded is what crowded last reported.
-	wasCrowded atomic.Bool
+	activeRequests atomic.Int64
+	stopping       atomic.Bool
+	// wasOverloaded is the last result of linkOverloaded.
+	wasOverloaded atomic.Bool
 }
 
-// New makes a gateway; it makes no call.
+// New returns a gateway that has not started: it sends nothing and does not listen. dropped returns
+// the number of log lines that were dropped.
 func New(s *settings.Gateway, network hosted.Network, log io.Writer, dropped func() uint64) *Gateway {
-	meter := newMeter(s.Limits.LinkMbps)
+	meter := newLinkMeter(s.Limits.LinkMbps)
 	g := &Gateway{
 		settings: s,
 		meter:    meter,
 		lag:      &admission.Lag{Period: lagPeriod},
 	}
 	g.current.Store(s)
-	g.operators = &operatorReader{g: g, emptied: map[string]store.Revision{}}
+	g.operatorReader = &operatorReader{g: g, drained: map[string]store.Revision{}}
 	g.directory = &directory.Directory{Decode: platform.DecodeUpstream, Report: g, Now: time.Now}
 	g.Base = hosted.New(hosted.Parts{
 		Methods: g.promptMethods(),
 		Role:    prepaid.RoleRouter, VM: s.VM, Datacentre: s.Datacentre, Link: s.Listen.Link,
 		Store: s.Store, Budgets: s.Budgets, Limits: prepaid.Configured{Catalog: &g.catalog},
-		Readers: map[string]mirror.Reader{platform.OperatorPrefix: g.operators, platform.UpstreamPrefix: g.directory},
-		Relays:  s.Limits.LinkMbps == 0 || s.Limits.LinkMbps >= relayMbps,
-		Network: metered(network, meter), Log: observe.NewJSONLogger(log, s.Log.Level, s.VM), LogDropped: dropped,
+		Readers: map[string]mirror.Reader{platform.OperatorPrefix: g.operatorReader, platform.UpstreamPrefix: g.directory},
+		Relays:  s.Limits.LinkMbps == 0 || s.Limits.LinkMbps >= minRelayMbps,
+		Network: meteredNetwork(network, meter), Log: observe.NewJSONLogger(log, s.Log.Level, s.VM), LogDropped: dropped,
 	})
 	g.metrics = newMetrics(g)
 	g.prompts = newPromptGuard(g)
-	g.repeats = &repeats{rule: g.repeatRule, share: g.share, decided: g.repeatDecided}
-	g.beside = newAnnouncer(g.Members, g.Links, time.Duration(s.Upstreams.AnnounceTimeout))
+	g.retryBudgets = &retryBudgets{rule: g.retryRule, share: g.fleetShare, onDecision: g.recordRetryDecision}
+	g.lenders = newLenderClient(g.Members, g.Links, time.Duration(s.Upstreams.AnnounceTimeout))
 	g.pool = &pool.Pool{
 		Directory:           g.directory,
 		PrefillPerMs:        s.Upstreams.PrefillPerMs,
-		Routers:             g.routers,
+		Routers:             g.routerCount,
 		Datacentre:          s.Datacentre,
-		Announce:            g.beside.ask,
-		Withdraw:            g.beside.withdraw,
-		ReportRemotePrefill: g.beside.readElsewhere,
-		OnStallProne:        g.engineExposed,
+		Announce:            g.lenders.announce,
+		Withdraw:            g.lenders.withdraw,
+		ReportRemotePrefill: g.lenders.reportRemotePrefill,
+		OnStallProne:        g.logStallProne,
 		Limits:              limits{g},
 		Region:              func(datacentre string) string { return s.Regions[datacentre] },
 		Cold:                warmup.Tolerance{Overshoot: s.Cold.Overshoot, Slack: s.Cold.Slack},
-		HasLender:           g.beside.known,
-		ColdShare:           g.shareOfCold,
+		HasLender:           g.lenders.hasLender,
+		ColdShare:           g.coldShare,
 		Now:                 time.Now,
 	}
 	g.dispatcher = &serving.Dispatcher{
 		Upstreams:   &upstreams{Pool: g.pool, transport: newTransport(g.Network, s.Upstreams)},
 		Budgets:     g.Budgets,
-		RetryBudget: g.repeats,
+		RetryBudget: g.retryBudgets,
 		Poison:      g.prompts,
 		Now:         time.Now,
 	}
@@ -137,81 +139,83 @@
 	return g
 }
 
-// routers is how many routers there are, as far as is known.
-func (g *Gateway) routers() int {
+// routerCount returns the known number of routers, or assumedRouters.
+func (g *Gateway) routerCount() int {
 	if n, known := g.Members.Count(prepaid.RoleRouter); known {
 		return n
 	}
 	return assumedRouters
 }
 
-// shareOfCold is how many of the requests in a second that a cold upstream bears are this
-// router's.
-func (g *Gateway) shareOfCold(upstream string, most int) int {
-	share := g.share()
+// coldShare returns how many of the maxRequests that a cold upstream accepts per second this router
+// may send.
+func (g *Gateway) coldShare(upstream string, maxRequests int) int {
+	share := g.fleetShare()
 	if share.Processes == 0 {
 		return 0
 	}
 	routers := slices.Collect(maps.Keys(g.Members.Newest(prepaid.RoleRouter)))
-	return warmup.Share(g.settings.VM, time.Since(share.Since), routers, upstream, most)
+	return warmup.Share(g.settings.VM, time.Since(share.Since), routers, upstream, maxRequests)
 }
 
-// share is this router's part in what all routers share without messages: the fixed number of
-// repeats, and what cold upstreams bear. It has none while others may not count it, or it may not
-// count them: when it is not listed, and when what it knows of the list is older than a window, in
-// which others may have begun to use theirs. Its own entry outlives that by the time of its lease,
-// so that others divide by one fewer only after it has stopped.
-func (g *Gateway) share() retrybudget.Share {
-	if g.FollowedAge() > g.repeatRule().Window {
+// fleetShare returns this router's share of the limits that all routers divide without messages:
+// the fixed number of retries, and the maximum load of cold upstreams. The share is zero while
+// others may not count this router, or it may not count all others: when it is not listed, and when
+// its copy of the list is older than a window, in which new routers may have begun to use their
+// shares. The lease of its own entry outlives that, so that others divide by one fewer only after
+// this router has stopped using its share.
+func (g *Gateway) fleetShare() retrybudget.Share {
+	if g.FollowedAge() > g.retryRule().Window {
 		return retrybudget.Share{}
 	}
 	n, since := g.Members.Sharers()
 	return retrybudget.Share{Processes: n, Since: since}
 }
 
-// repeatRule is the bound on repeats by the settings in force.
-func (g *Gateway) repeatRule() retrybudget.Rule {
+// retryRule returns the limit on retries from the current settings.
+func (g *Gateway) retryRule() retrybudget.Rule {
 	s := g.current.Load().Repeats
 	return retrybudget.Rule{Ratio: s.Ratio, Extra: s.Extra, Window: time.Duration(s.Window)}
 }
 
-// version is that of the configuration in force, 0 before the first.
-func (g *Gateway) version() int64 {
-	if t := g.catalog.Load(); t != nil {
-		return t.Version
+// configVersion returns the version of the active configuration, 0 before the first.
+func (g *Gateway) configVersion() int64 {
+	if table := g.catalog.Load(); table != nil {
+		return table.Version
 	}
 	return 0
 }
 
-// ready reports whether callers should be sent here. A router that lost the store goes
-// on with what it knows; one that never knew anything cannot serve, and one whose link is
-// full serves those who are here better if no others come.
+// ready reports whether the balancer should send callers here. A router that lost the store
+// continues with its last copy; one that never read the store cannot serve. A router with an
+// overloaded link serves its present callers better if it gets no new ones.
 func (g *Gateway) ready() bool {
-	return !g.stopping.Load() && !g.crowded() && g.catalog.Load() != nil && g.directory.Read()
+	return !g.stopping.Load() && !g.linkOverloaded() && g.catalog.Load() != nil && g.directory.Read()
 }
 
-// crowded reports whether this VM's link has been full for a while.
-func (g *Gateway) crowded() bool {
-	now := g.meter.usage.Overloaded(time.Now())
-	if g.wasCrowded.Swap(now) != now {
-		g.Log.Info().Bool("crowded", now).Int64("active", g.active.Load()).Msg("link_usage")
+// linkOverloaded reports whether this VM's link has been overloaded for some time.
+func (g *Gateway) linkOverloaded() bool {
+	overloaded := g.meter.usage.Overloaded(time.Now())
+	if g.wasOverloaded.Swap(overloaded) != overloaded {
+		g.Log.Info().Bool("crowded", overloaded).Int64("active", g.activeRequests.Load()).Msg("link_usage")
 	}
-	return now
+	return overloaded
 }
 
-// enter counts a request in.
-func (g *Gateway) enter() bool {
-	if g.active.Add(1) > int64(g.current.Load().Limits.Concurrent) {
-		g.active.Add(-1)
+// beginRequest counts a request as active. It returns false if the limit is reached.
+func (g *Gateway) beginRequest() bool {
+	if g.activeRequests.Add(1) > int64(g.current.Load().Limits.Concurrent) {
+		g.activeRequests.Add(-1)
 		return false
 	}
 	return true
 }
 
-func (g *Gateway) leave() { g.active.Add(-1) }
+func (g *Gateway) endRequest() { g.activeRequests.Add(-1) }
 
-// Run serves until stop is done, then stops in order: not ready for the balancer, new
-// work still served for a while, open requests finish, unused tokens go back.
+// Run serves until stop is done, then shuts down: it reports not ready to the balancer, serves
+// new requests for the notice period, lets active requests finish and returns unused tokens. It
+// returns an error if it cannot listen.
 func (g *Gateway) Run(stop context.Context) error {
 	hosted.LimitMemory(g.settings.Limits.MemoryMB)
 	listeners, err := g.listen()
@@ -223,10 +227,10 @@
 	duties := process.NewDuties(ctx)
 	g.Log.Info().Str("datacentre", g.settings.Datacentre).Str("callers", g.settings.Listen.Callers).Msg("started")
 	callers := g.callerServer()
-	g.serve(duties, listeners, callers)
-	g.start(duties)
+	g.startServers(duties, listeners, callers)
+	g.startTasks(duties)
 	<-stop.Done()
-	g.stop(ctx, callers)
+	g.shutdown(ctx, callers)
 	cancel()
 	g.Links.Close()
 	duties.Wait()
@@ -247,8 +251,8 @@
 	return l, err
 }
 
-// serve starts the process's servers.
-func (g *Gateway) serve(d *process.Duties, l listeners, callers *http.Server) {
+// startServers starts the servers on the listeners.
+func (g *Gateway) startServers(d *process.Duties, l listeners, callers *http.Server) {
 	d.Serve(callers, callerListener{l.callers, g.callerLimits}, nil)
 	ready := http.NewServeMux()
 	ready.HandleFunc("GET "+platform.ReadyPath, g.serveReady)
@@ -264,30 +268,31 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// start starts a goroutine for each duty.
-func (g *Gateway) start(d *process.Duties) {
-	d.Go(g.beside.run)
+// startTasks starts the background tasks.
+func (g *Gateway) startTasks(d *process.Duties) {
+	d.Go(g.lenders.run)
 	g.prompts.start(d)
 	g.Start(d)
 	d.Every(lagPeriod, func(context.Context) { g.lag.Tick(time.Now()) })
-	d.Every(expirePause, func(context.Context) { g.directory.Expire() })
-	d.Every(forgetPause, func(context.Context) { g.pool.Prune() })
+	d.Every(expireInterval, func(context.Context) { g.directory.Expire() })
+	d.Every(pruneInterval, func(context.Context) { g.pool.Prune() })
 }
 
-// stop is a planned stop.
-func (g *Gateway) stop(ctx context.Context, callers *http.Server) {
-	began := time.Now()
+// shutdown stops the gateway within the grace period: it waits for the notice period, shuts the
+// caller server down, returns unused tokens and ends the membership.
+func (g *Gateway) shutdown(ctx context.Context, callers *http.Server) {
+	start := time.Now()
 	s := g.current.Load().Stop
 	g.stopping.Store(true)
-	g.Log.Info().Int64("active", g.active.Load()).Msg("stopping")
+	g.Log.Info().Int64("active", g.activeRequests.Load()).Msg("stopping")
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(s.Grace)-stopMargin)
 	defer cancel()
-	_ = backoff.Sleep(ctx, time.Duration(s.Notice)) // a shorter notice when the time to stop ends
+	_ = backoff.Sleep(ctx, time.Duration(s.Notice)) // ends early if the grace period is shorter
 	if err := callers.Shutdown(ctx); err != nil && !errors.Is(err, context.DeadlineExceeded) {
 		g.Log.Error().Err(err).Msg("shutdown_failed")
 	}
-	last, end := context.WithTimeout(context.WithoutCancel(ctx), stopMargin/2)
-	defer end()
-	g.Leave(last)
-	g.Log.Info().Int64("active", g.active.Load()).Int64("took_ms", time.Since(began).Milliseconds()).Msg("stopped")
+	leaveCtx, cancelLeave := context.WithTimeout(context.WithoutCancel(ctx), stopMargin/2)
+	defer cancelLeave()
+	g.Leave(leaveCtx)
+	g.Log.Info().Int64("active", g.activeRequests.Load()).Int64("took_ms", time.Since(start).Milliseconds()).Msg("stopped")
 }
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -19,70 +19,70 @@
 	"github.com/arbutusmill/arbutusmill/serving"
 )
 
-// defaultWait is the caller's patience when it did not say; routes' time-outs are
-// usually shorter.
-const defaultWait = 30 * time.Second
+// defaultTimeout is the timeout of requests that name none; routes' timeouts are usually
+// shorter.
+const defaultTimeout = 30 * time.Second
 
-// ServeHTTP is the interface for callers. It has no mux: routes are the operators' to
-// decide, and a mux would answer unclean paths with redirects of its own.
+// ServeHTTP serves callers. It uses no http.ServeMux: operators configure the routes, and a
+// ServeMux would answer unclean paths with its own redirects.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	call := platform.ReadCall(req.Header)
-	v := visit{gateway: g, call: call, arrived: time.Now()}
-	if g.stopping.Load() || g.crowded() {
+	headers := platform.ReadCall(req.Header)
+	h := requestHandler{gateway: g, headers: headers, arrived: time.Now()}
+	if g.stopping.Load() || g.linkOverloaded() {
 		w.Header().Set("Connection", "close")
 	}
-	if !g.enter() {
-		v.refuse(w, contract.Refuse(contract.Overloaded, "this router is full"))
+	if !g.beginRequest() {
+		h.refuse(w, contract.Refuse(contract.Overloaded, "this router is full"))
 		return
 	}
-	defer g.leave()
-	refusal := v.understand(req)
+	defer g.endRequest()
+	refusal := h.resolve(req)
 	if refusal == nil {
-		refusal = v.admit(req)
+		refusal = h.admit(req)
 	}
 	if refusal == nil {
-		refusal = v.read(w, req)
+		refusal = h.readBody(w, req)
 	}
 	if refusal != nil {
-		v.refuse(w, refusal)
+		h.refuse(w, refusal)
 		return
 	}
-	v.serve(w, req)
+	h.serve(w, req)
 }
 
-// visit is one request of a caller on its way through a gateway.
-type visit struct {
+// requestHandler serves one request of a caller.
+type requestHandler struct {
 	gateway *Gateway
-	call    platform.Call
+	headers platform.Call
 	arrived time.Time
 	request *serving.Request
 }
 
-// understand finds route, team and limits; it reads no body.
-func (v *visit) understand(req *http.Request) *contract.Refusal {
-	table := v.gateway.catalog.Load()
+// resolve determines the request's route, team and limits from its headers.
+func (h *requestHandler) resolve(req *http.Request) *contract.Refusal {
+	table := h.gateway.catalog.Load()
 	if table == nil {
 		return contract.Refuse(contract.NotReady, "no configuration yet")
 	}
-	if size, limit := sizeOfHeaders(req), v.gateway.callerLimits().HeaderBytes; size > limit {
+	if size, limit := headerSize(req), h.gateway.callerLimits().HeaderBytes; size > limit {
 		return contract.Refuse(contract.HeadersTooLarge, "the headers take %d bytes of %d", size, limit)
 	}
 	if err := platform.CheckCall(req.Header); err != nil {
 		return contract.Refuse(contract.BadRequest, "%v", err)
 	}
 	path, _, _ := strings.Cut(req.RequestURI, "?")
-	route := table.Route(hostOf(req.Host), path)
+	route := table.Route(hostname(req.Host), path)
 	if route == nil {
 		return contract.Refuse(contract.UnknownPath, "no route for %s", path)
 	}
-	team := table.Team(v.call.Key)
+	team := table.Team(h.headers.Key)
 	if team == nil && table.KeysNeeded() && !route.Public {
 		return contract.Refuse(contract.Unauthorized, "the key is not known")
 	}
 	r := &serving.Request{
-		ID:       v.call.ID,
+		ID:       h.headers.ID,
 		Route:    route,
-		Service:  serviceOf(table, route, v.call.ID),
+		Service:  selectService(table, route, h.headers.ID),
 		Version:  table.Version,
 		Rank:     route.Rank,
 		Regions:  route.Regions,
@@ -90,8 +90,8 @@
 		URI:      req.RequestURI,
 		Host:     req.Host,
 		Header:   http.Header{},
-		Arrived:  v.arrived,
-		Deadline: v.until(route),
+		Arrived:  h.arrived,
+		Deadline: h.deadline(route),
 	}
 	hop.CopyHeaders(r.Header, req.Header)
 	if team != nil {
@@ -102,42 +102,42 @@
 		}
 	}
 	if route.Generative || r.Service.Engine != nil {
-		r.Prompt, r.MaxOutput = v.call.Prompt, v.call.MaxOutput
-		r.Parts, r.LastEvent = v.call.Parts, v.call.LastEvent
+		r.Prompt, r.MaxOutput = h.headers.Prompt, h.headers.MaxOutput
+		r.Parts, r.LastEvent = h.headers.Parts, h.headers.LastEvent
 		if r.Prepaid > 0 && r.MaxTokens() == 0 {
 			return contract.Refuse(contract.BadRequest, "the request does not say how many tokens it may take")
 		}
 	}
-	v.request = r
+	h.request = r
 	return nil
 }
 
-// admit turns a request away that no upstream would take, and others while work waits too long
-// at this VM, for its link or its processor. It does so before the body is read; the caller's
-// retry comes in through another router.
-func (v *visit) admit(req *http.Request) *contract.Refusal {
-	if !v.gateway.pool.Serves(v.request) {
-		refusal := contract.Refuse(contract.NoUpstream, "no upstream of %s takes requests now", v.request.Service.Name)
-		refusal.Detail = fmt.Sprintf("emptied data centres %v, allowed regions %v", v.gateway.directory.Drained(), v.request.Regions)
+// admit refuses a request that no upstream would accept, and any request while work waits too
+// long for this VM's link or processor. It does so before the body is read; the caller's retry
+// reaches another router.
+func (h *requestHandler) admit(req *http.Request) *contract.Refusal {
+	if !h.gateway.pool.Serves(h.request) {
+		refusal := contract.Refuse(contract.NoUpstream, "no upstream of %s takes requests now", h.request.Service.Name)
+		refusal.Detail = fmt.Sprintf("drained data centres %v, allowed regions %v", h.gateway.directory.Drained(), h.request.Regions)
 		return refusal
 	}
-	link, cpu := v.gateway.meter.out.Delay(v.arrived), v.gateway.lag.Delay(v.arrived)
+	link, cpu := h.gateway.meter.outbound.Delay(h.arrived), h.gateway.lag.Delay(h.arrived)
 	delay := max(link, cpu)
-	if admission.Admit(delay, v.request.Rank, req.ContentLength) {
+	if admission.Admit(delay, h.request.Rank, req.ContentLength) {
 		return nil
 	}
 	return contract.Refuse(contract.Overloaded, "this router is behind: link %d ms, processor %d ms",
 		link.Milliseconds(), cpu.Milliseconds()).After(backoff.Jitter(delay))
 }
 
-func hostOf(host string) string {
+func hostname(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
 	return strings.ToLower(host)
 }
 
-func serviceOf(t *catalog.Table, route *catalog.Route, id string) catalog.Service {
+func selectService(t *catalog.Table, route *catalog.Route, id string) catalog.Service {
 	name := route.Target(id)
 	if s, ok := t.Services[name]; ok {
 		return s
@@ -145,26 +145,26 @@
 	return catalog.Service{Name: name}
 }
 
-// until is when the caller or the route stops waiting, whichever is first.
-func (v *visit) until(route *catalog.Route) time.Time {
-	wait := defaultWait
-	if v.call.Wait > 0 {
-		wait = v.call.Wait
+// deadline returns when the timeout of the caller or of the route ends, whichever is first.
+func (h *requestHandler) deadline(route *catalog.Route) time.Time {
+	timeout := defaultTimeout
+	if h.headers.Wait > 0 {
+		timeout = h.headers.Wait
 	}
 	if route.Timeout > 0 {
-		wait = min(wait, route.Timeout)
+		timeout = min(timeout, route.Timeout)
 	}
-	return v.arrived.Add(wait)
+	return h.arrived.Add(timeout)
 }
 
-// read takes the body, so that it can be sent again and its end is known.
-func (v *visit) read(w http.ResponseWriter, req *http.Request) *contract.Refusal {
+// readBody reads the complete body, so that the request can be retried and its length is known.
+func (h *requestHandler) readBody(w http.ResponseWriter, req *http.Request) *contract.Refusal {
 	if req.ContentLength == 0 {
 		return nil
 	}
-	limits := v.gateway.callerLimits()
+	limits := h.gateway.callerLimits()
 	rc := http.NewResponseController(w)
-	if err := rc.SetReadDeadline(v.request.Deadline); err != nil {
+	if err := rc.SetReadDeadline(h.request.Deadline); err != nil {
 		return contract.Refuse(contract.Internal, "%v", err)
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, limits.BodyBytes))
@@ -180,62 +180,62 @@
 	if err := rc.SetReadDeadline(time.Time{}); err != nil {
 		return contract.Refuse(contract.Internal, "%v", err)
 	}
-	v.request.Body = body
+	h.request.Body = body
 	return nil
 }
 
-// serve takes the request through the path.
-func (v *visit) serve(w http.ResponseWriter, req *http.Request) {
-	g := v.gateway
-	out := serving.NewHTTPCaller(w, time.Duration(g.current.Load().Limits.WriteTimeout), v.request.Route.Kind == catalog.Streaming)
-	end := g.dispatcher.Serve(req.Context(), v.request, out)
-	if end.Refusal != nil {
-		v.logEnd(end, end.Refusal.Kind.Answer().Status, 0)
-		v.answer(w, end.Refusal)
+// serve dispatches the request and writes the response.
+func (h *requestHandler) serve(w http.ResponseWriter, req *http.Request) {
+	g := h.gateway
+	out := serving.NewHTTPCaller(w, time.Duration(g.current.Load().Limits.WriteTimeout), h.request.Route.Kind == catalog.Streaming)
+	outcome := g.dispatcher.Serve(req.Context(), h.request, out)
+	if outcome.Refusal != nil {
+		h.logOutcome(outcome, outcome.Refusal.Kind.Answer().Status, 0)
+		h.writeRefusal(w, outcome.Refusal)
 		return
 	}
-	v.logEnd(end, out.Status(), out.TimeToFirstChunk(v.arrived))
-	if end.Truncated {
-		// Ending the handler normally would end the body as if that were all;
-		// aborting breaks the connection, so that the caller sees the cut.
+	h.logOutcome(outcome, out.Status(), out.TimeToFirstChunk(h.arrived))
+	if outcome.Truncated {
+		// A normal return would end the body as if it were complete; aborting
+		// closes the connection, so that the caller detects the truncation.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// refuse ends a request that never came onto the path.
-func (v *visit) refuse(w http.ResponseWriter, refusal *contract.Refusal) {
+// refuse logs, counts and answers the refusal of a request that was not dispatched.
+func (h *requestHandler) refuse(w http.ResponseWriter, refusal *contract.Refusal) {
 	a := refusal.Kind.Answer()
-	v.gateway.metrics.refused(refusal.Kind)
-	v.gateway.Log.Info().Str("id", v.call.ID).Str("kind", string(refusal.Kind)).Int("status", a.Status).
-		Str("why", refusal.Message).Str("detail", refusal.Detail).Int64("version", v.gateway.version()).Msg("refused")
-	v.answer(w, refusal)
+	h.gateway.metrics.refused(refusal.Kind)
+	h.gateway.Log.Info().Str("id", h.headers.ID).Str("kind", string(refusal.Kind)).Int("status", a.Status).
+		Str("why", refusal.Message).Str("detail", refusal.Detail).Int64("version", h.gateway.configVersion()).Msg("refused")
+	h.writeRefusal(w, refusal)
 }
 
-func (v *visit) answer(w http.ResponseWriter, refusal *contract.Refusal) {
-	platform.SetRefusalID(w.Header(), v.call.ID)
-	refusal.Write(w, v.call.ID)
+func (h *requestHandler) writeRefusal(w http.ResponseWriter, refusal *contract.Refusal) {
+	platform.SetRefusalID(w.Header(), h.headers.ID)
+	refusal.Write(w, h.headers.ID)
 }
 
-// logEnd writes the one line that tells what became of a request, and why.
-func (v *visit) logEnd(outcome serving.Outcome, status int, first time.Duration) {
-	g, r := v.gateway, v.request
-	took := time.Since(r.Arrived)
-	g.metrics.ended(r, outcome, took)
+// logOutcome writes the request's log line: its outcome and the reasons for it.
+func (h *requestHandler) logOutcome(outcome serving.Outcome, status int, timeToFirstChunk time.Duration) {
+	g, r := h.gateway, h.request
+	duration := time.Since(r.Arrived)
+	g.metrics.requestEnded(r, outcome, duration)
 	line := g.Log.Info().Str("id", r.ID).Str("team", r.Team).Str("route", r.Route.Name).
 		Str("service", r.Service.Name).Int64("version", r.Version).Int("status", status).
-		Int64("first_ms", first.Milliseconds()).Int64("took_ms", took.Milliseconds()).Int64("left_ms", time.Until(r.Deadline).Milliseconds()).
+		Int64("first_ms", timeToFirstChunk.Milliseconds()).Int64("took_ms", duration.Milliseconds()).Int64("left_ms", time.Until(r.Deadline).Milliseconds()).
 		Int64("reserved", r.MaxTokens()).Int64("used", outcome.Used).Bool("cut", outcome.Truncated)
-	line = line.Str("attempts", history(outcome.Attempts))
+	line = line.Str("attempts", formatAttempts(outcome.Attempts))
 	if outcome.Refusal != nil {
 		line = line.Str("kind", string(outcome.Refusal.Kind)).Str("refusal", outcome.Refusal.Message).Str("asked", outcome.Refusal.Detail)
 	}
 	line.Msg("request")
 }
 
-// history tells the attempts of a request in order: upstream, what was expected of it
-// (time to the first event, prompt tokens to read), result, the longest pause of a stream
-// with what else this router had there then, and why.
-func history(attempts []serving.Attempt) string {
+// formatAttempts describes the attempts of a request in order: upstream, the expected time to the
+// first event and prompt tokens to prefill, result, the longest gap of a stream with this router's
+// load on the upstream at that time, and the detail of the result.
+func formatAttempts(attempts []serving.Attempt) string {
 	var b strings.Builder
 	for i, a := range attempts {
 		if i > 0 {
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -23,28 +23,28 @@
 		return 0
 	}
 	ranked := l.g.Members.Rank(upstream, prepaid.RoleRouter)
-	place := slices.IndexFunc(ranked, func(m member.Member) bool { return m.VM == l.g.settings.VM })
-	return ratelimit.Share(place, len(ranked), time.Since(since), perSecond)
+	index := slices.IndexFunc(ranked, func(m member.Member) bool { return m.VM == l.g.settings.VM })
+	return ratelimit.Share(index, len(ranked), time.Since(since), perSecond)
 }
 
 // Report implements pool.Limits.
-func (l limits) Report(address string, born int64, n ratelimit.NamedLimit, known func(ratelimit.State)) {
-	var answer ratelimit.State
-	l.g.beside.send(note{address: address, method: link.MethodLimit, message: link.LimitNamed{Born: born, Word: n},
-		answer: &answer, answered: func() { known(answer) }})
+func (l limits) Report(address string, startUnixMS int64, limit ratelimit.NamedLimit, onReply func(ratelimit.State)) {
+	var reply ratelimit.State
+	l.g.lenders.enqueue(lenderMessage{address: address, method: link.MethodLimit, body: link.LimitNamed{Born: startUnixMS, Word: limit},
+		reply: &reply, onReply: func() { onReply(reply) }})
 }
 
 // Changed implements pool.Limits.
-func (l limits) Changed(incarnation directory.Incarnation, was, now float64, from pool.LimitSource) {
-	l.g.Log.Info().Stringer("upstream", incarnation).Float64("was_per_second", was).Float64("per_second", now).Str("from", string(from)).
+func (l limits) Changed(incarnation directory.Incarnation, before, after float64, source pool.LimitSource) {
+	l.g.Log.Info().Stringer("upstream", incarnation).Float64("was_per_second", before).Float64("per_second", after).Str("from", string(source)).
 		Msg("upstream_limit")
 }
 
 // Unparsable implements pool.Limits.
-func (l limits) Unparsable(incarnation directory.Incarnation, err error, again bool) {
-	l.g.metrics.limitUnreadable()
-	if again {
-		return // one line for each text
+func (l limits) Unparsable(incarnation directory.Incarnation, err error, repeated bool) {
+	l.g.metrics.limitUnparsable()
+	if repeated {
+		return // logged once for each value
 	}
 	l.g.Log.Warn().Stringer("upstream", incarnation).Err(err).Msg("upstream_limit_unreadable")
 }
@@ -55,7 +55,7 @@
 	if c.Chosen != nil {
 		chosen = c.Chosen.String()
 	}
-	l.g.metrics.heldByLimits(r.Service.Name, c.Chosen != nil)
+	l.g.metrics.limitedChoice(r.Service.Name, c.Chosen != nil)
 	l.g.Log.Info().Str("id", r.ID).Str("service", r.Service.Name).Int("rank", r.Rank).Int("held", c.Limited).Int("of", c.Eligible).
 		Str("chosen", chosen).Int64("next_ms", c.RetryAfter.Milliseconds()).Msg("held_by_limits")
 }
--- a/gateway/meter.go
+++ b/gateway/meter.go
@@ -9,30 +9,30 @@
 	"github.com/arbutusmill/arbutusmill/hosted"
 )
 
-// frameBytes is what the headers of one packet take on the link.
-const frameBytes = 54
+// packetHeaderBytes is the size of the headers of one packet on the link.
+const packetHeaderBytes = 54
 
-// packetBytes is the payload of a full packet.
-const packetBytes = 1448
+// maxPacketPayload is the payload of a full packet.
+const maxPacketPayload = 1448
 
-// linkMeter takes what goes over the VM's link.
+// linkMeter measures the traffic on the VM's link.
 type linkMeter struct {
-	out   *admission.Link
-	usage *admission.Usage
+	outbound *admission.Link
+	usage    *admission.Usage
 }
 
-// bytesPerMbit turns Mbit/s into bytes a second.
+// bytesPerMbit converts Mbit/s to bytes per second.
 const bytesPerMbit = 1e6 / 8
 
-func newMeter(linkMbps float64) linkMeter {
+func newLinkMeter(linkMbps float64) linkMeter {
 	rate := linkMbps * bytesPerMbit
-	return linkMeter{out: &admission.Link{BytesPerSecond: rate}, usage: &admission.Usage{BytesPerSecond: rate}}
+	return linkMeter{outbound: &admission.Link{BytesPerSecond: rate}, usage: &admission.Usage{BytesPerSecond: rate}}
 }
 
-// onLink is what n bytes of payload take on the link.
-func onLink(n int) int { return n + (n/packetBytes+1)*frameBytes }
+// bytesOnLink returns the size on the link of n bytes of payload.
+func bytesOnLink(n int) int { return n + (n/maxPacketPayload+1)*packetHeaderBytes }
 
-// meteredConn counts what a connection sends and receives.
+// meteredConn counts the bytes that a connection sends and receives.
 type meteredConn struct {
 	net.Conn
 	meter linkMeter
@@ -42,15 +42,15 @@
 func (m meteredConn) Write(b []byte) (int, error) {
 	n, err := m.Conn.Write(b)
 	now := time.Now()
-	m.meter.out.Sent(now, onLink(n))
-	m.meter.usage.Sent(now, onLink(n))
+	m.meter.outbound.Sent(now, bytesOnLink(n))
+	m.meter.usage.Sent(now, bytesOnLink(n))
 	return n, err
 }
 
 // Read implements net.Conn.
 func (m meteredConn) Read(b []byte) (int, error) {
 	n, err := m.Conn.Read(b)
-	m.meter.usage.Received(time.Now(), onLink(n))
+	m.meter.usage.Received(time.Now(), bytesOnLink(n))
 	return n, err
 }
 
@@ -69,8 +69,8 @@
 	return meteredConn{c, l.meter}, nil
 }
 
-// metered returns the network with everything that it sends counted.
-func metered(n hosted.Network, meter linkMeter) hosted.Network {
+// meteredNetwork returns a network whose connections are metered.
+func meteredNetwork(n hosted.Network, meter linkMeter) hosted.Network {
 	return hosted.Network{
 		Listen: func(network, address string) (net.Listener, error) {
 			l, err := n.Listen(network, address)
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -15,11 +15,11 @@
 
 func newMetrics(g *Gateway) *gatewayMetrics {
 	m := &gatewayMetrics{set: g.Metrics}
-	m.set.NewGauge("arbutusmill_gateway_active_requests", func() float64 { return float64(g.active.Load()) })
-	m.set.NewGauge("arbutusmill_gateway_configuration_version", func() float64 { return float64(g.version()) })
+	m.set.NewGauge("arbutusmill_gateway_active_requests", func() float64 { return float64(g.activeRequests.Load()) })
+	m.set.NewGauge("arbutusmill_gateway_configuration_version", func() float64 { return float64(g.configVersion()) })
 	m.set.NewGauge("arbutusmill_gateway_emptied_datacentres", func() float64 { return float64(len(g.directory.Drained())) })
 	m.set.NewGauge("arbutusmill_gateway_prompts_that_end_upstreams", func() float64 {
-		return float64(len(g.prompts.register.Restricted(time.Now())))
+		return float64(len(g.prompts.registry.Restricted(time.Now())))
 	})
 	m.set.NewGauge("arbutusmill_gateway_routers", func() float64 {
 		n, _ := g.Members.Count(prepaid.RoleRouter)
@@ -33,43 +33,43 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf("arbutusmill_gateway_refused_requests_total{kind=%q}", k)).Inc()
 }
 
-// repeat counts a decision on one more send of a request.
-func (m *gatewayMetrics) repeat(service string, allowed bool) {
+// retryDecided counts a decision on a retry of a request.
+func (m *gatewayMetrics) retryDecided(service string, allowed bool) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("arbutusmill_gateway_repeats_total{service=%q,allowed=\"%t\"}", service, allowed)).Inc()
 }
 
-// broke counts an attempt whose connection broke, by what became of the upstream.
-func (m *gatewayMetrics) broke(service string, state upstreamState) {
+// connectionBroken counts an attempt whose connection broke, by the state of the upstream.
+func (m *gatewayMetrics) connectionBroken(service string, state upstreamState) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("arbutusmill_gateway_broken_attempts_total{service=%q,upstream=%q}", service, state)).Inc()
 }
 
-// breakNotLookedAt counts one for which there was no room.
-func (m *gatewayMetrics) breakNotLookedAt() {
+// breakNotProbed counts a broken attempt that was dropped from the full queue.
+func (m *gatewayMetrics) breakNotProbed() {
 	m.set.GetOrCreateCounter("arbutusmill_gateway_broken_attempts_not_looked_at_total").Inc()
 }
 
-// limitUnreadable counts an answer that names a limit which cannot be read.
-func (m *gatewayMetrics) limitUnreadable() {
+// limitUnparsable counts a response with a limit that cannot be parsed.
+func (m *gatewayMetrics) limitUnparsable() {
 	m.set.GetOrCreateCounter("arbutusmill_gateway_unreadable_limits_total").Inc()
 }
 
-// heldByLimits counts a choice in which limits kept a request from some upstreams.
-func (m *gatewayMetrics) heldByLimits(service string, served bool) {
+// limitedChoice counts a choice in which rate limits excluded upstreams, by whether one was chosen.
+func (m *gatewayMetrics) limitedChoice(service string, served bool) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("arbutusmill_gateway_held_by_limits_total{service=%q,served=\"%t\"}", service, served)).Inc()
 }
 
-// recalled counts a send that was ended since its prompt was found to end upstreams.
-func (m *gatewayMetrics) recalled(service string) {
+// attemptRecalled counts an attempt canceled because its prompt was found to crash upstreams.
+func (m *gatewayMetrics) attemptRecalled(service string) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("arbutusmill_gateway_recalled_sends_total{service=%q}", service)).Inc()
 }
 
-// promptNewsDropped counts news of a prompt that found no room.
-func (m *gatewayMetrics) promptNewsDropped() {
+// promptUpdateDropped counts an update on a prompt that was dropped because a queue was full.
+func (m *gatewayMetrics) promptUpdateDropped() {
 	m.set.GetOrCreateCounter("arbutusmill_gateway_prompt_news_dropped_total").Inc()
 }
 
-// ended counts the end of a request that came onto the path.
-func (m *gatewayMetrics) ended(r *serving.Request, o serving.Outcome, took time.Duration) {
+// requestEnded records the outcome of a request that was dispatched.
+func (m *gatewayMetrics) requestEnded(r *serving.Request, o serving.Outcome, duration time.Duration) {
 	service := r.Service.Name
 	if o.Refusal != nil {
 		m.refused(o.Refusal.Kind)
@@ -81,5 +81,5 @@
 		}
 	}
 	m.set.GetOrCreateCounter(fmt.Sprintf("arbutusmill_gateway_used_tokens_total{team=%q}", r.Team)).Add(int(o.Used))
-	m.set.GetOrCreateHistogram(fmt.Sprintf("arbutusmill_gateway_request_duration_seconds{service=%q}", service)).Update(took.Seconds())
+	m.set.GetOrCreateHistogram(fmt.Sprintf("arbutusmill_gateway_request_duration_seconds{service=%q}", service)).Update(duration.Seconds())
 }
--- a/gateway/operators.go
+++ b/gateway/operators.go
@@ -9,96 +9,97 @@
 	"github.com/arbutusmill/arbutusmill/platform"
 )
 
-// operatorReader puts in force what operators write: configurations, and orders to empty data
-// centres. Both are followed as one prefix, so that a router that knows a configuration knows
-// the orders of the same moment too: one that starts would else send to a data centre that was
-// emptied before. It implements mirror.Reader; its methods are called from one goroutine.
+// operatorReader applies what operators write: configurations, and orders to drain data centres. Both
+// are followed as one prefix, so that a router has the configuration and the orders of the same
+// revision: otherwise a starting router might send requests to a data centre that is already drained. It
+// implements mirror.Reader; its methods are called from one goroutine.
 type operatorReader struct {
 	g *Gateway
-	// emptied are the data centres that are to get nothing, and the revisions that say so.
-	emptied map[string]store.Revision
+	// drained are the drained data centres, with the revisions of their orders.
+	drained map[string]store.Revision
 }
 
 // Reset implements mirror.Reader.
 func (o *operatorReader) Reset(items []store.Item) {
-	o.g.configuration.Answers(o.g.Log, "configuration")
-	emptied := map[string]store.Revision{}
+	o.g.configWatch.Answers(o.g.Log, "configuration")
+	drained := map[string]store.Revision{}
 	for _, it := range items {
 		if _, ok := platform.EmptiedBy(it.Key); ok {
-			emptied[o.datacentreOf(it)] = it.Revision
+			drained[o.decodeDrain(it)] = it.Revision
 		}
 	}
-	o.setEmptied(emptied)
+	o.setDrained(drained)
 	for _, it := range items {
-		o.configure(it)
+		o.applyConfig(it)
 	}
 }
 
 // Changed implements mirror.Reader. The configuration is never removed.
 func (o *operatorReader) Changed(e store.Event) {
 	if datacentre, ok := platform.EmptiedBy(e.Key); ok {
-		o.order(datacentre, e)
+		o.applyDrain(datacentre, e)
 		return
 	}
 	if !e.Deleted {
-		o.configure(e.Item)
+		o.applyConfig(e.Item)
 	}
 }
 
-// Lost implements mirror.Reader. What was known stays in force.
-func (o *operatorReader) Lost(err error) { o.g.configuration.Fails(o.g.Log, "configuration", err) }
+// Lost implements mirror.Reader. The last known state stays active.
+func (o *operatorReader) Lost(err error) { o.g.configWatch.Fails(o.g.Log, "configuration", err) }
 
-// order takes one order, or its end.
-func (o *operatorReader) order(datacentre string, e store.Event) {
-	have, emptied := o.emptied[datacentre]
-	if emptied && e.Revision < have {
-		return // told late: what is known is newer
+// applyDrain applies an order to drain a data centre, or the removal of one.
+func (o *operatorReader) applyDrain(datacentre string, e store.Event) {
+	have, isDrained := o.drained[datacentre]
+	if isDrained && e.Revision < have {
+		return // an old event: the known order is newer
 	}
-	next := maps.Clone(o.emptied)
+	next := maps.Clone(o.drained)
 	if e.Deleted {
 		delete(next, datacentre)
 	} else {
-		next[o.datacentreOf(e.Item)] = e.Revision
+		next[o.decodeDrain(e.Item)] = e.Revision
 	}
-	o.setEmptied(next)
+	o.setDrained(next)
 }
 
-// datacentreOf decodes an order. One that cannot be read holds all the same.
-func (o *operatorReader) datacentreOf(it store.Item) string {
+// decodeDrain returns the data centre of an order. An order that cannot be decoded is logged, and
+// applies nevertheless.
+func (o *operatorReader) decodeDrain(it store.Item) string {
 	datacentre, err := platform.DecodeEmptying(it, o.g.settings.Regions)
-	if have, known := o.emptied[datacentre]; err != nil && !(known && have == it.Revision) {
+	if have, known := o.drained[datacentre]; err != nil && !(known && have == it.Revision) {
 		o.g.Unreadable("orders")
 		o.g.Log.Error().Err(err).Int64("revision", int64(it.Revision)).Msg("order_unreadable")
 	}
 	return datacentre
 }
 
-// setEmptied puts the orders in force, with a line for each one that came or was taken back.
-func (o *operatorReader) setEmptied(next map[string]store.Revision) {
-	before := o.emptied
-	o.emptied = next
+// setDrained applies the orders, and logs each one that was added or removed.
+func (o *operatorReader) setDrained(next map[string]store.Revision) {
+	before := o.drained
+	o.drained = next
 	o.g.directory.SetDrained(slices.Collect(maps.Keys(next)))
 	for datacentre, revision := range next {
 		if _, known := before[datacentre]; !known {
-			o.logOrder(datacentre, true, revision)
+			o.logDrain(datacentre, true, revision)
 		}
 	}
 	for datacentre, revision := range before {
 		if _, still := next[datacentre]; !still {
-			o.logOrder(datacentre, false, revision)
+			o.logDrain(datacentre, false, revision)
 		}
 	}
 }
 
-// logOrder says that a data centre gets nothing from now on, or work again. The revision is
-// that of the order, the age how long ago the store was heard of.
-func (o *operatorReader) logOrder(datacentre string, emptied bool, revision store.Revision) {
-	o.g.Log.Info().Str("datacentre", datacentre).Bool("emptied", emptied).Int64("revision", int64(revision)).
+// logDrain logs that a data centre is drained, or no longer. The revision is that of the order, the
+// age the time since the last contact with the store.
+func (o *operatorReader) logDrain(datacentre string, drained bool, revision store.Revision) {
+	o.g.Log.Info().Str("datacentre", datacentre).Bool("emptied", drained).Int64("revision", int64(revision)).
 		Dur("age_ms", o.g.Follower.State().Age).Int("upstreams", o.g.directory.CountInDatacentre(datacentre)).Msg("datacentre_emptied")
 }
 
-// configure puts a configuration in force, unless it is older than the one there is.
-func (o *operatorReader) configure(it store.Item) {
+// applyConfig activates a configuration, unless it is older than the active one.
+func (o *operatorReader) applyConfig(it store.Item) {
 	if it.Key != platform.ConfigKey {
 		return
 	}
@@ -112,7 +113,7 @@
 		o.g.Unreadable("regions")
 		o.g.Log.Error().Err(problem).Int64("version", config.Version).Msg("region_unknown")
 	}
-	raised := o.g.catalog.UpdateIfNewer(catalog.NewTable(config))
-	o.g.Log.Info().Int64("version", config.Version).Int64("revision", int64(it.Revision)).Bool("taken", raised).
+	activated := o.g.catalog.UpdateIfNewer(catalog.NewTable(config))
+	o.g.Log.Info().Int64("version", config.Version).Int64("revision", int64(it.Revision)).Bool("taken", activated).
 		Int("routes", len(config.Routes)).Int("teams", len(config.Teams)).Msg("configuration")
 }
--- a/gateway/promptkeepers.go
+++ b/gateway/promptkeepers.go
@@ -12,160 +12,160 @@
 	"github.com/arbutusmill/arbutusmill/prepaid"
 )
 
-// How processes beside upstreams keep what routers know of prompts.
+// Parameters of the keepers: lenders that store the routers' evidence on prompts.
 const (
-	// keepers is how many keep it: one may be lost with its upstream, and another restarted
-	// meanwhile.
-	keepers = 3
-	// keepPause is the pause between two messages to the keepers. An engine that ends cuts dozens
-	// of requests at once; they go in one message.
-	keepPause = 100 * time.Millisecond
-	// keepersLook is the pause between two looks for keepers that were not told before.
-	keepersLook = time.Second
-	// mostToKeep bounds the changes between two messages.
-	mostToKeep = 512
+	// keeperCount is the number of keepers: one may fail together with its upstream while another
+	// one restarts.
+	keeperCount = 3
+	// keeperBatchDelay is how long changes are collected for one message to the keepers. A crashing
+	// engine interrupts dozens of requests at once.
+	keeperBatchDelay = 100 * time.Millisecond
+	// keeperCheckInterval is the interval between checks for new keepers.
+	keeperCheckInterval = time.Second
+	// maxQueuedChanges limits the changes between two messages.
+	maxQueuedChanges = 512
 )
 
-// promptChange is a prompt of which more is known, or which a service answered.
+// promptChange is a prompt with new evidence, or one that a service answered.
 type promptChange struct {
 	prompt poison.Prompt
-	// answered is nil if more is known.
+	// answered is nil for new evidence.
 	answered *link.PromptAnswered
 }
 
-// keepers are the processes beside upstreams that keep what is known of all prompts.
+// keepers returns the lenders that store the evidence on all prompts.
 func (p *promptGuard) keepers() []member.Member {
 	ranked := p.members.Rank(poison.KeepersKey, prepaid.RoleLender)
-	return ranked[:min(keepers, len(ranked))]
+	return ranked[:min(keeperCount, len(ranked))]
 }
 
-// decides reports whether this router is the one that decides for a prompt.
-func (p *promptGuard) decides(prompt poison.Prompt) bool {
-	ranked := p.rankFor(prompt)
+// isOwner reports whether this router owns a prompt.
+func (p *promptGuard) isOwner(prompt poison.Prompt) bool {
+	ranked := p.rankOwners(prompt)
 	return len(ranked) == 0 || ranked[0].VM == p.vm
 }
 
-// keepLater queues a change for the keepers. One that finds no room is told when another router
-// decides for the prompt, or a keeper is another.
-func (p *promptGuard) keepLater(c promptChange) {
+// queueForKeepers queues a change for the keepers. If the queue is full, the change is dropped and
+// counted; it is sent when the prompt's owner or a keeper changes.
+func (p *promptGuard) queueForKeepers(c promptChange) {
 	select {
-	case p.toKeep <- c:
+	case p.keeperChanges <- c:
 	default:
-		p.metrics.promptNewsDropped()
+		p.metrics.promptUpdateDropped()
 	}
 }
 
-// keepAnswered queues that a service answered a prompt, at the router that decides for it.
-func (p *promptGuard) keepAnswered(a link.PromptAnswered) {
-	if p.decides(a.Prompt) {
-		p.keepLater(promptChange{prompt: a.Prompt, answered: &a})
+// queueAnsweredForKeepers queues that a service answered a prompt, if this router owns the prompt.
+func (p *promptGuard) queueAnsweredForKeepers(a link.PromptAnswered) {
+	if p.isOwner(a.Prompt) {
+		p.queueForKeepers(promptChange{prompt: a.Prompt, answered: &a})
 	}
 }
 
-// keep tells the keepers what changes until the context ends, and a new one all that this router
-// decides for.
-func (p *promptGuard) keep(ctx context.Context) {
-	told := map[string]bool{} // by the keeper's life: it was told all before
-	look := time.NewTicker(keepersLook)
-	defer look.Stop()
+// updateKeepers sends changes to the keepers until the context ends, and to a new keeper the evidence
+// on all prompts that this router owns.
+func (p *promptGuard) updateKeepers(ctx context.Context) {
+	synced := map[string]bool{} // the keepers that have received all, by incarnation
+	check := time.NewTicker(keeperCheckInterval)
+	defer check.Stop()
 	for {
-		var first []promptChange
+		var changes []promptChange
 		select {
 		case <-ctx.Done():
 			return
-		case <-look.C:
-		case c := <-p.toKeep:
-			first = append(first, c)
-			_ = backoff.Sleep(ctx, keepPause) // ends early only with the context
+		case <-check.C:
+		case c := <-p.keeperChanges:
+			changes = append(changes, c)
+			_ = backoff.Sleep(ctx, keeperBatchDelay) // ends early only with the context
 		}
-		told = p.tellKeepers(ctx, told, p.merge(p.takeChanges(first)))
+		synced = p.sendToKeepers(ctx, synced, p.mergeChanges(p.appendQueuedChanges(changes)))
 	}
 }
 
-// takeChanges adds what is queued to the first changes.
-func (p *promptGuard) takeChanges(first []promptChange) []promptChange {
-	for range len(p.toKeep) {
-		first = append(first, <-p.toKeep)
+// appendQueuedChanges appends the queued changes.
+func (p *promptGuard) appendQueuedChanges(changes []promptChange) []promptChange {
+	for range len(p.keeperChanges) {
+		changes = append(changes, <-p.keeperChanges)
 	}
-	return first
+	return changes
 }
 
-// merge makes one message of changes.
-func (p *promptGuard) merge(changes []promptChange) (changed link.PromptKeep) {
+// mergeChanges combines changes into one message.
+func (p *promptGuard) mergeChanges(changes []promptChange) (message link.PromptKeep) {
 	now, seen := time.Now(), map[poison.Prompt]bool{}
 	for _, c := range changes {
 		if c.answered != nil {
-			changed.Answered = append(changed.Answered, *c.answered)
+			message.Answered = append(message.Answered, *c.answered)
 		}
 		if seen[c.prompt] {
 			continue
 		}
 		seen[c.prompt] = true
-		if e := p.register.Known(now, c.prompt); len(e.Crashes) > 0 {
-			changed.Known = append(changed.Known, e)
+		if e := p.registry.Known(now, c.prompt); len(e.Crashes) > 0 {
+			message.Known = append(message.Known, e)
 		}
 	}
-	return changed
+	return message
 }
 
-// tellKeepers tells each keeper what changed, or all if it was not told before, and returns those
-// that took it.
-func (p *promptGuard) tellKeepers(ctx context.Context, told map[string]bool, changed link.PromptKeep) map[string]bool {
+// sendToKeepers sends the changes to each keeper, or the evidence on all owned prompts to one that is
+// not synced, and returns the keepers that are synced then.
+func (p *promptGuard) sendToKeepers(ctx context.Context, synced map[string]bool, changes link.PromptKeep) map[string]bool {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	took := map[string]bool{}
+	updated := map[string]bool{}
 	for _, m := range p.keepers() {
-		message := changed
-		if !told[m.ID] {
-			message.Known = p.decidedHere()
+		message := changes
+		if !synced[m.ID] {
+			message.Known = p.ownedEvidence()
 		}
 		wg.Go(func() {
-			if ok := p.tellKeeper(ctx, m, message); ok {
+			if ok := p.sendToKeeper(ctx, m, message); ok {
 				mu.Lock()
 				defer mu.Unlock()
-				took[m.ID] = true
+				updated[m.ID] = true
 			}
 		})
 	}
 	wg.Wait()
-	return took
+	return updated
 }
 
-// decidedHere is what this router knows of the prompts that it decides for.
-func (p *promptGuard) decidedHere() (known []poison.Evidence) {
-	for _, e := range p.register.List(time.Now()) {
-		if p.decides(e.Prompt) {
-			known = append(known, e)
+// ownedEvidence returns the evidence on the prompts that this router owns.
+func (p *promptGuard) ownedEvidence() (owned []poison.Evidence) {
+	for _, e := range p.registry.List(time.Now()) {
+		if p.isOwner(e.Prompt) {
+			owned = append(owned, e)
 		}
 	}
-	return known
+	return owned
 }
 
-// tellKeeper brings one message to a keeper, and takes what that knows beyond it: another router
-// may have decided for a prompt before.
-func (p *promptGuard) tellKeeper(ctx context.Context, m member.Member, message link.PromptKeep) bool {
+// sendToKeeper sends one message to a keeper, and adds the keeper's additional evidence: another
+// router may have owned a prompt before. It reports whether the keeper replied.
+func (p *promptGuard) sendToKeeper(ctx context.Context, m member.Member, message link.PromptKeep) bool {
 	if len(message.Known)+len(message.Answered) == 0 {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(ctx, tellTimeout)
+	ctx, cancel := context.WithTimeout(ctx, promptCallTimeout)
 	defer cancel()
-	var kept []poison.Evidence
-	if err := p.links.Call(ctx, m.Address, link.MethodPromptKeep, message, &kept); err != nil {
+	var stored []poison.Evidence
+	if err := p.links.Call(ctx, m.Address, link.MethodPromptKeep, message, &stored); err != nil {
 		p.log.Warn().Err(err).Str("keeper", m.ID).Str("method", link.MethodPromptKeep).Msg("prompt_not_told")
 		return false
 	}
-	for _, e := range kept {
-		p.takeKept(e)
+	for _, e := range stored {
+		p.addKeeperEvidence(e)
 	}
 	return true
 }
 
-// takeKept takes what a keeper knows of a prompt, unless that was answered meanwhile.
-func (p *promptGuard) takeKept(e poison.Evidence) {
+// addKeeperEvidence adds a keeper's evidence on a prompt, unless the prompt was answered meanwhile.
+func (p *promptGuard) addKeeperEvidence(e poison.Evidence) {
 	now := time.Now()
-	if len(p.register.Known(now, e.Prompt).Crashes) == 0 {
+	if len(p.registry.Known(now, e.Prompt).Crashes) == 0 {
 		return
 	}
-	all, news := p.add(e)
-	p.decided(all, news)
+	merged, isNew := p.addEvidence(e)
+	p.publishAsOwner(merged, isNew)
 }
--- a/gateway/promptnews.go
+++ b/gateway/promptnews.go
@@ -16,62 +16,64 @@
 	"github.com/arbutusmill/arbutusmill/prepaid"
 )
 
-// How routers tell each other of prompts.
+// Parameters of the messages between routers on prompts.
 const (
-	// mostNews bounds what waits to be told to others.
-	mostNews = 256
-	// tellers is how many routers are told at once.
-	tellers = 16
-	// tellTimeout bounds one message on a prompt: many times the way between two routers.
-	tellTimeout = 150 * time.Millisecond
-	// deciders is how many routers are asked to decide for a prompt, one after the other.
-	deciders = 2
-	// learnFor is for how long a router that starts asks others for what they know until some have
-	// answered: longer than most outages of the store, which keepers that have started too need. The
-	// pause between two tries grows from learnPause to mostLearnPause.
-	learnFor       = time.Minute
-	learnPause     = 100 * time.Millisecond
-	mostLearnPause = 2 * time.Second
-	// learnTries is how many routers are asked in one try.
-	learnTries = 3
+	// maxQueuedUpdates limits the updates that wait to be sent.
+	maxQueuedUpdates = 256
+	// maxParallelNotifies is the number of routers notified in parallel.
+	maxParallelNotifies = 16
+	// promptCallTimeout is the timeout of one call on a prompt: many times the latency between two
+	// routers.
+	promptCallTimeout = 150 * time.Millisecond
+	// ownerCandidates is how many routers are tried, one after the other, as a prompt's owner.
+	ownerCandidates = 2
+	// initialFetchTimeout is how long a starting router tries to fetch evidence from others: longer
+	// than most outages of the store, from which keepers that restarted as well must load theirs.
+	// The backoff between two rounds grows from minFetchBackoff to maxFetchBackoff.
+	initialFetchTimeout = time.Minute
+	minFetchBackoff     = 100 * time.Millisecond
+	maxFetchBackoff     = 2 * time.Second
+	// routersPerFetch is how many routers are tried in one round.
+	routersPerFetch = 3
 )
 
-// promptNews is what others are to be told of a prompt.
-type promptNews struct {
+// promptUpdate is a message on a prompt to other routers.
+type promptUpdate struct {
 	prompt  poison.Prompt
 	method  string
 	message any
-	// toAll says that all routers are told, not only the one that decides for the prompt.
-	toAll bool
+	// broadcast sends the message to all routers, not only to the prompt's owner.
+	broadcast bool
 }
 
-// promptMethods answer other routers' messages on prompts.
+// promptMethods returns the handlers of other routers' calls on prompts.
 func (g *Gateway) promptMethods() map[string]link.Handler {
 	return map[string]link.Handler{
 		link.MethodPromptEnded: link.Handle(func(ctx context.Context, e poison.Evidence) (poison.Evidence, error) {
-			return g.prompts.takeEnded(ctx, e)
+			return g.prompts.handleEnded(ctx, e)
 		}),
 		link.MethodPromptTry: link.Handle(func(ctx context.Context, in link.PromptTry) (link.PromptTryReply, error) {
-			return g.prompts.takeTry(ctx, in)
+			return g.prompts.handleTry(ctx, in)
 		}),
 		link.MethodPromptKnown: link.Handle(func(ctx context.Context, e poison.Evidence) (link.Empty, error) {
-			return g.prompts.takeKnown(ctx, e)
+			return g.prompts.handleKnown(ctx, e)
 		}),
 		link.MethodPromptCleared: link.Handle(func(ctx context.Context, in link.PromptAnswered) (link.Empty, error) {
-			return g.prompts.takeCleared(ctx, in)
+			return g.prompts.handleCleared(ctx, in)
 		}),
 		link.MethodPromptList: link.Handle(func(ctx context.Context, in link.Empty) ([]poison.Evidence, error) {
-			return g.prompts.list(ctx, in)
+			return g.prompts.handleList(ctx, in)
 		}),
 	}
 }
 
-// errNobodyDecides says that none of the routers that decide for a prompt answered.
-var errNobodyDecides = errors.New("no router that decides for the prompt answered")
+// errNoOwnerReply is returned if no candidate for a prompt's owner replied.
+var errNoOwnerReply = errors.New("no router that may own the prompt replied")
 
-// rankFor are the routers in the order in which they decide for a prompt. The members' own rankings
-// are not asked: they are kept for the few pages of budgets, and there may be thousands of prompts.
-func (p *promptGuard) rankFor(prompt poison.Prompt) []member.Member {
+// rankOwners returns the routers in their order of preference as a prompt's owner. It doesn't use
+// member.Group.Rank, which caches its rankings: that suits the few pages of budgets, but there may be
+// thousands of prompts.
+func (p *promptGuard) rankOwners(prompt poison.Prompt) []member.Member {
 	routers := p.members.Newest(prepaid.RoleRouter)
 	ranked := make([]member.Member, 0, len(routers))
 	for _, vm := range rendezvous.Rank(string(prompt), slices.Collect(maps.Keys(routers))) {
@@ -80,107 +82,108 @@
 	return ranked
 }
 
-// decide sends a message to the router that decides for a prompt, or to the next one if that does
-// not answer. Where it is this one, the message is taken here.
-func decide[In, Out any](ctx context.Context, p *promptGuard, prompt poison.Prompt, method string, in In,
-	here func(context.Context, In) (Out, error)) (out Out, err error) {
-	ranked := p.rankFor(prompt)
-	for _, router := range ranked[:min(deciders, len(ranked))] {
+// callOwner calls the router that owns a prompt, or the next candidate if that doesn't reply. If
+// this router is the first to be called, callOwner calls local instead.
+func callOwner[In, Out any](ctx context.Context, p *promptGuard, prompt poison.Prompt, method string, in In,
+	local func(context.Context, In) (Out, error)) (out Out, err error) {
+	ranked := p.rankOwners(prompt)
+	for _, router := range ranked[:min(ownerCandidates, len(ranked))] {
 		if router.VM == p.vm {
-			return here(ctx, in)
+			return local(ctx, in)
 		}
-		asking, cancel := context.WithTimeout(ctx, tellTimeout)
-		err = p.links.Call(asking, router.Address, method, in, &out)
+		callCtx, cancel := context.WithTimeout(ctx, promptCallTimeout)
+		err = p.links.Call(callCtx, router.Address, method, in, &out)
 		cancel()
 		if err == nil {
 			return out, nil
 		}
 	}
-	return out, errors.Join(errNobodyDecides, err)
+	return out, errors.Join(errNoOwnerReply, err)
 }
 
-// takeEnded takes an end as the router that decides for the prompt.
-func (p *promptGuard) takeEnded(_ context.Context, e poison.Evidence) (poison.Evidence, error) {
-	all, news := p.add(e)
-	p.decided(all, news)
-	return all, nil
+// handleEnded records a crash as the owner of the prompt.
+func (p *promptGuard) handleEnded(_ context.Context, e poison.Evidence) (poison.Evidence, error) {
+	merged, isNew := p.addEvidence(e)
+	p.publishAsOwner(merged, isNew)
+	return merged, nil
 }
 
-// takeTry decides whether a prompt may be tried.
-func (p *promptGuard) takeTry(_ context.Context, in link.PromptTry) (link.PromptTryReply, error) {
+// handleTry decides whether a request may try a prompt.
+func (p *promptGuard) handleTry(_ context.Context, in link.PromptTry) (link.PromptTryReply, error) {
 	now := time.Now()
-	allowed := p.register.Allow(now, in.Prompt, in.Service, in.Request)
-	return link.PromptTryReply{Allowed: allowed, Known: p.register.Known(now, in.Prompt)}, nil
+	allowed := p.registry.Allow(now, in.Prompt, in.Service, in.Request)
+	return link.PromptTryReply{Allowed: allowed, Known: p.registry.Known(now, in.Prompt)}, nil
 }
 
-// takeKnown takes what another router knows of a prompt.
-func (p *promptGuard) takeKnown(_ context.Context, e poison.Evidence) (link.Empty, error) {
-	if all, news := p.add(e); news {
-		p.log.Info().Str("prompt", string(e.Prompt)).Str("standing", all.Standing().String()).
-			Str("evidence", describe(all)).Msg("prompt_known")
+// handleKnown adds another router's evidence on a prompt.
+func (p *promptGuard) handleKnown(_ context.Context, e poison.Evidence) (link.Empty, error) {
+	if merged, isNew := p.addEvidence(e); isNew {
+		p.log.Info().Str("prompt", string(e.Prompt)).Str("standing", merged.Standing().String()).
+			Str("evidence", describeEvidence(merged)).Msg("prompt_known")
 	}
 	return link.Empty{}, nil
 }
 
-// takeCleared takes that a prompt was answered.
-func (p *promptGuard) takeCleared(_ context.Context, in link.PromptAnswered) (link.Empty, error) {
-	p.register.RecordAnswer(time.Now(), in.Prompt, in.Service)
-	p.keepAnswered(in)
+// handleCleared records that a service answered a prompt.
+func (p *promptGuard) handleCleared(_ context.Context, in link.PromptAnswered) (link.Empty, error) {
+	p.registry.RecordAnswer(time.Now(), in.Prompt, in.Service)
+	p.queueAnsweredForKeepers(in)
 	return link.Empty{}, nil
 }
 
-// list returns what is known of all prompts.
-func (p *promptGuard) list(context.Context, link.Empty) ([]poison.Evidence, error) {
-	return p.register.List(time.Now()), nil
+// handleList returns the evidence on all prompts.
+func (p *promptGuard) handleList(context.Context, link.Empty) ([]poison.Evidence, error) {
+	return p.registry.List(time.Now()), nil
 }
 
-// tellLater queues news.
-func (p *promptGuard) tellLater(n promptNews) {
+// queueUpdate queues an update, or drops and counts it if the queue is full.
+func (p *promptGuard) queueUpdate(n promptUpdate) {
 	select {
-	case p.news <- n:
+	case p.updates <- n:
 	default:
-		p.metrics.promptNewsDropped()
+		p.metrics.promptUpdateDropped()
 	}
 }
 
-// tellNews tells others what is queued until the context ends.
-func (p *promptGuard) tellNews(ctx context.Context) {
+// sendUpdates sends queued updates until the context ends.
+func (p *promptGuard) sendUpdates(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case n := <-p.news:
-			if n.toAll {
-				p.tellAll(ctx, n)
+		case n := <-p.updates:
+			if n.broadcast {
+				p.notifyAll(ctx, n)
 			} else {
-				p.tellDecider(ctx, n)
+				p.notifyOwner(ctx, n)
 			}
 		}
 	}
 }
 
-// tellDecider tells the router that decides for the prompt.
-func (p *promptGuard) tellDecider(ctx context.Context, n promptNews) {
-	nothingToDo := func(context.Context, any) (link.Empty, error) { return link.Empty{}, nil }
-	if _, err := decide(ctx, p, n.prompt, n.method, n.message, nothingToDo); err != nil {
+// notifyOwner sends an update to the prompt's owner.
+func (p *promptGuard) notifyOwner(ctx context.Context, n promptUpdate) {
+	noop := func(context.Context, any) (link.Empty, error) { return link.Empty{}, nil }
+	if _, err := callOwner(ctx, p, n.prompt, n.method, n.message, noop); err != nil {
 		p.log.Warn().Err(err).Str("prompt", string(n.prompt)).Str("method", n.method).Msg("prompt_not_told")
 	}
 }
 
-// tellAll tells all other routers. One that does not hear of a prompt learns of it by its own loss.
-func (p *promptGuard) tellAll(ctx context.Context, n promptNews) {
+// notifyAll sends an update to all other routers. One that misses it gets evidence from the crashes
+// under its own requests.
+func (p *promptGuard) notifyAll(ctx context.Context, n promptUpdate) {
 	var wg sync.WaitGroup
-	room := make(chan struct{}, tellers)
+	slots := make(chan struct{}, maxParallelNotifies)
 	for vm, m := range p.members.Newest(prepaid.RoleRouter) {
 		if vm == p.vm {
 			continue
 		}
-		room <- struct{}{}
+		slots <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-room }()
-			telling, cancel := context.WithTimeout(ctx, tellTimeout)
+			defer func() { <-slots }()
+			callCtx, cancel := context.WithTimeout(ctx, promptCallTimeout)
 			defer cancel()
-			if err := p.links.Call(telling, m.Address, n.method, n.message, nil); err != nil {
+			if err := p.links.Call(callCtx, m.Address, n.method, n.message, nil); err != nil {
 				p.log.Warn().Err(err).Str("router", vm).Str("method", n.method).Msg("prompt_not_told")
 			}
 		})
@@ -188,54 +191,55 @@
 	wg.Wait()
 }
 
-// learnFromOthers asks others for the prompts that they know: a router that has just started would
-// else send each of them once more. The keepers know what a fleet of routers knew that started
-// anew together, and other routers what keepers missed that did; so both are asked until one of
-// each has answered, or there seems to be none.
-func (p *promptGuard) learnFromOthers(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, learnFor)
+// fetchInitialEvidence fetches the evidence on prompts from other processes: without it, a router that
+// has just started would send each of these prompts once more. The keepers have the evidence if all
+// routers restarted together, other routers have it if the keepers restarted. So it tries both until
+// one of each has replied or the time is over.
+func (p *promptGuard) fetchInitialEvidence(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, initialFetchTimeout)
 	defer cancel()
 	var keeper, router bool
-	pauses := backoff.New(learnPause, mostLearnPause)
+	retry := backoff.New(minFetchBackoff, maxFetchBackoff)
 	for !keeper || !router {
-		keeper = keeper || p.learnFromAny(ctx, p.keepers(), keepers)
-		router = router || p.learnFromAny(ctx, p.otherRouters(), 1)
-		if pauses.Wait(ctx) != nil {
+		keeper = keeper || p.fetchFromAny(ctx, p.keepers(), keeperCount)
+		router = router || p.fetchFromAny(ctx, p.otherRouters(), 1)
+		if retry.Wait(ctx) != nil {
 			return
 		}
 	}
 }
 
-// otherRouters are a few routers beside this one, in no order.
+// otherRouters returns up to routersPerFetch other routers in no particular order.
 func (p *promptGuard) otherRouters() []member.Member {
 	others := p.members.Newest(prepaid.RoleRouter)
 	delete(others, p.vm)
 	all := slices.Collect(maps.Values(others))
-	return all[:min(len(all), learnTries)]
+	return all[:min(len(all), routersPerFetch)]
 }
 
-// learnFromAny asks members one after the other until enough have answered, and reports whether any did.
-func (p *promptGuard) learnFromAny(ctx context.Context, members []member.Member, enough int) bool {
-	answered := 0
+// fetchFromAny fetches evidence from the members, one after the other, until enough have replied, and
+// reports whether any did.
+func (p *promptGuard) fetchFromAny(ctx context.Context, members []member.Member, enough int) bool {
+	replies := 0
 	for _, m := range members {
-		if answered < enough && p.learnFrom(ctx, m) {
-			answered++
+		if replies < enough && p.fetchFrom(ctx, m) {
+			replies++
 		}
 	}
-	return answered > 0
+	return replies > 0
 }
 
-// learnFrom asks one member, and reports whether it answered.
-func (p *promptGuard) learnFrom(ctx context.Context, m member.Member) bool {
-	ctx, cancel := context.WithTimeout(ctx, tellTimeout)
+// fetchFrom fetches evidence from one member, and reports whether it replied.
+func (p *promptGuard) fetchFrom(ctx context.Context, m member.Member) bool {
+	ctx, cancel := context.WithTimeout(ctx, promptCallTimeout)
 	defer cancel()
-	var known []poison.Evidence
-	if p.links.Call(ctx, m.Address, link.MethodPromptList, link.Empty{}, &known) != nil {
+	var fetched []poison.Evidence
+	if p.links.Call(ctx, m.Address, link.MethodPromptList, link.Empty{}, &fetched) != nil {
 		return false
 	}
-	p.log.Info().Str("from", m.ID).Int("prompts", len(known)).Msg("prompts_learned")
-	for _, e := range known {
-		_, _ = p.takeKnown(ctx, e) // it does not fail
+	p.log.Info().Str("from", m.ID).Int("prompts", len(fetched)).Msg("prompts_learned")
+	for _, e := range fetched {
+		_, _ = p.handleKnown(ctx, e) // never returns an error
 	}
 	return true
 }
--- a/gateway/prompts.go
+++ b/gateway/prompts.go
@@ -16,41 +16,41 @@
 )
 
 const (
-	// mostBroken bounds the broken attempts that wait to be looked at. What finds no room is
-	// counted, and lost as evidence.
-	mostBroken = 512
-	// lookers is how many upstreams are looked at at once: one that does not answer at all
-	// takes the time of a dial.
-	lookers = 4
-	// lapsePause is the pause between two looks for prompts whose time is over.
-	lapsePause = time.Second
+	// maxQueuedBreaks limits the broken attempts that wait to be investigated. Those beyond it
+	// are counted and lost as evidence.
+	maxQueuedBreaks = 512
+	// probeWorkers is the number of upstreams probed in parallel: a probe of an unreachable one
+	// takes the whole dial timeout.
+	probeWorkers = 4
+	// promptExpireInterval is the interval between checks for expired evidence.
+	promptExpireInterval = time.Second
 )
 
-// promptGuard implements serving.PromptGuard. The load that it answers: one prompt ends each engine
-// that runs it, its caller and others bring it again through all routers, and what runs beside it
-// is cut each time.
+// promptGuard implements serving.PromptGuard. It handles a prompt that crashes each engine that runs
+// it, while its caller and others retry it through all routers, and each crash interrupts the
+// other requests on the engine.
 //
-// An upstream that ended under a request is told to the router that decides for the prompt, found
-// by rendezvous hashing. From the second end on that router tells all others, and lets one request
-// now and then try the prompt; after the third one nobody sends it. A router that reaches no other
-// goes by what it has seen itself. What it decides for is kept by a few processes beside upstreams
-// too, since routers may all start anew together.
+// A crash of an upstream during a request is reported to the router that owns the prompt, chosen by
+// rendezvous hashing. From the second crash on the owner notifies all routers and allows only an
+// occasional request to try the prompt; after the third one no router sends it. A router that
+// reaches no owner uses its own evidence. A few lenders, the keepers, store the owner's evidence
+// as well, since all routers may restart together.
 type promptGuard struct {
 	vm       string
-	register poison.Registry
-	sends    sends
+	registry poison.Registry
+	attempts trackedAttempts
 	members  *member.Group
 	links    *link.Pool
-	dial     dialer
+	dial     dialFunc
 	metrics  *gatewayMetrics
 	log      zerolog.Logger
-	broken   chan brokenAttempt
-	news     chan promptNews
-	// toKeep is what the keepers are to be told.
-	toKeep chan promptChange
+	breaks   chan brokenAttempt
+	updates  chan promptUpdate
+	// keeperChanges are the changes to be sent to the keepers.
+	keeperChanges chan promptChange
 }
 
-// brokenAttempt is one whose connection to the upstream broke.
+// brokenAttempt is an attempt whose connection to the upstream broke.
 type brokenAttempt struct {
 	request *serving.Request
 	attempt serving.Attempt
@@ -58,192 +58,193 @@
 
 func newPromptGuard(g *Gateway) *promptGuard {
 	return &promptGuard{
-		vm:      g.settings.VM,
-		members: g.Members,
-		links:   g.Links,
-		dial:    g.Network.Within(time.Duration(g.settings.Upstreams.DialTimeout)),
-		metrics: g.metrics,
-		log:     g.Log,
-		broken:  make(chan brokenAttempt, mostBroken),
-		news:    make(chan promptNews, mostNews),
-		toKeep:  make(chan promptChange, mostToKeep),
+		vm:            g.settings.VM,
+		members:       g.Members,
+		links:         g.Links,
+		dial:          g.Network.Within(time.Duration(g.settings.Upstreams.DialTimeout)),
+		metrics:       g.metrics,
+		log:           g.Log,
+		breaks:        make(chan brokenAttempt, maxQueuedBreaks),
+		updates:       make(chan promptUpdate, maxQueuedUpdates),
+		keeperChanges: make(chan promptChange, maxQueuedChanges),
 	}
 }
 
-// start starts the guard's duties.
+// start starts the guard's background tasks.
 func (p *promptGuard) start(d *process.Duties) {
-	for range lookers {
-		d.Go(p.look)
+	for range probeWorkers {
+		d.Go(p.probeUpstreams)
 	}
-	d.Go(p.tellNews)
-	d.Go(p.learnFromOthers)
-	d.Go(p.keep)
-	d.Every(lapsePause, func(context.Context) { p.lapse(time.Now()) })
+	d.Go(p.sendUpdates)
+	d.Go(p.fetchInitialEvidence)
+	d.Go(p.updateKeepers)
+	d.Every(promptExpireInterval, func(context.Context) { p.expire(time.Now()) })
 }
 
-// known is what is known against a request's prompt at its service. While no prompt is known at all, none is
-// identified: that would hash a part of every request.
-func (p *promptGuard) known(r *serving.Request) poison.Evidence {
-	if p.register.Empty() {
+// evidenceFor returns the evidence on a request's prompt that counts for its service. While there is
+// no evidence at all, it doesn't identify the prompt, which would hash a part of every request.
+func (p *promptGuard) evidenceFor(r *serving.Request) poison.Evidence {
+	if p.registry.Empty() {
 		return poison.Evidence{}
 	}
-	return p.register.Known(time.Now(), poison.Identify(r)).ForService(r.Service.Name)
+	return p.registry.Known(time.Now(), poison.Identify(r)).ForService(r.Service.Name)
 }
 
 // Refuse implements serving.PromptGuard.
 func (p *promptGuard) Refuse(ctx context.Context, r *serving.Request) *contract.Refusal {
-	known := p.known(r)
-	switch known.Standing() {
+	evidence := p.evidenceFor(r)
+	switch evidence.Standing() {
 	case poison.Proven:
-		return provenRefusal(known)
+		return provenRefusal(evidence)
 	case poison.OnTrial:
-		return p.try(ctx, r, known)
+		return p.requestTrial(ctx, r, evidence)
 	}
 	return nil
 }
 
 // Proven implements serving.PromptGuard.
 func (p *promptGuard) Proven(r *serving.Request) *contract.Refusal {
-	known := p.known(r)
-	if known.Standing() != poison.Proven {
+	evidence := p.evidenceFor(r)
+	if evidence.Standing() != poison.Proven {
 		return nil
 	}
-	return provenRefusal(known)
+	return provenRefusal(evidence)
 }
 
-func provenRefusal(known poison.Evidence) *contract.Refusal {
+func provenRefusal(evidence poison.Evidence) *contract.Refusal {
 	refusal := contract.Refuse(contract.PromptEndsUpstreams,
-		"%d upstreams ended under this prompt, and nothing else was answered to it; it is not sent again", len(known.Crashes))
-	refusal.Detail = describe(known)
+		"%d upstreams ended under this prompt, and nothing else was answered to it; it is not sent again", len(evidence.Crashes))
+	refusal.Detail = describeEvidence(evidence)
 	return refusal
 }
 
-// describe tells a prompt's evidence for the log.
-func describe(known poison.Evidence) string {
-	parts := []string{"prompt " + string(known.Prompt)}
-	for _, e := range known.Crashes {
-		parts = append(parts, e.Upstream+" of "+e.Service+" ended "+e.Age.Round(time.Millisecond).String()+" ago")
+// describeEvidence formats the evidence on a prompt for the log.
+func describeEvidence(evidence poison.Evidence) string {
+	parts := []string{"prompt " + string(evidence.Prompt)}
+	for _, e := range evidence.Crashes {
+		parts = append(parts, e.Upstream+" of "+e.Service+" crashed "+e.Age.Round(time.Millisecond).String()+" ago")
 	}
 	return strings.Join(parts, ", ")
 }
 
-// try asks whether a request may try a prompt that is on trial.
-func (p *promptGuard) try(ctx context.Context, r *serving.Request, known poison.Evidence) *contract.Refusal {
-	ask := link.PromptTry{Prompt: known.Prompt, Service: r.Service.Name, Request: r.ID}
-	reply, err := decide(ctx, p, known.Prompt, link.MethodPromptTry, ask, p.takeTry)
+// requestTrial asks the owner whether a request may try a prompt that is on trial, and returns a
+// refusal if it may not.
+func (p *promptGuard) requestTrial(ctx context.Context, r *serving.Request, evidence poison.Evidence) *contract.Refusal {
+	trial := link.PromptTry{Prompt: evidence.Prompt, Service: r.Service.Name, Request: r.ID}
+	reply, err := callOwner(ctx, p, evidence.Prompt, link.MethodPromptTry, trial, p.handleTry)
 	if err != nil {
-		reply, _ = p.takeTry(ctx, ask) // by what is known here; it does not fail
+		reply, _ = p.handleTry(ctx, trial) // decides by local evidence; never returns an error
 	}
-	p.log.Info().Str("id", r.ID).Str("prompt", string(known.Prompt)).Bool("allowed", reply.Allowed).
-		Bool("asked_others", err == nil).Str("evidence", describe(reply.Known)).Msg("prompt_on_trial")
+	p.log.Info().Str("id", r.ID).Str("prompt", string(evidence.Prompt)).Bool("allowed", reply.Allowed).
+		Bool("asked_others", err == nil).Str("evidence", describeEvidence(reply.Known)).Msg("prompt_on_trial")
 	if reply.Allowed {
 		return nil
 	}
-	p.add(reply.Known)
-	if counts := reply.Known.ForService(r.Service.Name); counts.Standing() == poison.Proven {
-		return provenRefusal(counts)
+	p.addEvidence(reply.Known)
+	if relevant := reply.Known.ForService(r.Service.Name); relevant.Standing() == poison.Proven {
+		return provenRefusal(relevant)
 	}
 	refusal := contract.Refuse(contract.PromptOnTrial, "upstreams ended under this prompt, and another request is trying it")
-	refusal.Detail = describe(reply.Known)
+	refusal.Detail = describeEvidence(reply.Known)
 	return refusal
 }
 
 // RecordAnswer implements serving.PromptGuard.
 func (p *promptGuard) RecordAnswer(r *serving.Request) {
-	if p.register.Empty() {
+	if p.registry.Empty() {
 		return
 	}
 	prompt := poison.Identify(r)
 	service := r.Service.Name
-	known := p.register.RecordAnswer(time.Now(), prompt, service)
-	if known.Standing() == poison.Clear {
+	before := p.registry.RecordAnswer(time.Now(), prompt, service)
+	if before.Standing() == poison.Clear {
 		return
 	}
-	p.log.Info().Str("id", r.ID).Str("prompt", string(prompt)).Str("service", service).Str("was", known.Standing().String()).
-		Str("evidence", describe(known)).Msg("prompt_cleared")
+	p.log.Info().Str("id", r.ID).Str("prompt", string(prompt)).Str("service", service).Str("was", before.Standing().String()).
+		Str("evidence", describeEvidence(before)).Msg("prompt_cleared")
 	answered := link.PromptAnswered{Prompt: prompt, Service: service}
-	p.keepAnswered(answered)
-	p.tellLater(promptNews{
+	p.queueAnsweredForKeepers(answered)
+	p.queueUpdate(promptUpdate{
 		prompt: prompt, method: link.MethodPromptCleared, message: answered,
-		toAll: known.Standing() >= poison.OnTrial})
+		broadcast: before.Standing() >= poison.OnTrial})
 }
 
-// ConnectionBroken implements serving.PromptGuard. Nobody waits after the first break under a prompt: its second
-// try is let through whatever the look shows.
+// ConnectionBroken implements serving.PromptGuard. It does not wait for the investigation of the
+// first break for a prompt: the first retry is allowed whatever the result.
 func (p *promptGuard) ConnectionBroken(ctx context.Context, r *serving.Request, attempts []serving.Attempt) {
 	b := brokenAttempt{request: r, attempt: attempts[len(attempts)-1]}
 	earlier := slices.ContainsFunc(attempts[:len(attempts)-1], func(a serving.Attempt) bool { return a.Break != nil })
-	if earlier || p.known(r).Standing() > poison.Clear {
-		p.judge(ctx, b)
+	if earlier || p.evidenceFor(r).Standing() > poison.Clear {
+		p.investigateBreak(ctx, b)
 		return
 	}
 	select {
-	case p.broken <- b:
+	case p.breaks <- b:
 	default:
-		p.metrics.breakNotLookedAt()
+		p.metrics.breakNotProbed()
 	}
 }
 
-// look looks at the upstreams of broken attempts until the context ends.
-func (p *promptGuard) look(ctx context.Context) {
+// probeUpstreams investigates broken attempts until the context ends.
+func (p *promptGuard) probeUpstreams(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case b := <-p.broken:
-			p.judge(ctx, b)
+		case b := <-p.breaks:
+			p.investigateBreak(ctx, b)
 		}
 	}
 }
 
-// judge finds out what became of the upstream under a request, and takes its end as evidence
-// against the prompt.
-func (p *promptGuard) judge(ctx context.Context, b brokenAttempt) {
-	state := lookAt(ctx, p.dial, b.attempt.Break.Address)
+// investigateBreak probes the upstream of a broken attempt. If the upstream is down, it records a crash
+// as evidence against the prompt and reports it to the prompt's owner.
+func (p *promptGuard) investigateBreak(ctx context.Context, b brokenAttempt) {
+	state := probeUpstream(ctx, p.dial, b.attempt.Break.Address)
 	prompt := poison.Identify(b.request)
-	p.metrics.broke(b.request.Service.Name, state)
+	p.metrics.connectionBroken(b.request.Service.Name, state)
 	p.log.Info().Str("id", b.request.ID).Str("prompt", string(prompt)).Str("team", b.request.Team).
 		Str("service", b.request.Service.Name).Stringer("upstream", b.attempt.Upstream).Str("state", string(state)).
 		Int64("events", b.attempt.Break.Events).Int64("running_ms", b.attempt.Break.Running.Milliseconds()).Msg("upstream_broke_off")
-	if state != upstreamEnded {
+	if state != upstreamDown {
 		return
 	}
 	crash := poison.Crash{Upstream: b.attempt.Upstream.String(), Service: b.request.Service.Name}
-	mine, news := p.add(poison.Evidence{Prompt: prompt, Crashes: []poison.Crash{crash}})
-	decideHere := func(context.Context, poison.Evidence) (poison.Evidence, error) {
-		p.decided(mine, news)
-		return mine, nil
+	local, isNew := p.addEvidence(poison.Evidence{Prompt: prompt, Crashes: []poison.Crash{crash}})
+	handleLocally := func(context.Context, poison.Evidence) (poison.Evidence, error) {
+		p.publishAsOwner(local, isNew)
+		return local, nil
 	}
-	all, err := decide(ctx, p, prompt, link.MethodPromptEnded, mine, decideHere)
+	merged, err := callOwner(ctx, p, prompt, link.MethodPromptEnded, local, handleLocally)
 	if err != nil {
 		p.log.Warn().Err(err).Str("prompt", string(prompt)).Msg("prompt_not_told")
-		p.decided(mine, news)
+		p.publishAsOwner(local, isNew)
 		return
 	}
-	p.add(all)
+	p.addEvidence(merged)
 }
 
-// decided follows evidence that this router took as the one that decides for the prompt.
-func (p *promptGuard) decided(known poison.Evidence, news bool) {
-	if news {
-		p.keepLater(promptChange{prompt: known.Prompt})
+// publishAsOwner distributes evidence that this router recorded as the owner of the prompt.
+func (p *promptGuard) publishAsOwner(evidence poison.Evidence, isNew bool) {
+	if isNew {
+		p.queueForKeepers(promptChange{prompt: evidence.Prompt})
 	}
-	p.spread(known, news)
+	p.broadcast(evidence, isNew)
 }
 
-// spread tells all routers of a prompt that is on trial or proven.
-func (p *promptGuard) spread(known poison.Evidence, news bool) {
-	if !news || known.Standing() < poison.OnTrial {
+// broadcast notifies all routers of new evidence on a prompt that is on trial or proven.
+func (p *promptGuard) broadcast(evidence poison.Evidence, isNew bool) {
+	if !isNew || evidence.Standing() < poison.OnTrial {
 		return
 	}
-	p.log.Warn().Str("prompt", string(known.Prompt)).Str("standing", known.Standing().String()).
-		Str("evidence", describe(known)).Msg("prompt_ends_upstreams")
-	p.tellLater(promptNews{prompt: known.Prompt, method: link.MethodPromptKnown, message: known, toAll: true})
+	p.log.Warn().Str("prompt", string(evidence.Prompt)).Str("standing", evidence.Standing().String()).
+		Str("evidence", describeEvidence(evidence)).Msg("prompt_ends_upstreams")
+	p.queueUpdate(promptUpdate{prompt: evidence.Prompt, method: link.MethodPromptKnown, message: evidence, broadcast: true})
 }
 
-// lapse forgets prompts whose time is over.
-func (p *promptGuard) lapse(now time.Time) {
-	for _, l := range p.register.Expire(now) {
+// expire removes expired evidence.
+func (p *promptGuard) expire(now time.Time) {
+	for _, l := range p.registry.Expire(now) {
 		p.log.Info().Str("prompt", string(l.Prompt)).Stringer("was", l.Was).Stringer("standing", l.Now).Msg("prompt_lapsed")
 	}
 }
--- a/gateway/recall.go
+++ b/gateway/recall.go
@@ -10,84 +10,87 @@
 	"github.com/arbutusmill/arbutusmill/serving"
 )
 
-// sends are the prompts that this router has at upstreams and whose answers have not begun. They wait
-// there, or are being read, and would end one more upstream each if their prompt is to blame.
-type sends struct {
-	mu  sync.Mutex
-	all map[poison.Prompt]map[*send]struct{}
+// trackedAttempts holds this router's attempts whose responses have not begun, by prompt. Their prompts
+// are queued or in prefill at upstreams, and each would crash one more upstream if it causes crashes.
+type trackedAttempts struct {
+	mu       sync.Mutex
+	byPrompt map[poison.Prompt]map[*trackedAttempt]struct{}
 }
 
-// send is one of them.
-type send struct {
+// trackedAttempt is an attempt that can be recalled: canceled if its prompt is found to crash
+// upstreams.
+type trackedAttempt struct {
 	request *serving.Request
 	prompt  poison.Prompt
 	cancel  context.CancelCauseFunc
-	left    atomic.Bool
+	removed atomic.Bool
 }
 
-func (s *sends) add(one *send) {
+func (s *trackedAttempts) add(a *trackedAttempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.all == nil {
-		s.all = map[poison.Prompt]map[*send]struct{}{}
+	if s.byPrompt == nil {
+		s.byPrompt = map[poison.Prompt]map[*trackedAttempt]struct{}{}
 	}
-	if s.all[one.prompt] == nil {
-		s.all[one.prompt] = map[*send]struct{}{}
+	if s.byPrompt[a.prompt] == nil {
+		s.byPrompt[a.prompt] = map[*trackedAttempt]struct{}{}
 	}
-	s.all[one.prompt][one] = struct{}{}
+	s.byPrompt[a.prompt][a] = struct{}{}
 }
 
-// remove is called for each event of an answer, and does something once.
-func (s *sends) remove(one *send) {
-	if one.left.Swap(true) {
+// remove removes an attempt. It is called for each event of a response; calls after the first do
+// nothing.
+func (s *trackedAttempts) remove(a *trackedAttempt) {
+	if a.removed.Swap(true) {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.all[one.prompt], one)
-	if len(s.all[one.prompt]) == 0 {
-		delete(s.all, one.prompt)
+	delete(s.byPrompt[a.prompt], a)
+	if len(s.byPrompt[a.prompt]) == 0 {
+		delete(s.byPrompt, a.prompt)
 	}
 }
 
-// of are the sends of a prompt.
-func (s *sends) of(prompt poison.Prompt) (out []*send) {
+// forPrompt returns the tracked attempts of a prompt.
+func (s *trackedAttempts) forPrompt(prompt poison.Prompt) (out []*trackedAttempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for one := range s.all[prompt] {
-		out = append(out, one)
+	for a := range s.byPrompt[prompt] {
+		out = append(out, a)
 	}
 	return out
 }
 
-// TrackSend implements serving.PromptGuard. Requests without parts are not recalled: they are short.
+// TrackSend implements serving.PromptGuard. It doesn't track requests without parts: they are short.
 func (p *promptGuard) TrackSend(ctx context.Context, r *serving.Request) (sending context.Context, began, done func()) {
 	if len(r.Parts) == 0 {
 		return ctx, func() {}, func() {}
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
-	one := &send{request: r, prompt: poison.Identify(r), cancel: cancel}
-	p.sends.add(one)
-	began = func() { p.sends.remove(one) }
+	a := &trackedAttempt{request: r, prompt: poison.Identify(r), cancel: cancel}
+	p.attempts.add(a)
+	began = func() { p.attempts.remove(a) }
 	return ctx, began, func() {
-		p.sends.remove(one)
+		p.attempts.remove(a)
 		cancel(nil)
 	}
 }
 
-// add takes evidence in, and recalls the sends of a prompt that is proven now.
-func (p *promptGuard) add(e poison.Evidence) (all poison.Evidence, news bool) {
-	all, news = p.register.Add(time.Now(), e)
-	if !news || all.Standing() < poison.Proven {
-		return all, news
+// addEvidence adds evidence on a prompt and returns all evidence on it, and whether any was new. If
+// the prompt is now proven to crash upstreams, it cancels the prompt's tracked attempts.
+func (p *promptGuard) addEvidence(e poison.Evidence) (merged poison.Evidence, isNew bool) {
+	merged, isNew = p.registry.Add(time.Now(), e)
+	if !isNew || merged.Standing() < poison.Proven {
+		return merged, isNew
 	}
-	for _, one := range p.sends.of(all.Prompt) {
-		if all.ForService(one.request.Service.Name).Standing() < poison.Proven {
+	for _, a := range p.attempts.forPrompt(merged.Prompt) {
+		if merged.ForService(a.request.Service.Name).Standing() < poison.Proven {
 			continue
 		}
-		p.metrics.recalled(one.request.Service.Name)
-		p.log.Warn().Str("id", one.request.ID).Str("prompt", string(all.Prompt)).Str("evidence", describe(all)).Msg("prompt_recalled")
-		one.cancel(serving.ErrRecalled)
+		p.metrics.attemptRecalled(a.request.Service.Name)
+		p.log.Warn().Str("id", a.request.ID).Str("prompt", string(merged.Prompt)).Str("evidence", describeEvidence(merged)).Msg("prompt_recalled")
+		a.cancel(serving.ErrRecalled)
 	}
-	return all, news
+	return merged, isNew
 }
--- a/gateway/repeats.go
+++ b/gateway/repeats.go
@@ -8,30 +8,32 @@
 	"github.com/arbutusmill/arbutusmill/serving"
 )
 
-// repeats implements serving.RetryBudget with a budget for each service.
-type repeats struct {
+// retryBudgets implements serving.RetryBudget with one retry budget per service.
+type retryBudgets struct {
 	rule func() retrybudget.Rule
-	// share is this router's part in what all routers share.
+	// share returns this router's share of the limits of all routers.
 	share func() retrybudget.Share
-	// decided is told of each decision on one more send, and of the share that it was made with.
-	decided func(r *serving.Request, d retrybudget.Decision, share retrybudget.Share)
+	// onDecision is called for each decision on a retry, with the share that it is based on.
+	onDecision func(r *serving.Request, d retrybudget.Decision, share retrybudget.Share)
 
 	mu       sync.Mutex
 	services map[string]*retrybudget.Budget
 }
 
 // Request implements serving.RetryBudget.
-func (r *repeats) Request(service string) { r.of(service).RecordRequest(time.Now(), r.rule()) }
+func (r *retryBudgets) Request(service string) {
+	r.forService(service).RecordRequest(time.Now(), r.rule())
+}
 
 // Allow implements serving.RetryBudget.
-func (r *repeats) Allow(request *serving.Request) bool {
+func (r *retryBudgets) Allow(request *serving.Request) bool {
 	share := r.share()
-	d := r.of(request.Service.Name).TryRetry(time.Now(), r.rule(), share)
-	r.decided(request, d, share)
+	d := r.forService(request.Service.Name).TryRetry(time.Now(), r.rule(), share)
+	r.onDecision(request, d, share)
 	return d.Allowed
 }
 
-func (r *repeats) of(service string) *retrybudget.Budget {
+func (r *retryBudgets) forService(service string) *retrybudget.Budget {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.services == nil {
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -19,10 +19,10 @@
 	"github.com/arbutusmill/arbutusmill/settings"
 )
 
-// maxAnswerBytes bounds an answer that is held until it is whole.
-const maxAnswerBytes = 8 << 20
+// maxResponseBytes limits a response that is buffered until it is complete.
+const maxResponseBytes = 8 << 20
 
-// upstreams implements serving.Upstreams in the platform's dialect.
+// upstreams implements serving.Upstreams with the platform's HTTP protocol.
 type upstreams struct {
 	*pool.Pool
 	transport http.RoundTripper
@@ -31,29 +31,29 @@
 func newTransport(n hosted.Network, s settings.Upstreams) *http.Transport {
 	return &http.Transport{
 		DialContext:         n.Within(time.Duration(s.DialTimeout)),
-		DisableCompression:  true, // callers get the upstream's own bytes
+		DisableCompression:  true, // callers get the upstream's bytes unchanged
 		MaxIdleConnsPerHost: idleConnsPerUpstream,
 		IdleConnTimeout:     time.Duration(s.IdleTimeout),
 	}
 }
 
-// idleConnsPerUpstream bounds the kept connections to one upstream, of the few hundred
-// that it accepts from all routers.
+// idleConnsPerUpstream limits the idle connections to one upstream, which accepts a few hundred
+// connections from all routers together.
 const idleConnsPerUpstream = 16
 
 // Send implements serving.Upstreams.
 func (u *upstreams) Send(ctx context.Context, r *serving.Request, t serving.Target, out serving.Caller) serving.Attempt {
-	at := exchange{request: r, target: t, out: out, caller: ctx, now: u.Now}
+	x := exchange{request: r, target: t, out: out, callerContext: ctx, now: u.Now}
 	ctx, cancel := context.WithDeadline(ctx, t.Deadline)
 	defer cancel()
-	sent := &hop.Sent{}
-	req := u.upstreamRequest(sent.Trace(ctx), r, t, out)
+	tracker := &hop.Sent{}
+	req := u.upstreamRequest(tracker.Trace(ctx), r, t, out)
 	resp, err := u.transport.RoundTrip(req)
 	if err != nil {
-		return at.noAnswer(sent.Connected(), err)
+		return x.failedAttempt(tracker.Connected(), err)
 	}
 	defer resp.Body.Close()
-	return at.answer(resp)
+	return x.handleResponse(resp)
 }
 
 func (u *upstreams) upstreamRequest(ctx context.Context, r *serving.Request, t serving.Target, out serving.Caller) *http.Request {
@@ -73,163 +73,164 @@
 		ProtoMinor:    1,
 	}).WithContext(ctx)
 	if _, ok := req.Header["User-Agent"]; !ok {
-		req.Header["User-Agent"] = []string{""} // or the client would add its own
+		req.Header["User-Agent"] = []string{""} // prevents the client's default value
 	}
 	return req
 }
 
-// exchange is one send and the answer to it.
+// exchange is one attempt: the request sent to an upstream and the response to it.
 type exchange struct {
 	request *serving.Request
 	target  serving.Target
 	out     serving.Caller
-	// caller ends when the caller leaves or the request's time is over.
-	caller context.Context
-	now    func() time.Time
-	events int64
-	// first and last are when the first and the last event came.
-	first, last time.Time
+	// callerContext ends when the caller disconnects or the request's deadline passes.
+	callerContext context.Context
+	now           func() time.Time
+	events        int64
+	// firstEvent and lastEvent are the arrival times of the first and the last event.
+	firstEvent, lastEvent time.Time
 }
 
-func (x *exchange) attempt(result serving.Result, format string, args ...any) serving.Attempt {
+func (x *exchange) newAttempt(result serving.Result, format string, args ...any) serving.Attempt {
 	a := serving.Attempt{Upstream: x.target.Incarnation, Result: result, Detail: fmt.Sprintf(format, args...)}
 	if !result.NotRun() {
 		a.Began = true
-		a.Output = x.output(result)
+		a.Output = x.chargedOutput(result)
 	}
 	return a
 }
 
-// learnsWithin is the time in which an upstream stops after its connection was closed; it
-// may send events until then.
-const learnsWithin = 500 * time.Millisecond
+// upstreamStopTime is how long an upstream may send events after its connection was closed.
+const upstreamStopTime = 500 * time.Millisecond
 
-// output is the tokens of the run that the caller's team is charged: those that were
-// delivered here, and for a run that did not end here, those that may have been on their
-// way. Charged in full, callers who left early took up to 8 in 100 of what their teams
-// had paid for, and later requests were refused for tokens that nobody got.
-func (x *exchange) output(result serving.Result) int64 {
+// chargedOutput returns the output tokens of the run that the caller's team is charged: those that
+// arrived, and those that may be in flight if the run did not complete. When callers that
+// disconnected early were charged in full, that took up to 8% of what their teams had paid for, and
+// later requests were refused for tokens that were never delivered.
+func (x *exchange) chargedOutput(result serving.Result) int64 {
 	r := x.request
 	if r.Service.Engine == nil {
 		return r.MaxOutput
 	}
 	if result == serving.Unknown && x.events == 0 {
-		return r.MaxOutput // whatever it did, nobody can tell
+		return r.MaxOutput // how much of it ran is unknown
 	}
 	events := x.events
 	if result != serving.Complete {
-		events += x.onTheirWay()
+		events += x.eventsInFlight()
 	}
 	return min(r.MaxOutput, events*r.Service.Engine.TokensPerEvent)
 }
 
-// onTheirWay is how many events the upstream may send after this end closed the
-// connection, at the pace of those that came.
-func (x *exchange) onTheirWay() int64 {
-	const least = 1 // one may have crossed the close
+// eventsInFlight estimates how many events the upstream may send after this side closed the
+// connection, from the interval of the received ones.
+func (x *exchange) eventsInFlight() int64 {
+	const minEvents = 1 // one may have crossed the close
 	if x.events < 2 {
-		return least
+		return minEvents
 	}
-	pace := x.last.Sub(x.first) / time.Duration(x.events-1)
-	return least + int64(learnsWithin/max(pace, time.Millisecond))
+	interval := x.lastEvent.Sub(x.firstEvent) / time.Duration(x.events-1)
+	return minEvents + int64(upstreamStopTime/max(interval, time.Millisecond))
 }
 
-// noAnswer is a send without a valid answer.
-func (x *exchange) noAnswer(connected bool, err error) serving.Attempt {
-	if errors.Is(context.Cause(x.caller), serving.ErrRecalled) {
-		return x.recalled(connected)
+// failedAttempt returns the result of an attempt without a valid response. connected reports whether
+// the request got a connection; without one, the upstream cannot have run it.
+func (x *exchange) failedAttempt(connected bool, err error) serving.Attempt {
+	if errors.Is(context.Cause(x.callerContext), serving.ErrRecalled) {
+		return x.recalledAttempt(connected)
 	}
-	switch cause := x.caller.Err(); {
+	switch cause := x.callerContext.Err(); {
 	case !connected && errors.Is(cause, context.Canceled):
-		a := x.attempt(serving.CallerGone, "before it was sent")
+		a := x.newAttempt(serving.CallerGone, "before the request was sent")
 		a.Began, a.Output = false, 0
 		return a
 	case !connected:
-		return x.attempt(serving.Unreached, "%v", err)
+		return x.newAttempt(serving.Unreached, "%v", err)
 	case errors.Is(cause, context.Canceled):
-		return x.attempt(serving.CallerGone, "while the upstream had it")
+		return x.newAttempt(serving.CallerGone, "while the upstream processed the request")
 	case errors.Is(cause, context.DeadlineExceeded):
-		return x.attempt(serving.OutOfTime, "%v", err)
+		return x.newAttempt(serving.OutOfTime, "%v", err)
 	}
-	a := x.attempt(serving.Unknown, "%v", err)
+	a := x.newAttempt(serving.Unknown, "%v", err)
 	if !errors.Is(err, context.DeadlineExceeded) {
-		a.Break = x.brk()
+		a.Break = x.connectionBreak()
 	}
 	return a
 }
 
-// recalled is a send that was ended before its answer began.
-func (x *exchange) recalled(connected bool) serving.Attempt {
+// recalledAttempt returns the result of an attempt that was canceled before its response began,
+// since its prompt was found to crash upstreams.
+func (x *exchange) recalledAttempt(connected bool) serving.Attempt {
 	result := serving.Unknown
 	if !connected {
 		result = serving.Unreached
 	}
-	a := x.attempt(result, "recalled")
+	a := x.newAttempt(result, "recalled")
 	a.Recalled = true
 	return a
 }
 
-// brk describes the break of the connection.
-func (x *exchange) brk() *serving.Break {
+// connectionBreak describes a broken connection.
+func (x *exchange) connectionBreak() *serving.Break {
 	b := &serving.Break{Address: x.target.Address, Events: x.events}
 	if x.events > 0 {
-		b.Running = x.now().Sub(x.first)
+		b.Running = x.now().Sub(x.firstEvent)
 	}
 	return b
 }
 
-// answer passes an answer on, or says what is wrong with it.
-func (x *exchange) answer(resp *http.Response) serving.Attempt {
+// handleResponse forwards a valid response, or returns why it is invalid.
+func (x *exchange) handleResponse(resp *http.Response) serving.Attempt {
 	m := platform.ReadMarks(resp.StatusCode, resp.Header)
 	if m.ID != x.request.ID && (m.ID != "" || !m.NotRun) {
-		// The answer to another request: an upstream may send a second one on
-		// a kept connection, where the next answer is expected. What became of
-		// this request is not known.
-		return x.attempt(serving.Unknown, "answer to request %q", m.ID)
+		// The response to another request: an upstream may send a second one on
+		// a keep-alive connection, where the next response is expected. The
+		// outcome of this request is unknown.
+		return x.newAttempt(serving.Unknown, "response to request %q", m.ID)
 	}
 	if !m.Misdirected {
 		x.target.Limit(m.Limit, m.LimitError)
 	}
 	switch {
 	case m.Misdirected:
-		return x.attempt(serving.Misdirected, "another process answers there")
+		return x.newAttempt(serving.Misdirected, "another process listens at the address")
 	case m.NotRun:
-		drain(resp)
-		return x.attempt(serving.Declined, "status %d", resp.StatusCode)
+		discardBody(resp)
+		return x.newAttempt(serving.Declined, "status %d", resp.StatusCode)
 	case m.Encoded:
-		return x.attempt(serving.Unknown, "encoded answer")
+		return x.newAttempt(serving.Unknown, "encoded response")
 	case resp.StatusCode >= 300:
-		return x.failure(resp, m)
+		return x.handleFailure(resp, m)
 	case !m.Signed:
-		return x.attempt(serving.Unknown, "answer without signature")
+		return x.newAttempt(serving.Unknown, "response without signature")
 	case x.request.Route.Kind == catalog.Streaming:
-		return x.stream(resp)
+		return x.forwardStream(resp)
 	}
-	return x.whole(resp)
+	return x.forwardComplete(resp)
 }
 
-// drain reads the rest of a short answer, so that its connection can be used again.
-func drain(resp *http.Response) {
-	const short = 4 << 10
-	_, _ = io.CopyN(io.Discard, resp.Body, short) // a longer one costs the connection only
+// discardBody reads the rest of a short response, so that its connection can be reused.
+func discardBody(resp *http.Response) {
+	const maxDiscard = 4 << 10
+	_, _ = io.CopyN(io.Discard, resp.Body, maxDiscard) // after a longer one the connection is closed
 }
 
-// failure reads an upstream's failure. Statuses that promise "not run" without its
-// proof are not passed on.
-func (x *exchange) failure(resp *http.Response, m platform.Marks) serving.Attempt {
-	body, err := readAnswer(resp)
+// handleFailure reads an error response. A status that implies "not run" without proof of it is
+// not forwarded.
+func (x *exchange) handleFailure(resp *http.Response, m platform.Marks) serving.Attempt {
+	body, err := readResponse(resp)
 	if err != nil {
-		return x.noAnswer(true, err)
+		return x.failedAttempt(true, err)
 	}
-	if !m.Signed || promisesNotRun(resp.StatusCode) {
-		return x.attempt(serving.Unknown, "status %d without proof", resp.StatusCode)
+	if !m.Signed || impliesNotRun(resp.StatusCode) {
+		return x.newAttempt(serving.Unknown, "status %d without proof", resp.StatusCode)
 	}
-	a := x.attempt(serving.Failed, "status %d", resp.StatusCode)
+	a := x.newAttempt(serving.Failed, "status %d", resp.StatusCode)
 	a.Answer = &serving.Answer{Status: resp.StatusCode, Header: resp.Header, Body: body}
 	return a
 }
 
-func promisesNotRun(status int) bool {
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -237,59 +238,59 @@
 	return false
 }
 
-func readAnswer(resp *http.Response) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
-	if err == nil && len(body) > maxAnswerBytes {
-		err = errors.New("the answer is too long")
+func readResponse(resp *http.Response) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
+	if err == nil && len(body) > maxResponseBytes {
+		err = errors.New("the response is too long")
 	}
 	return body, err
 }
 
-// whole holds an answer until all of it is there: one that breaks off has then not
-// begun for the caller, and may be asked for again where that is allowed.
-func (x *exchange) whole(resp *http.Response) serving.Attempt {
-	body, err := readAnswer(resp)
+// forwardComplete buffers a response until it is complete: if the connection breaks, the caller has
+// received nothing yet, and the request may be retried where that is allowed.
+func (x *exchange) forwardComplete(resp *http.Response) serving.Attempt {
+	body, err := readResponse(resp)
 	if err != nil {
-		return x.noAnswer(true, err)
+		return x.failedAttempt(true, err)
 	}
 	x.target.Event(x.now())
-	answer := serving.Answer{Status: resp.StatusCode, Header: resp.Header, Body: body}
-	if err := answer.SendTo(x.out); err != nil {
-		return x.attempt(serving.CallerGone, "%v", err)
+	response := serving.Answer{Status: resp.StatusCode, Header: resp.Header, Body: body}
+	if err := response.SendTo(x.out); err != nil {
+		return x.newAttempt(serving.CallerGone, "%v", err)
 	}
-	return x.attempt(serving.Complete, "")
+	return x.newAttempt(serving.Complete, "")
 }
 
-// stream passes events on as they arrive.
-func (x *exchange) stream(resp *http.Response) serving.Attempt {
+// forwardStream forwards events as they arrive.
+func (x *exchange) forwardStream(resp *http.Response) serving.Attempt {
 	events := newEventReader(resp.Body)
 	for {
 		event, id, err := events.next()
 		if errors.Is(err, io.EOF) && x.out.Began() {
-			return x.attempt(serving.Complete, "")
+			return x.newAttempt(serving.Complete, "")
 		}
 		if err != nil {
-			return x.broken(err)
+			return x.brokenStream(err)
 		}
-		x.came()
-		if err := x.event(resp, event, id, events.more()); err != nil {
-			return x.attempt(serving.CallerGone, "%v", err)
+		x.recordEvent()
+		if err := x.forwardEvent(resp, event, id, events.hasMore()); err != nil {
+			return x.newAttempt(serving.CallerGone, "%v", err)
 		}
 	}
 }
 
-// came notes an event.
-func (x *exchange) came() {
-	x.last = x.now()
+// recordEvent counts an event and records its arrival time.
+func (x *exchange) recordEvent() {
+	x.lastEvent = x.now()
 	if x.events++; x.events == 1 {
-		x.first = x.last
+		x.firstEvent = x.lastEvent
 	}
-	x.target.Event(x.last)
+	x.target.Event(x.lastEvent)
 }
 
-// event passes one event on. The headers go with the first one, so that a run that
-// breaks before it leaves nothing behind.
-func (x *exchange) event(resp *http.Response, event []byte, id string, more bool) error {
+// forwardEvent forwards one event and flushes unless more follow at once. The headers are sent with
+// the first event, so that a run that fails earlier can still be retried.
+func (x *exchange) forwardEvent(resp *http.Response, event []byte, id string, more bool) error {
 	if !x.out.Began() {
 		if err := x.out.Begin(resp.StatusCode, resp.Header); err != nil {
 			return err
@@ -307,17 +308,17 @@
 	return x.out.Flush()
 }
 
-// broken is a stream that stopped.
-func (x *exchange) broken(err error) serving.Attempt {
-	a := x.noAnswer(true, err)
+// brokenStream returns the result of a stream that did not complete.
+func (x *exchange) brokenStream(err error) serving.Attempt {
+	a := x.failedAttempt(true, err)
 	if a.Result == serving.Unknown && x.out.Began() {
 		a.Result = serving.Broken
 	}
 	return a
 }
 
-// requestURL keeps path and query byte for byte as the caller sent them: the opaque part
-// of a URL is written as it is.
+// requestURL returns the upstream's URL with path and query byte for byte as the caller sent them:
+// the opaque part of a URL is written unchanged.
 func requestURL(address, uri string) *url.URL {
 	return &url.URL{Scheme: "http", Host: address, Opaque: uri}
 }
