--- a/gateway/cold_test.go
+++ b/gateway/cold_test.go
@@ -11,34 +11,35 @@
 	"github.com/stretchr/testify/require"
 )
 
-// bears is how many requests in any second a cold engine of coldConfig bears: 6.6 a second, half
-// as many more, and five.
-const bears = 14
+// coldMaxPerSecond is the maximum of requests in any second to a cold engine of putColdConfig:
+// 6.6 a second, half as many more, and five.
+const coldMaxPerSecond = 14
 
-// coldConfig puts a configuration in force whose engines are cold for three seconds.
-func (f *fleet) coldConfig(keys ...string) {
-	f.form = strings.Replace(configForm, `{"name":"model",`, `{"name":"model","cold_start_s":3,"cold_per_s":6.6,`, 1)
-	f.config(0, keys...)
+// putColdConfig writes a configuration whose engines are cold for three seconds after a start.
+func (f *fleet) putColdConfig(keys ...string) {
+	f.template = strings.Replace(configTemplate, `{"name":"model",`, `{"name":"model","cold_start_s":3,"cold_per_s":6.6,`, 1)
+	f.putConfig(0, keys...)
 }
 
-// flood asks for many streams with prompts of their own within a second, through all routers.
+// flood requests many streams with distinct prompts within a second, through all routers, and
+// returns the number that were served.
 func (f *fleet) flood(routers, requests int) (served int) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	for range requests {
-		f.flooded++
-		n := f.flooded
+		f.floodRequests++
+		n := f.floodRequests
 		wg.Go(func() {
-			q := chat(fmt.Sprint("c-", n))
-			q.vm, q.parts = 1+n%routers, fmt.Sprintf("own-%d:1000", n)
-			a := f.ask(q)
+			req := chat(fmt.Sprint("c-", n))
+			req.vm, req.parts = 1+n%routers, fmt.Sprintf("own-%d:1000", n)
+			resp := f.send(req)
 			mu.Lock()
 			defer mu.Unlock()
-			if a.status == 200 {
+			if resp.status == 200 {
 				served++
 			} else {
-				require.Contains(f.t, []int{429, 503}, a.status)
-				require.NotEmpty(f.t, a.header.Get("Retry-After"))
+				require.Contains(f.t, []int{429, 503}, resp.status)
+				require.NotEmpty(f.t, resp.header.Get("Retry-After"))
 			}
 		})
 		time.Sleep(time.Second / time.Duration(requests))
@@ -47,12 +48,13 @@
 	return served
 }
 
-// An engine comes back cold, idle, while its neighbours are busy, and all routers send it what
-// they have: 60 prompts in a second, where it bears 14 and ends soon after. With a lender beside
-// it, which hears of each prompt, no second has more; its neighbour takes the rest.
-func TestColdEngineGetsWhatItBears(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.coldConfig("k1")
+// Guards against a cold engine that gets more than its maximum. It returns idle while others are
+// busy, so all routers prefer it: 60 prompts in a second crash an engine whose maximum is 14.
+// Its lender, to which each prompt is announced, enforces the maximum; the other engine serves
+// the rest.
+func TestColdEngineStaysWithinMaximum(t *testing.T) {
+	withFleet(t, func(f *fleet) {
+		f.putColdConfig("k1")
 		warm := f.upstream("i-1", "model", 5)
 		f.startLender(firstLender, "i-1")
 		cold := f.upstreamCold("i-2", "model", 5, 3*time.Second)
@@ -60,23 +62,24 @@
 		for vm := 1; vm <= 4; vm++ {
 			f.startVM(vm)
 		}
-		time.Sleep(3 * time.Second) // they find each other
+		time.Sleep(3 * time.Second) // they discover each other
 		f.registerCold("i-2", "model", 6*time.Second)
 		f.settle()
 		for range 3 {
 			require.Equal(t, 60, f.flood(4, 60))
 		}
-		require.LessOrEqual(t, cold.MostInASecond(), bears)
+		require.LessOrEqual(t, cold.MostInASecond(), coldMaxPerSecond)
 		require.NotEmpty(t, cold.Seen())
 		require.NotEmpty(t, warm.Seen())
 	})
 }
 
-// Engines without a lender beside them come back cold, all of them, and nothing else is there.
-// Three routers share what each bears; who finds no room hears so at once.
+// Guards against cold engines without a lender that get more than their maximum when no other
+// engine is available. Three routers share each engine's maximum; callers beyond it are refused
+// at once.
 func TestColdEnginesWithoutLenders(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.coldConfig("k1")
+	withFleet(t, func(f *fleet) {
+		f.putColdConfig("k1")
 		var cold []*standin.Upstream
 		for _, id := range []string{"i-1", "i-2", "i-3"} {
 			cold = append(cold, f.upstreamCold(id, "model", 5, 3*time.Second))
@@ -91,17 +94,18 @@
 		f.settle()
 		require.NotZero(t, f.flood(6, 200))
 		for _, u := range cold {
-			require.LessOrEqual(t, u.MostInASecond(), bears)
+			require.LessOrEqual(t, u.MostInASecond(), coldMaxPerSecond)
 			require.NotEmpty(t, u.Seen())
 		}
 	})
 }
 
-// The lender beside a cold engine cannot be reached by the routers. They send the engine nothing
-// while it is cold, since others may have leave for all that it bears; then they do.
-func TestColdEngineBehindASilentLender(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.coldConfig("k1")
+// Guards against an overloaded cold engine whose lender cannot be reached. The routers send it
+// nothing while it is cold, since others may have admissions for its whole maximum, and send to
+// it again once it is warm.
+func TestColdEngineWithUnreachableLender(t *testing.T) {
+	withFleet(t, func(f *fleet) {
+		f.putColdConfig("k1")
 		f.upstream("i-1", "model", 5)
 		cold := f.upstream("i-2", "model", 5)
 		_, kill := f.startLender(firstLender, "i-2")
@@ -119,11 +123,12 @@
 	})
 }
 
-// A data centre is taken back from being emptied, and its engine is cold without having said so:
-// its entry still tells of warmer days. It counts as cold until its entry would have told.
-func TestColdAfterEmptying(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.coldConfig("k1")
+// Guards against an overloaded engine in a data centre that is no longer drained. The engine has
+// become cold, but its entry does not report that yet; it counts as cold until its entry would
+// have been updated.
+func TestColdAfterDraining(t *testing.T) {
+	withFleet(t, func(f *fleet) {
+		f.putColdConfig("k1")
 		f.upstreamIn("oslo", "i-1", "model", 5)
 		back := f.upstreamIn("bergen", "i-2", "model", 5)
 		for vm := 1; vm <= 4; vm++ {
@@ -139,9 +144,9 @@
 			require.Equal(t, 60, f.flood(4, 60))
 		}
 		require.NotEmpty(t, back.Seen())
-		require.LessOrEqual(t, back.MostInASecond(), bears)
+		require.LessOrEqual(t, back.MostInASecond(), coldMaxPerSecond)
 		time.Sleep(3 * time.Second)
 		f.flood(4, 200)
-		require.Greater(t, back.MostInASecond(), bears, "it has long been warm")
+		require.Greater(t, back.MostInASecond(), coldMaxPerSecond, "it is warm by now")
 	})
 }
--- a/gateway/connection_test.go
+++ b/gateway/connection_test.go
@@ -16,15 +16,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// rawUpstream is an upstream of plain requests whose bytes a test writes itself.
+// rawUpstream is an upstream of plain requests whose response bytes the test writes.
 type rawUpstream struct {
 	mu    sync.Mutex
 	conns int
 	ids   []string
 }
 
-// request notes one and returns its id.
-func (u *rawUpstream) request(r *http.Request) string {
+// recordRequest records a request and returns its ID.
+func (u *rawUpstream) recordRequest(r *http.Request) string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	id := r.Header.Get(standin.HeaderID)
@@ -32,7 +32,7 @@
 	return id
 }
 
-func (u *rawUpstream) seen() []string {
+func (u *rawUpstream) receivedIDs() []string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return append([]string(nil), u.ids...)
@@ -44,9 +44,9 @@
 	return u.conns
 }
 
-// rawUpstream registers an upstream that plays each of its connections.
-func (f *fleet) rawUpstream(id string, play func(u *rawUpstream, conn net.Conn, in *bufio.Reader)) *rawUpstream {
-	l, err := f.network.Listen("tcp", addressOf(id))
+// rawUpstream registers an upstream that handles each of its connections with handle.
+func (f *fleet) rawUpstream(id string, handle func(u *rawUpstream, conn net.Conn, in *bufio.Reader)) *rawUpstream {
+	l, err := f.network.Listen("tcp", upstreamAddress(id))
 	require.NoError(f.t, err)
 	f.t.Cleanup(func() { _ = l.Close() })
 	u := &rawUpstream{}
@@ -61,7 +61,7 @@
 			u.mu.Unlock()
 			go func() {
 				defer func() { _ = conn.Close() }()
-				play(u, conn, bufio.NewReader(conn))
+				handle(u, conn, bufio.NewReader(conn))
 			}()
 		}
 	}()
@@ -69,102 +69,104 @@
 	return u
 }
 
-// signed is a whole answer.
-func signed(id, body string) string {
+// signedResponse returns the bytes of a complete response.
+func signedResponse(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\n"+standin.HeaderID+": %s\r\n"+standin.HeaderSignature+": s\r\n"+
 		"Content-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// unframed is the beginning of an answer that has no length: its connection's end ends it.
-func unframed(id, body string) string {
+// unframedResponse returns the beginning of a response without a length, which ends with its
+// connection.
+func unframedResponse(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\n"+standin.HeaderID+": %s\r\n"+standin.HeaderSignature+": s\r\n"+
 		"Connection: close\r\n\r\n%s", id, body)
 }
 
-// An upstream closes a kept connection at the moment at which the next request comes. The
-// HTTP client would send the request once more by itself: a request that must not run
-// twice could run twice, and repeats would pass the retry budget uncounted.
-func TestStaleConnectionIsNotRepeatedByTheClient(t *testing.T) {
-	bare := question{path: "/alert/x", key: "k1", deadline: time.Second}
+// Guards against retries by the HTTP client itself, when an upstream closes an idle connection
+// at the moment at which the next request arrives. A request that must not run twice could run
+// twice, and retries would bypass the retry budget.
+func TestStaleConnectionIsNotRetriedByTheClient(t *testing.T) {
+	bare := request{path: "/alert/x", key: "k1", deadline: time.Second}
 	get, keyed := bare, bare
 	get.method = http.MethodGet
 	keyed.header = map[string]string{"Idempotency-Key": "caller's own"}
-	for name, q := range map[string]question{"get": get, "with a key": keyed} {
+	for name, req := range map[string]request{"get": get, "with a key": keyed} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(f *fleet) {
-				f.config(0, "k1")
+			withFleet(t, func(f *fleet) {
+				f.putConfig(0, "k1")
 				u := f.rawUpstream("i-1", func(u *rawUpstream, conn net.Conn, in *bufio.Reader) {
 					for n := range 2 {
-						req, err := http.ReadRequest(in)
+						r, err := http.ReadRequest(in)
 						if err != nil {
 							return
 						}
-						_, _ = io.Copy(io.Discard, req.Body) // its bytes do not matter here
-						id := u.request(req)
+						_, _ = io.Copy(io.Discard, r.Body) // its content is irrelevant here
+						id := u.recordRequest(r)
 						if n == 1 {
 							return
 						}
-						_, _ = io.WriteString(conn, signed(id, "ok")) // a failure shows at the caller
+						_, _ = io.WriteString(conn, signedResponse(id, "ok")) // the caller detects a failure
 					}
 				})
 				f.start()
-				q.id = "r1"
-				require.Equal(t, 200, f.ask(q).status)
-				q.id = "r2"
-				require.Equal(t, 502, f.ask(q).status)
-				require.Equal(t, []string{"r1", "r2"}, u.seen())
+				req.id = "r1"
+				require.Equal(t, 200, f.send(req).status)
+				req.id = "r2"
+				require.Equal(t, 502, f.send(req).status)
+				require.Equal(t, []string{"r1", "r2"}, u.receivedIDs())
 			})
 		})
 	}
 }
 
-// An upstream answers before it has read a long body, keeps the connection and reads on.
-// The next request must not come where the rest of that body is due.
+// Guards against a request that is sent in the middle of an earlier body: an upstream answers
+// before it has read a long body, keeps the connection open and reads on. The next request must
+// use another connection.
 func TestEarlyAnswerToALongBody(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(0, "k1")
+	withFleet(t, func(f *fleet) {
+		f.putConfig(0, "k1")
 		const size = 60_000
 		rest := make(chan []byte, 1)
 		u := f.rawUpstream("i-1", func(u *rawUpstream, conn net.Conn, in *bufio.Reader) {
-			req, err := http.ReadRequest(in)
+			r, err := http.ReadRequest(in)
 			if err != nil {
 				return
 			}
-			id := u.request(req)
+			id := u.recordRequest(r)
 			if id != "r1" {
-				_, _ = io.Copy(io.Discard, req.Body) // its bytes do not matter here
+				_, _ = io.Copy(io.Discard, r.Body) // its content is irrelevant here
 			}
-			_, _ = io.WriteString(conn, signed(id, "early")) // a failure shows at the caller
+			_, _ = io.WriteString(conn, signedResponse(id, "early")) // the caller detects a failure
 			if id == "r1" {
 				time.Sleep(200 * time.Millisecond)
-				b, _ := io.ReadAll(in) // ends with the connection
+				b, _ := io.ReadAll(in) // returns when the connection ends
 				rest <- b
 			}
 		})
 		f.start()
-		q := alert("r1")
-		q.body = strings.Repeat("x", size)
-		require.Equal(t, 200, f.ask(q).status)
-		require.Equal(t, 200, f.ask(alert("r2")).status)
+		req := alert("r1")
+		req.body = strings.Repeat("x", size)
+		require.Equal(t, 200, f.send(req).status)
+		require.Equal(t, 200, f.send(alert("r2")).status)
 		require.Equal(t, 2, u.connections())
 		require.Empty(t, strings.Trim(string(<-rest), "x"), "only bytes of the first body")
 	})
 }
 
-// An answer without a length ends with its connection. Whole, it reaches the caller; when
-// the connection breaks instead, the part must not look whole.
+// Guards against a partial response that looks complete. A response without a length ends with
+// its connection: a proper end delivers it to the caller, a reset must fail the request.
 func TestAnswersWithoutLength(t *testing.T) {
 	for _, broken := range []bool{false, true} {
 		t.Run(fmt.Sprint("broken ", broken), func(t *testing.T) {
-			play(t, func(f *fleet) {
-				f.config(0, "k1")
+			withFleet(t, func(f *fleet) {
+				f.putConfig(0, "k1")
 				f.rawUpstream("i-1", func(u *rawUpstream, conn net.Conn, in *bufio.Reader) {
-					req, err := http.ReadRequest(in)
+					r, err := http.ReadRequest(in)
 					if err != nil {
 						return
 					}
-					_, _ = io.Copy(io.Discard, req.Body)                                // a close before its end may lose the answer
-					_, _ = io.WriteString(conn, unframed(u.request(req), "half of it")) // a failure shows at the caller
+					_, _ = io.Copy(io.Discard, r.Body)                                              // closing the connection with unread bytes may lose the response
+					_, _ = io.WriteString(conn, unframedResponse(u.recordRequest(r), "half of it")) // the caller detects a failure
 					if broken {
 						conn.(*memnet.Conn).Reset()
 						return
@@ -172,46 +174,47 @@
 					_, _ = io.WriteString(conn, " and the rest")
 				})
 				f.start()
-				a := f.ask(alert("r1"))
+				resp := f.send(alert("r1"))
 				if broken {
-					require.Equal(t, 502, a.status)
+					require.Equal(t, 502, resp.status)
 					return
 				}
-				require.Equal(t, 200, a.status)
-				require.Equal(t, "half of it and the rest", a.body)
+				require.Equal(t, 200, resp.status)
+				require.Equal(t, "half of it and the rest", resp.body)
 			})
 		})
 	}
 }
 
-// An upstream sends a second answer to a request after the first, on the kept connection.
-// It must reach nobody: the next request on that connection has another id.
-func TestSecondAnswerReachesNobody(t *testing.T) {
+// Guards against responses that reach the wrong caller: an upstream sends a second response to a
+// request after the first, on the kept connection. It must be discarded, since the next request
+// on that connection has another ID.
+func TestSecondAnswerIsDiscarded(t *testing.T) {
 	for _, late := range []time.Duration{0, 100 * time.Millisecond} {
 		t.Run(late.String(), func(t *testing.T) {
-			play(t, func(f *fleet) {
-				f.config(0, "k1")
+			withFleet(t, func(f *fleet) {
+				f.putConfig(0, "k1")
 				f.rawUpstream("i-1", func(u *rawUpstream, conn net.Conn, in *bufio.Reader) {
 					for {
-						req, err := http.ReadRequest(in)
+						r, err := http.ReadRequest(in)
 						if err != nil {
 							return
 						}
-						_, _ = io.Copy(io.Discard, req.Body) // its bytes do not matter here
-						id := u.request(req)
-						_, _ = io.WriteString(conn, signed(id, "of "+id))
+						_, _ = io.Copy(io.Discard, r.Body) // its content is irrelevant here
+						id := u.recordRequest(r)
+						_, _ = io.WriteString(conn, signedResponse(id, "of "+id))
 						time.Sleep(late)
-						_, _ = io.WriteString(conn, signed(id, "of "+id))
+						_, _ = io.WriteString(conn, signedResponse(id, "of "+id))
 					}
 				})
 				f.start()
 				for n := range 4 {
-					q := alert(fmt.Sprint("r", n))
-					a := f.ask(q)
-					if a.status == 200 {
-						require.Equal(t, "of "+q.id, a.body)
+					req := alert(fmt.Sprint("r", n))
+					resp := f.send(req)
+					if resp.status == 200 {
+						require.Equal(t, "of "+req.id, resp.body)
 					} else {
-						require.Equal(t, 502, a.status)
+						require.Equal(t, 502, resp.status)
 					}
 				}
 			})
--- a/gateway/emptied_test.go
+++ b/gateway/emptied_test.go
@@ -9,104 +9,108 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Operators ask that a data centre be emptied. Requests went on to the upstreams there until the
-// order was taken back, 19.6 s later, since nobody read such orders: second tries, prompts whose
-// shared part an engine there had read, and transfers of cached parts from there too.
-func TestNothingGoesToAnEmptiedDatacentre(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(0, "k1")
+// Guards against requests to upstreams of a data centre that operators drain: first attempts and
+// retries, prompts whose shared part an engine there has cached, and transfers of cached parts
+// from there. A router that ignores drain orders sends them until the order is revoked; such a
+// failure lasted 19.6 s.
+func TestDrainedDatacentreGetsNoRequests(t *testing.T) {
+	withFleet(t, func(f *fleet) {
+		f.putConfig(0, "k1")
 		plain := f.upstreamIn("bergen", "i-1", "plain", 0)
 		engine := f.upstreamIn("bergen", "i-2", "model", 5)
 		otherPlain := f.upstreamIn("oslo", "i-3", "plain", 0)
 		otherEngine := f.upstreamIn("oslo", "i-4", "model", 5)
 		f.start()
-		askAll := func() {
+		sendAll := func() {
 			for n := range 20 {
-				f.ask(level("r"))
-				q := review("c")
-				q.usage, q.parts = "9000,60", "s"+string(rune('a'+n))+":8000,own:1000"
-				f.ask(q)
+				f.send(level("r"))
+				req := review("c")
+				req.usage, req.parts = "9000,60", "s"+string(rune('a'+n))+":8000,own:1000"
+				f.send(req)
 			}
 		}
-		askAll()
+		sendAll()
 		require.NotEmpty(t, plain.Seen())
 		require.NotEmpty(t, engine.Seen())
 
 		require.NoError(t, f.store.Empty("bergen"))
 		f.settle()
 		before, beforeEngine, beforeOther := len(plain.Seen()), len(engine.Seen()), len(otherEngine.Seen())
-		askAll()
+		sendAll()
 		otherPlain.SetMode(standin.LoseAnswer)
 		otherEngine.SetMode(standin.LoseAnswer)
-		askAll()
+		sendAll()
 		require.Len(t, plain.Seen(), before)
 		require.Len(t, engine.Seen(), beforeEngine)
 		for _, s := range otherEngine.Seen()[beforeOther:] {
-			require.Empty(t, s.Header.Get(standin.HeaderFetch), "nothing is fetched from there")
+			require.Empty(t, s.Header.Get(standin.HeaderFetch), "nothing is fetched from the drained data centre")
 		}
 
 		require.NoError(t, f.store.EndEmptying("bergen"))
 		f.settle()
-		askAll()
+		sendAll()
 		require.Greater(t, len(plain.Seen()), before)
 		require.Greater(t, len(engine.Seen()), beforeEngine)
 	})
 }
 
-// A stream runs in a data centre that is emptied then. It ends whole: only new work stays away.
-func TestStreamsEndInAnEmptiedDatacentre(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(0, "k1")
+// Guards against streams that are truncated when their data centre is drained: only new requests
+// avoid it.
+func TestStreamsCompleteInADrainedDatacentre(t *testing.T) {
+	withFleet(t, func(f *fleet) {
+		f.putConfig(0, "k1")
 		f.upstreamIn("oslo", "i-1", "model", 200) // two seconds
 		f.start()
-		ended := make(chan answer, 1)
-		go func() { ended <- f.ask(chat("long")) }()
+		done := make(chan response, 1)
+		go func() { done <- f.send(chat("long")) }()
 		f.settle()
 		require.NoError(t, f.store.Empty("oslo"))
-		a := <-ended
-		require.False(t, a.cut)
-		require.Equal(t, events(200), a.body)
+		resp := <-done
+		require.False(t, resp.truncated)
+		require.Equal(t, events(200), resp.body)
 	})
 }
 
-// All upstreams of a service are in data centres that are emptied. Callers hear at once that
-// nothing was done and when to come back, and are served again when one is taken back.
-func TestAllDatacentresAreEmptied(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(1_000_000, "k1")
+// Guards against callers that wait when all upstreams of a service are in drained data centres.
+// They are refused at once with a Retry-After, and are served again when one drain order is
+// revoked.
+func TestAllDatacentresAreDrained(t *testing.T) {
+	withFleet(t, func(f *fleet) {
+		f.putConfig(1_000_000, "k1")
 		f.upstreamIn("bergen", "i-1", "plain", 0)
 		f.upstreamIn("oslo", "i-2", "plain", 0)
 		f.upstreamIn("oslo", "i-3", "model", 5)
 		f.start()
 		require.NoError(t, f.store.Empty("oslo"))
 		require.NoError(t, f.store.Empty("bergen"))
-		require.NoError(t, f.store.Empty("oslo")) // once more
+		require.NoError(t, f.store.Empty("oslo")) // a repeated order
 		f.settle()
-		for _, q := range []question{level("r"), alert("a"), chat("c")} {
-			a := f.ask(q)
-			require.Equal(t, 503, a.status)
-			require.NotEmpty(t, a.header.Get("Retry-After"))
-			require.Less(t, a.took, 100*time.Millisecond)
+		for _, req := range []request{level("r"), alert("a"), chat("c")} {
+			resp := f.send(req)
+			require.Equal(t, 503, resp.status)
+			require.NotEmpty(t, resp.header.Get("Retry-After"))
+			require.Less(t, resp.elapsed, 100*time.Millisecond)
 		}
 		require.NoError(t, f.store.EndEmptying("bergen"))
 		f.settle()
-		require.Equal(t, 200, f.ask(level("r")).status)
-		require.Equal(t, 503, f.ask(chat("c")).status, "one order is left")
+		require.Equal(t, 200, f.send(level("r")).status)
+		require.Equal(t, 503, f.send(chat("c")).status, "the other data centre is still drained")
 	})
 }
 
-// A data centre is emptied, and another one's order is taken back, while a router is cut off
-// from everything. It goes on by what it knew, and knows both within 1.5 s of its return.
-func TestDatacentreIsEmptiedDuringACut(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(0, "k1")
+// Guards against missed changes when one data centre is drained, and the order for another one is
+// revoked, while a router is disconnected from all processes. It continues with its last state
+// and applies both changes within 1.5 s of its reconnection.
+func TestDatacentreIsDrainedWhileDisconnected(t *testing.T) {
+	withFleet(t, func(f *fleet) {
+		f.putConfig(0, "k1")
 		bergen := f.upstreamIn("bergen", "i-1", "plain", 0)
 		oslo := f.upstreamIn("oslo", "i-2", "plain", 0)
 		require.NoError(t, f.store.Empty("oslo"))
 		f.start()
-		require.Equal(t, 200, f.ask(level("r")).status)
+		require.Equal(t, 200, f.send(level("r")).status)
 		require.Empty(t, oslo.Seen())
-		f.cutOffAll(1)
+		f.disconnect(1)
 		time.Sleep(3 * time.Second)
 		require.NoError(t, f.store.EndEmptying("oslo"))
 		require.NoError(t, f.store.Empty("bergen"))
@@ -115,29 +119,29 @@
 		time.Sleep(1500 * time.Millisecond)
 		before := len(bergen.Seen())
 		for range 10 {
-			require.Equal(t, 200, f.ask(level("r")).status)
+			require.Equal(t, 200, f.send(level("r")).status)
 		}
 		require.Len(t, bergen.Seen(), before)
 		require.NotEmpty(t, oslo.Seen())
 	})
 }
 
-// What operators write is wrong: an unknown data centre, or a value that is no document. The
-// order holds all the same, since its key says what is asked; one line names the field, and
-// all else goes on.
-func TestOrdersThatCannotBeRead(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(0, "k1")
-		emptied := f.upstreamIn("bergen", "i-1", "plain", 0)
+// Guards against drain orders that are ignored because they are invalid: an unknown data centre,
+// or a value that is not a document. The order still applies, since its key identifies the data
+// centre; one log line names the field.
+func TestInvalidDrainOrders(t *testing.T) {
+	withFleet(t, func(f *fleet) {
+		f.putConfig(0, "k1")
+		drained := f.upstreamIn("bergen", "i-1", "plain", 0)
 		f.upstreamIn("oslo", "i-2", "plain", 0)
 		f.start()
 		require.NoError(t, f.store.Empty("atlantis"))
 		require.NoError(t, f.store.SpoilEmptying("bergen", []byte("\xff")))
 		f.settle()
 		for range 10 {
-			require.Equal(t, 200, f.ask(level("r")).status)
+			require.Equal(t, 200, f.send(level("r")).status)
 		}
-		require.Empty(t, emptied.Seen())
+		require.Empty(t, drained.Seen())
 		require.Equal(t, 1, strings.Count(f.log.String(), `op/evacuate/atlantis: field zone`))
 		require.Equal(t, 1, strings.Count(f.log.String(), `op/evacuate/bergen: `))
 	})
--- a/gateway/events_test.go
+++ b/gateway/events_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// An upstream ends its connection properly in the middle of an event, or resets it. The
-// part is not passed on, and the stream does not count as whole.
+// Guards against partial events: an upstream closes or resets its connection in the middle of an
+// event. The part is not forwarded, and the stream does not count as complete.
 func TestStreamThatEndsInsideAnEvent(t *testing.T) {
 	const part = "id: 1\ndata: a\n\nid: 2\ndata: b"
 	events, _, err := readEvents(strings.NewReader(part))
--- a/gateway/fleet_test.go
+++ b/gateway/fleet_test.go
@@ -11,92 +11,93 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The store stops telling watches of changes, loses its history, and only then cuts them.
-// A router must not trust the silence: within three seconds it knows what changed.
-func TestChangesDuringLostHistory(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(0, "k1", "k2")
+// Guards against missed changes when the store stops sending them to watches, compacts its
+// history, and only then ends the watches. A router must detect the stall and apply the changes
+// within three seconds.
+func TestChangesMissedByStalledWatches(t *testing.T) {
+	withFleet(t, func(f *fleet) {
+		f.putConfig(0, "k1", "k2")
 		f.upstream("i-1", "plain", 0)
 		f.upstream("i-2", "plain", 0)
 		f.start()
 		f.store.SetDeaf(true)
 		f.settle()
-		f.config(0, "k1")
+		f.putConfig(0, "k1")
 		f.register("i-1", "plain", "draining")
 		f.store.Compact()
 		time.Sleep(time.Second)
 		f.store.SetDeaf(false)
 		time.Sleep(3 * time.Second)
-		q := level("r")
-		q.key = "k2"
-		require.Equal(t, 401, f.ask(q).status, "the key was taken away")
-		q.key = "k1"
+		req := level("r")
+		req.key = "k2"
+		require.Equal(t, 401, f.send(req).status, "the key was removed")
+		req.key = "k1"
 		for range 5 {
-			a := f.ask(q)
-			require.Equal(t, "signature-of-i-2", a.header.Get(standin.HeaderSignature))
+			resp := f.send(req)
+			require.Equal(t, "signature-of-i-2", resp.header.Get(standin.HeaderSignature))
 		}
 	})
 }
 
-// The store is cut off. The router goes on with the configuration, upstreams and tokens
-// that it knows, and stays ready.
-func TestStoreIsAway(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(1_000_000, "k1")
+// Guards against refusals while the store is unresponsive: the router continues with its last
+// configuration, upstreams and tokens, and stays ready.
+func TestStoreIsUnavailable(t *testing.T) {
+	withFleet(t, func(f *fleet) {
+		f.putConfig(1_000_000, "k1")
 		f.upstream("i-1", "plain", 0)
 		f.upstream("i-2", "model", 5)
 		f.start()
 		for range 10 {
-			require.Equal(t, 200, f.ask(chat("usual")).status)
+			require.Equal(t, 200, f.send(chat("usual")).status)
 			time.Sleep(400 * time.Millisecond)
 		}
 		f.store.SetSilent(true)
 		for range 20 {
 			time.Sleep(400 * time.Millisecond)
-			require.Equal(t, 200, f.ask(level("r")).status)
-			require.Equal(t, 200, f.ask(chat("c")).status)
+			require.Equal(t, 200, f.send(level("r")).status)
+			require.Equal(t, 200, f.send(chat("c")).status)
 		}
-		require.Equal(t, 200, f.ready())
+		require.Equal(t, 200, f.readyStatus())
 	})
 }
 
-// A team's callers come through both routers while these are cut off from the store. One
-// of them is the home of the team's budget and holds what the cut needs; the other one
-// borrows from it for each request.
-func TestRoutersLendInACut(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(1_000_000, "k1")
+// Guards against refusals when both routers lose the store while a team's callers use both. One
+// router is the primary of the team's budget and holds enough tokens for the outage; the other
+// one borrows from it for each request.
+func TestRoutersLendWithoutTheStore(t *testing.T) {
+	withFleet(t, func(f *fleet) {
+		f.putConfig(1_000_000, "k1")
 		f.upstream("i-1", "model", 5)
 		f.startVM(1)
 		f.startVM(2)
-		time.Sleep(3 * time.Second) // they find each other
-		ask := func(vm int) int {
-			q := chat("c")
-			q.vm = vm
-			return f.ask(q).status
+		time.Sleep(3 * time.Second) // they discover each other
+		send := func(vm int) int {
+			req := chat("c")
+			req.vm = vm
+			return f.send(req).status
 		}
 		for range 10 {
-			require.Equal(t, 200, ask(1))
-			require.Equal(t, 200, ask(2))
+			require.Equal(t, 200, send(1))
+			require.Equal(t, 200, send(2))
 			time.Sleep(200 * time.Millisecond)
 		}
-		f.cutOff(1)
-		f.cutOff(2)
+		f.disconnectFromStore(1)
+		f.disconnectFromStore(2)
 		for range 14 {
-			require.Equal(t, 200, ask(1))
-			require.Equal(t, 200, ask(2))
+			require.Equal(t, 200, send(1))
+			require.Equal(t, 200, send(2))
 			time.Sleep(500 * time.Millisecond)
 		}
 	})
 }
 
-// A budget is spent to its end by two routers at once, with a planned stop and a start
-// between. What the upstream delivered never passes the budget, and what is left in the
-// end is too little for one more request.
-func TestBudgetIsSpentToItsEndAndNotBeyond(t *testing.T) {
-	play(t, func(f *fleet) {
+// Guards against overspending and against stranded tokens when two routers spend a budget at
+// once, with a planned stop and a start in between: the upstream never delivers more than the
+// budget, and what is left in the end is too little for one more request.
+func TestBudgetIsSpentInFullAndNotExceeded(t *testing.T) {
+	withFleet(t, func(f *fleet) {
 		const prepaid, prompt, output = 40_000, 1000, 15
-		f.config(prepaid, "k1")
+		f.putConfig(prepaid, "k1")
 		u := f.upstream("i-1", "model", 5) // 5 events of 3 tokens
 		f.startVM(1)
 		f.startVM(2)
@@ -106,9 +107,9 @@
 			var mu sync.Mutex
 			for i := range n {
 				wg.Go(func() {
-					q := chat("c")
-					q.vm = 1 + i%2
-					if f.ask(q).status == 200 {
+					req := chat("c")
+					req.vm = 1 + i%2
+					if f.send(req).status == 200 {
 						mu.Lock()
 						defer mu.Unlock()
 						served++
@@ -129,63 +130,64 @@
 		runs := len(u.Seen())
 		require.LessOrEqual(t, runs*(prompt+output), prepaid)
 		require.Greater(t, (runs+1)*(prompt+60), prepaid)
-		a := f.ask(chat("last"))
-		require.Equal(t, 402, a.status, a.body)
+		resp := f.send(chat("last"))
+		require.Equal(t, 402, resp.status, resp.body)
 	})
 }
 
-// A raised budget is in force within seconds.
+// Guards against a raised budget that does not take effect within seconds.
 func TestBudgetIsRaised(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(1500, "k1")
+	withFleet(t, func(f *fleet) {
+		f.putConfig(1500, "k1")
 		f.upstream("i-1", "model", 5)
 		f.start()
-		require.Equal(t, 200, f.ask(chat("a")).status)
-		require.Equal(t, 402, f.ask(chat("b")).status)
-		f.config(5000, "k1")
+		require.Equal(t, 200, f.send(chat("a")).status)
+		require.Equal(t, 402, f.send(chat("b")).status)
+		f.putConfig(5000, "k1")
 		time.Sleep(2 * time.Second)
-		require.Equal(t, 200, f.ask(chat("c")).status)
+		require.Equal(t, 200, f.send(chat("c")).status)
 	})
 }
 
-// SIGTERM comes while a stream runs and callers hold connections. The router is not ready
-// at once, the stream ends whole, and requests that still come are served, each with the
-// end of its connection announced.
-func TestPlannedStopCutsNothing(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(1_000_000, "k1")
+// Guards against interrupted requests when SIGTERM arrives while a stream runs and callers hold
+// connections. The router becomes unready at once, the stream completes, and requests that still
+// arrive are served, each with the close of its connection announced.
+func TestPlannedStopInterruptsNothing(t *testing.T) {
+	withFleet(t, func(f *fleet) {
+		f.putConfig(1_000_000, "k1")
 		f.upstream("i-1", "model", 300) // three seconds
 		f.upstream("i-2", "plain", 0)
 		f.start()
 		c := f.client()
-		require.Equal(t, 200, f.askWith(c, level("before")).status)
+		require.Equal(t, 200, f.sendWith(c, level("before")).status)
 		var wg sync.WaitGroup
 		wg.Go(func() {
-			a := f.ask(chat("long"))
-			require.False(t, a.cut)
-			require.Equal(t, events(300), a.body)
+			resp := f.send(chat("long"))
+			require.False(t, resp.truncated)
+			require.Equal(t, events(300), resp.body)
 		})
 		time.Sleep(300 * time.Millisecond)
 		wg.Go(func() { f.stopVM(1) })
 		time.Sleep(100 * time.Millisecond)
-		require.Equal(t, 503, f.ready())
-		a := f.askWith(c, level("after"))
-		require.Equal(t, 200, a.status)
+		require.Equal(t, 503, f.readyStatus())
+		resp := f.sendWith(c, level("after"))
+		require.Equal(t, 200, resp.status)
 		time.Sleep(2 * time.Second)
-		require.Equal(t, 200, f.ask(level("new connection")).status)
+		require.Equal(t, 200, f.send(level("new connection")).status)
 		wg.Wait()
 		require.Contains(t, f.log.String(), `"event":"stopped"`)
-		require.Empty(t, f.store.Keys("arbutusmill/member/"), "it is no longer listed")
+		require.Empty(t, f.store.Keys("arbutusmill/member/"), "it is no longer listed as a member")
 	})
 }
 
-// Every request leaves one line with what decided its end, and one for each connection that broke under it.
+// Each request logs one line with what determined its outcome, and one line for each connection
+// that broke while serving it.
 func TestLogLineOfARequest(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(1_000_000, "k1")
+	withFleet(t, func(f *fleet) {
+		f.putConfig(1_000_000, "k1")
 		f.upstream("i-1", "model", 5).SetMode(standin.LoseAnswer)
 		f.start()
-		require.Equal(t, 502, f.ask(chat("r-17")).status)
+		require.Equal(t, 502, f.send(chat("r-17")).status)
 		f.settle()
 		lines, breaks := 0, 0
 		for line := range strings.Lines(f.log.String()) {
@@ -208,90 +210,92 @@
 	})
 }
 
-// A caller leaves while its request waits for an answer that does not come.
-func TestCallerLeavesASilentUpstream(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(0, "k1")
+// Guards against a request that stays open at an unresponsive upstream after its caller
+// disconnected.
+func TestCallerDisconnectsFromUnresponsiveUpstream(t *testing.T) {
+	withFleet(t, func(f *fleet) {
+		f.putConfig(0, "k1")
 		u := f.upstream("i-1", "plain", 0)
 		u.SetMode(standin.Hang)
 		f.start()
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 		defer cancel()
-		q := alert("r")
-		q.ctx, q.body = ctx, strings.Repeat("x", 5000)
-		f.ask(q)
+		req := alert("r")
+		req.ctx, req.body = ctx, strings.Repeat("x", 5000)
+		f.send(req)
 		time.Sleep(100 * time.Millisecond)
 		require.True(t, u.Seen()[0].Left)
 	})
 }
 
-// A router loses all its connections for 12 s. One of five upstreams says that it leaves
-// meanwhile, and its entry is removed; it goes on serving for some seconds. Back in touch, the
-// router must send it nothing: at the first read after the cut it saw that the entry was missing
-// ("upstream_missing"), yet went on sending there for another 2.2 s, since it took the loss of
-// its own connections for an outage of the store.
-func TestUpstreamThatLeavesWhileARouterIsCutOff(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(0, "k1")
+// Guards against requests to an upstream that was removed while a router was disconnected. One
+// of five upstreams drains and its entry is removed while the router has no connections for
+// 12 s; it still serves for some seconds. A router that mistakes the loss of its own connections
+// for an outage of the store reads that the entry is missing ("upstream_missing"), but keeps
+// sending there for another 2.2 s.
+func TestUpstreamThatLeavesWhileARouterIsDisconnected(t *testing.T) {
+	withFleet(t, func(f *fleet) {
+		f.putConfig(0, "k1")
 		left := f.upstream("i-1", "plain", 0)
 		for _, id := range []string{"i-2", "i-3", "i-4", "i-5"} {
 			f.upstream(id, "plain", 0)
 		}
 		f.start()
-		f.cutOffAll(1)
+		f.disconnect(1)
 		time.Sleep(3 * time.Second)
 		f.register("i-1", "plain", "draining")
 		time.Sleep(2 * time.Second)
 		require.NoError(t, f.store.Unregister("i-1"))
 		time.Sleep(7 * time.Second)
 		f.reconnect(1)
-		time.Sleep(1500 * time.Millisecond) // more than the longest pause between two tries of the store
+		time.Sleep(1500 * time.Millisecond) // more than the longest backoff between two attempts to reach the store
 		before := len(left.Seen())
 		for range 40 {
-			require.Equal(t, 200, f.ask(level("r")).status)
+			require.Equal(t, 200, f.send(level("r")).status)
 		}
 		require.Len(t, left.Seen(), before)
 	})
 }
 
-// The store takes calls and answers none, for times that end anywhere between two tries of a
-// router. What changed meanwhile is known within 2.6 s of the end: one call that was not
-// answered, and the pause after it.
-func TestChangesAfterASilentStore(t *testing.T) {
+// Guards against changes that a router applies late after the store accepted calls but answered
+// none, for outages that end anywhere between two attempts of the router. It applies them within
+// 2.6 s of the end: one unanswered call and the backoff after it.
+func TestChangesDuringStoreOutage(t *testing.T) {
 	for n := range 8 {
-		play(t, func(f *fleet) {
-			f.config(0, "k1", "k2")
+		withFleet(t, func(f *fleet) {
+			f.putConfig(0, "k1", "k2")
 			f.upstream("i-1", "plain", 0)
 			f.upstream("i-2", "plain", 0)
 			f.start()
 			f.store.SetSilent(true)
 			time.Sleep(5*time.Second + time.Duration(n)*330*time.Millisecond)
-			f.config(0, "k1")
+			f.putConfig(0, "k1")
 			f.register("i-1", "plain", "draining")
 			f.store.SetSilent(false)
 			time.Sleep(2600 * time.Millisecond)
-			q := level("r")
-			q.key = "k2"
-			require.Equal(t, 401, f.ask(q).status, "the key was taken away")
+			req := level("r")
+			req.key = "k2"
+			require.Equal(t, 401, f.send(req).status, "the key was removed")
 			for range 5 {
-				require.Equal(t, "signature-of-i-2", f.ask(level("r")).header.Get(standin.HeaderSignature))
+				require.Equal(t, "signature-of-i-2", f.send(level("r")).header.Get(standin.HeaderSignature))
 			}
 		})
 	}
 }
 
-// A caller is told that the tokens cannot be reached. The line of the request tells who was asked
-// for them, how long that took, and what each answered; before, it told only the refusal.
-func TestLineOfARefusalTellsWhoWasAsked(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(1500, "k1")
+// Guards against a log line that holds only the refusal when the tokens of a request cannot be
+// had: it must list the processes that were queried for them, the time that each took, and its
+// answer.
+func TestRefusalLogLineListsQueriedLenders(t *testing.T) {
+	withFleet(t, func(f *fleet) {
+		f.putConfig(1500, "k1")
 		f.upstream("i-1", "model", 5)
 		f.startLender(firstLender, "")
 		f.startVM(1)
 		time.Sleep(3 * time.Second)
-		require.Equal(t, 200, f.ask(chat("a")).status)
-		time.Sleep(time.Second) // the first request's tokens go back
-		require.Equal(t, 402, f.ask(chat("r-18")).status)
+		require.Equal(t, 200, f.send(chat("a")).status)
+		time.Sleep(time.Second) // the first request's unused tokens are returned
+		require.Equal(t, 402, f.send(chat("r-18")).status)
 		lines := 0
 		for line := range strings.Lines(f.log.String()) {
 			if strings.Contains(line, `"id":"r-18"`) {
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -22,7 +22,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// storeAddress is where the store of a test fleet answers.
+// storeAddress is the address of a test fleet's store.
 const storeAddress = "10.9.0.1:80"
 
 // Ports of a router.
@@ -35,9 +35,9 @@
 
 func address(vm, port int) string { return fmt.Sprintf("10.1.0.%d:%d", vm, port) }
 
-// The configuration of a test fleet, in the platform's form. The verbs are version,
-// prepaid tokens, and keys of the team.
-const configForm = `{"version":%d,"routes":[
+// configTemplate is the configuration of a test fleet in the platform's format. Its verbs are
+// the version, the team's keys and its prepaid tokens.
+const configTemplate = `{"version":%d,"routes":[
  {"name":"chat","host":"a.example","prefix":"/chat/","type":"streaming","timeout_ms":6000,"latency_goal_ms":800,
   "priority":0,"service":"model","max_attempts":1,"sticky":true,"resumable":false,"gap_target_ms":400},
  {"name":"review","host":"a.example","prefix":"/review/","type":"streaming","timeout_ms":12000,"latency_goal_ms":800,
@@ -54,55 +54,57 @@
  "limits":{"max_header_bytes":16384,"max_body_bytes":65536,"header_timeout_ms":3000,"idle_timeout_ms":15000},
  "tenants":[{"name":"pilots","api_keys":[%s],"priority":1,"prepaid":%d}]}`
 
-// fleet is one gateway between callers and stand-ins, on a network in memory and, when
-// it is made inside virtualtime.Test.
+// fleet runs gateways between callers and stand-ins, on a network in memory and, when it is
+// created inside virtualtime.Test, in virtual time.
 type fleet struct {
 	t       *testing.T
 	network memnet.Network
 	store   *standin.Store
 	log     *syncBuffer
-	// lives are the running gateways, by the number of their VM.
-	lives map[int]*life
-	// stops end other processes of the test.
-	stops   []func()
-	version int
-	// form is the configuration's, configForm unless a test has another.
-	form string
-	// flooded counts the requests of flood.
-	flooded int
-	// cut VMs do not reach the store, those with true nobody else either; storeConns are the connections that they have.
-	cut sync.Map
-	// linkRate is what the routers' links carry (bytes/s); 0 is no limit.
+	// gateways holds the running gateways by the number of their VM.
+	gateways map[int]*gatewayProcess
+	// stopFuncs stop the other processes of the test.
+	stopFuncs []func()
+	version   int
+	// template is the template of the configuration; configTemplate if empty.
+	template string
+	// floodRequests is the number of requests sent by flood.
+	floodRequests int
+	// disconnected holds the VMs that cannot reach the store; the value is true for those that
+	// cannot reach any other process either.
+	disconnected sync.Map
+	// linkRate is the capacity of the routers' links in bytes/s; 0 means unlimited.
 	linkRate   int
-	storeConns sync.Map // net.Conn to VM
+	storeConns sync.Map // VMs by their net.Conn to the store
 }
 
-// cutOff parts a VM from the store, with the connections that it has.
-func (f *fleet) cutOff(vm int) {
-	f.cut.Store(vm, false)
+// disconnectFromStore closes a VM's connections to the store and refuses new ones.
+func (f *fleet) disconnectFromStore(vm int) {
+	f.disconnected.Store(vm, false)
 	f.closeStoreConns(vm)
 }
 
-// cutOffAll parts a VM from everything: for all others it has died.
-func (f *fleet) cutOffAll(vm int) {
-	f.cut.Store(vm, true)
+// disconnect closes a VM's connections to the store and refuses all new ones that it opens,
+// which looks like its death to all other processes.
+func (f *fleet) disconnect(vm int) {
+	f.disconnected.Store(vm, true)
 	f.closeStoreConns(vm)
 }
 
-// reconnect ends the cut of a VM.
-func (f *fleet) reconnect(vm int) { f.cut.Delete(vm) }
+// reconnect lets a disconnected VM open connections again.
+func (f *fleet) reconnect(vm int) { f.disconnected.Delete(vm) }
 
 func (f *fleet) closeStoreConns(vm int) {
 	f.storeConns.Range(func(conn, of any) bool {
 		if of == vm {
-			_ = conn.(net.Conn).Close() // the other end may have closed it
+			_ = conn.(net.Conn).Close() // the peer may have closed it
 		}
 		return true
 	})
 }
 
-// life is one process of the gateway.
-type life struct {
+// gatewayProcess is one running incarnation of a gateway.
+type gatewayProcess struct {
 	gateway *gateway.Gateway
 	stop    context.CancelFunc
 	done    chan error
@@ -125,8 +127,8 @@
 	return s.b.String()
 }
 
-// play runs a test with a fleet in virtual time.
-func play(t *testing.T, test func(f *fleet)) {
+// withFleet runs a test with a new fleet in virtual time.
+func withFleet(t *testing.T, test func(f *fleet)) {
 	virtualtime.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		defer f.close()
@@ -135,30 +137,30 @@
 }
 
 func newFleet(t *testing.T) *fleet {
-	f := &fleet{t: t, store: standin.NewStore(), log: &syncBuffer{}, lives: map[int]*life{}}
+	f := &fleet{t: t, store: standin.NewStore(), log: &syncBuffer{}, gateways: map[int]*gatewayProcess{}}
 	f.serve(storeAddress, f.store.Handler())
 	return f
 }
 
-// serve starts a server that ends with the test.
+// serve starts a server that is closed when the test ends.
 func (f *fleet) serve(address string, h http.Handler) {
 	l, err := f.network.Listen("tcp", address)
 	require.NoError(f.t, err)
 	s := &http.Server{Handler: h}
-	go func() { _ = s.Serve(l) }() // ends with Close
+	go func() { _ = s.Serve(l) }() // returns on Close
 	f.t.Cleanup(func() { _ = s.Close() })
 }
 
-// config puts the next version in force.
-func (f *fleet) config(prepaid int, keys ...string) {
+// putConfig writes the next version of the configuration.
+func (f *fleet) putConfig(prepaid int, keys ...string) {
 	f.version++
-	require.NoError(f.t, f.store.PutConfig(fmt.Sprintf(cmp.Or(f.form, configForm), f.version, `"`+strings.Join(keys, `","`)+`"`, prepaid)))
+	require.NoError(f.t, f.store.PutConfig(fmt.Sprintf(cmp.Or(f.template, configTemplate), f.version, `"`+strings.Join(keys, `","`)+`"`, prepaid)))
 }
 
-// largeConfig puts the next version in force, with many more routes.
-func (f *fleet) largeConfig(routes int, keys ...string) {
+// putLargeConfig writes the next version of the configuration, with additional routes.
+func (f *fleet) putLargeConfig(routes int, keys ...string) {
 	f.version++
-	document := fmt.Sprintf(configForm, f.version, `"`+strings.Join(keys, `","`)+`"`, 0)
+	document := fmt.Sprintf(configTemplate, f.version, `"`+strings.Join(keys, `","`)+`"`, 0)
 	var more strings.Builder
 	for i := range routes {
 		fmt.Fprintf(&more, `{"name":"route-%[1]d","host":"%[1]x.example","prefix":"/%[2]x/%[1]d/","type":"streaming",
@@ -176,12 +178,12 @@
 // upstreamIn starts and registers a stand-in in a data centre.
 func (f *fleet) upstreamIn(datacentre, id, service string, events int) *standin.Upstream {
 	u := &standin.Upstream{ID: id, Events: events, Pause: 10 * time.Millisecond}
-	f.serve(addressOf(id), u)
-	require.NoError(f.t, f.store.Register(id, service, addressOf(id), datacentre, "ready", 6))
+	f.serve(upstreamAddress(id), u)
+	require.NoError(f.t, f.store.Register(id, service, upstreamAddress(id), datacentre, "ready", 6))
 	return u
 }
 
-// upstreamCold starts a stand-in that is cold for a while.
+// upstreamCold starts and registers a stand-in that is cold for a while.
 func (f *fleet) upstreamCold(id, service string, events int, cold time.Duration) *standin.Upstream {
 	u := f.upstream(id, service, events)
 	f.registerCold(id, service, cold)
@@ -190,13 +192,13 @@
 
 // registerCold writes the entry of a stand-in that is cold for a while.
 func (f *fleet) registerCold(id, service string, cold time.Duration) {
-	require.NoError(f.t, f.store.RegisterCold(id, service, addressOf(id), "bergen", 6, cold))
+	require.NoError(f.t, f.store.RegisterCold(id, service, upstreamAddress(id), "bergen", 6, cold))
 }
 
-func addressOf(id string) string { return "10.2.0." + strings.TrimPrefix(id, "i-") + ":80" }
+func upstreamAddress(id string) string { return "10.2.0." + strings.TrimPrefix(id, "i-") + ":80" }
 
 func (f *fleet) register(id, service, state string) {
-	require.NoError(f.t, f.store.Register(id, service, addressOf(id), "bergen", state, 6))
+	require.NoError(f.t, f.store.Register(id, service, upstreamAddress(id), "bergen", state, 6))
 }
 
 func (f *fleet) settings(vm int) *settings.Gateway {
@@ -210,8 +212,8 @@
 	return &s
 }
 
-// start starts the gateway of VM 1 and waits until it has settled, and until it may use its part of
-// the fixed number of repeats: a life that is younger than their window may not.
+// start starts the gateway of VM 1 and waits until it may use its share of the fixed number of
+// retries: an incarnation that is younger than their window may not.
 func (f *fleet) start() {
 	f.startVM(1)
 	time.Sleep(time.Duration(f.settings(1).Repeats.Window) + time.Second)
@@ -221,13 +223,13 @@
 // startVM starts the gateway of a VM.
 func (f *fleet) startVM(vm int) { f.startVMAs(f.settings(vm).VM, vm) }
 
-// startVMAs starts a gateway on the VM of that name, at the addresses of the number vm.
+// startVMAs starts a gateway on the VM called name, at the addresses of VM number vm.
 func (f *fleet) startVMAs(name string, vm int) {
 	s := f.settings(vm)
 	s.VM = name
 	ctx, stop := context.WithCancel(context.Background())
 	dial := func(ctx context.Context, network, to string) (net.Conn, error) {
-		if all, cut := f.cut.Load(vm); cut && (to == storeAddress || all == true) {
+		if all, found := f.disconnected.Load(vm); found && (to == storeAddress || all == true) {
 			return nil, memnet.ErrRefused
 		}
 		conn, err := f.network.Dial(ctx, network, to)
@@ -241,119 +243,121 @@
 	}
 	g := gateway.New(s, hosted.Network{Listen: f.network.Listen, Dial: dial}, f.log,
 		func() uint64 { return 0 })
-	l := &life{gateway: g, stop: stop, done: make(chan error, 1)}
-	f.lives[vm] = l
-	go func() { l.done <- g.Run(ctx) }()
+	p := &gatewayProcess{gateway: g, stop: stop, done: make(chan error, 1)}
+	f.gateways[vm] = p
+	go func() { p.done <- g.Run(ctx) }()
 }
 
-// stopVM makes a planned stop and waits for its end.
+// stopVM stops a gateway as planned and waits until it has stopped.
 func (f *fleet) stopVM(vm int) {
-	l := f.lives[vm]
-	delete(f.lives, vm)
-	l.stop()
-	require.NoError(f.t, <-l.done)
+	p := f.gateways[vm]
+	delete(f.gateways, vm)
+	p.stop()
+	require.NoError(f.t, <-p.done)
 }
 
-// settle lets half a second pass, enough for what a change needs to be in force.
+// settle waits half a second, enough for a change to take effect.
 func (f *fleet) settle() { time.Sleep(500 * time.Millisecond) }
 
-// close ends everything that the test started.
+// close stops all processes that the test started.
 func (f *fleet) close() {
-	for vm := range f.lives {
+	for vm := range f.gateways {
 		f.stopVM(vm)
 	}
-	for _, stop := range f.stops {
+	for _, stop := range f.stopFuncs {
 		stop()
 	}
 	f.store.SetSilent(false)
-	f.store.Compact() // ends waiting calls
+	f.store.Compact() // ends pending calls
 }
 
-// question is one request of a caller.
-type question struct {
+// request is a request of a caller.
+type request struct {
 	id, method, path, key, body string
 	deadline                    time.Duration
 	usage, parts                string
 	header                      map[string]string
 	ctx                         context.Context
-	vm                          int // 0 stands for 1
+	vm                          int // 0 means 1
 }
 
-// answer is what a caller got.
-type answer struct {
+// response is the response that a caller received.
+type response struct {
 	status int
 	header http.Header
 	body   string
-	// cut says that the body did not end.
-	cut  bool
-	took time.Duration
-	err  error
+	// truncated reports whether the body was incomplete.
+	truncated bool
+	elapsed   time.Duration
+	err       error
 }
 
-// client is a caller with a connection of its own.
+// client returns a caller with its own connections.
 func (f *fleet) client() *http.Client {
 	t := &http.Transport{DialContext: f.network.Dial, DisableCompression: true}
 	f.t.Cleanup(t.CloseIdleConnections)
 	return &http.Client{Transport: t}
 }
 
-func (f *fleet) ask(q question) answer { return f.askWith(f.client(), q) }
+func (f *fleet) send(req request) response { return f.sendWith(f.client(), req) }
 
-func (f *fleet) askWith(c *http.Client, q question) answer {
-	ctx := q.ctx
+func (f *fleet) sendWith(c *http.Client, req request) response {
+	ctx := req.ctx
 	if ctx == nil {
 		ctx = context.Background()
 	}
-	if q.method == "" {
-		q.method = http.MethodPost
+	if req.method == "" {
+		req.method = http.MethodPost
 	}
-	req, err := http.NewRequestWithContext(ctx, q.method, "http://"+address(max(1, q.vm), callersPort)+q.path, strings.NewReader(q.body))
+	httpReq, err := http.NewRequestWithContext(ctx, req.method, "http://"+address(max(1, req.vm), callersPort)+req.path, strings.NewReader(req.body))
 	require.NoError(f.t, err)
-	req.Host = "a.example"
-	for name, value := range map[string]string{standin.HeaderID: q.id, "Api-Key": q.key,
-		standin.HeaderUsage: q.usage, standin.HeaderParts: q.parts} {
+	httpReq.Host = "a.example"
+	for name, value := range map[string]string{standin.HeaderID: req.id, "Api-Key": req.key,
+		standin.HeaderUsage: req.usage, standin.HeaderParts: req.parts} {
 		if value != "" {
-			req.Header.Set(name, value)
+			httpReq.Header.Set(name, value)
 		}
 	}
-	if q.deadline > 0 {
-		req.Header.Set(standin.HeaderDeadline, fmt.Sprint(q.deadline.Milliseconds()))
+	if req.deadline > 0 {
+		httpReq.Header.Set(standin.HeaderDeadline, fmt.Sprint(req.deadline.Milliseconds()))
 	}
-	for name, value := range q.header {
-		req.Header.Set(name, value)
+	for name, value := range req.header {
+		httpReq.Header.Set(name, value)
 	}
-	began := time.Now()
-	resp, err := c.Do(req)
+	start := time.Now()
+	httpResp, err := c.Do(httpReq)
 	if err != nil {
-		return answer{err: err, took: time.Since(began)}
+		return response{err: err, elapsed: time.Since(start)}
 	}
-	defer func() { _ = resp.Body.Close() }()
-	body, err := io.ReadAll(resp.Body)
-	return answer{status: resp.StatusCode, header: resp.Header, body: string(body), cut: err != nil, took: time.Since(began)}
+	defer func() { _ = httpResp.Body.Close() }()
+	body, err := io.ReadAll(httpResp.Body)
+	return response{status: httpResp.StatusCode, header: httpResp.Header, body: string(body), truncated: err != nil, elapsed: time.Since(start)}
 }
 
-// alert is a request that must not run twice, level one that may.
-func alert(id string) question {
-	return question{id: id, path: "/alert/x?y=1", key: "k1", body: "surge", deadline: time.Second}
+// alert returns a request that must not run twice.
+func alert(id string) request {
+	return request{id: id, path: "/alert/x?y=1", key: "k1", body: "surge", deadline: time.Second}
 }
 
-func level(id string) question {
-	return question{id: id, method: http.MethodGet, path: "/level/x", key: "k1", deadline: time.Second}
+// level returns a request that may run twice.
+func level(id string) request {
+	return request{id: id, method: http.MethodGet, path: "/level/x", key: "k1", deadline: time.Second}
 }
 
-// chat is a stream that must not run twice, review one that may be resumed.
-func chat(id string) question {
-	return question{id: id, path: "/chat/x", key: "k1", body: "tide?", deadline: 6 * time.Second,
+// chat returns the request of a stream that must not run twice.
+func chat(id string) request {
+	return request{id: id, path: "/chat/x", key: "k1", body: "tide?", deadline: 6 * time.Second,
 		usage: "1000,60", parts: "aa:600,bb:400"}
 }
 
-func review(id string) question {
-	q := chat(id)
-	q.path, q.deadline = "/review/x", 12*time.Second
-	return q
+// review returns the request of a stream that may be resumed.
+func review(id string) request {
+	req := chat(id)
+	req.path, req.deadline = "/review/x", 12*time.Second
+	return req
 }
 
-// events is the whole stream of n events.
+// events returns the complete stream of n events.
 func events(n int) string {
 	var b strings.Builder
 	for i := 1; i <= n; i++ {
@@ -362,8 +366,9 @@
 	return b.String()
 }
 
-// ready asks as the balancer does.
-func (f *fleet) ready() int {
+// readyStatus returns the status of the readiness check that the load balancer queries, or 0
+// if it cannot be reached.
+func (f *fleet) readyStatus() int {
 	req, err := http.NewRequest(http.MethodGet, "http://"+address(1, readyPort)+"/arbutusmill/readyz", nil)
 	require.NoError(f.t, err)
 	resp, err := f.client().Do(req)
--- a/gateway/lender_test.go
+++ b/gateway/lender_test.go
@@ -19,38 +19,39 @@
 	"github.com/stretchr/testify/require"
 )
 
-// firstLender is the number of the first VM with a lender; its upstream is the stand-in at
-// addressOf("i-" + number).
+// firstLender is the number of the first VM with a lender; the stand-in on that VM is at
+// upstreamAddress("i-" + number).
 const firstLender = 20
 
-// lenderLife is one process of a lender.
-type lenderLife struct {
-	stop context.CancelFunc
-	done chan error
-	cut  atomic.Bool // it reaches nobody any more
-	// conns are those that it accepted.
+// lenderProcess is one running incarnation of a lender.
+type lenderProcess struct {
+	stop         context.CancelFunc
+	done         chan error
+	disconnected atomic.Bool // it cannot open connections
+	// conns holds the connections that it accepted.
 	conns sync.Map
 }
 
-// startLender starts a lender beside an upstream. It returns how to stop it as planned, and
-// how to cut it off for good, which is its sudden death for all others.
-func (f *fleet) startLender(vm int, beside string) (stop, kill func()) {
-	return f.startLenderAs(fmt.Sprint("engine-", vm), vm, beside)
+// startLender starts a lender for the upstream with that ID, or without an upstream if it is
+// empty. stop stops it as planned, kill disconnects it for good, which looks like a sudden death
+// to all other processes.
+func (f *fleet) startLender(vm int, upstreamID string) (stop, kill func()) {
+	return f.startLenderAs(fmt.Sprint("engine-", vm), vm, upstreamID)
 }
 
-// startLenderAs starts a lender on the VM of that name, at the addresses of the number vm.
-func (f *fleet) startLenderAs(name string, vm int, beside string) (stop, kill func()) {
+// startLenderAs starts a lender on the VM called name, at the addresses of VM number vm.
+func (f *fleet) startLenderAs(name string, vm int, upstreamID string) (stop, kill func()) {
 	s := settings.DefaultLender()
 	s.VM, s.Datacentre = name, "bergen"
 	s.Listen = settings.LenderListen{Admin: address(vm, adminPort), Link: address(vm, linkPort)}
 	s.Store.Address = storeAddress
-	if beside != "" {
-		s.Upstream.Address = addressOf(beside)
+	if upstreamID != "" {
+		s.Upstream.Address = upstreamAddress(upstreamID)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	life := &lenderLife{stop: cancel, done: make(chan error, 1)}
+	p := &lenderProcess{stop: cancel, done: make(chan error, 1)}
 	dial := func(ctx context.Context, network, to string) (net.Conn, error) {
-		if life.cut.Load() {
+		if p.disconnected.Load() {
 			return nil, memnet.ErrRefused
 		}
 		conn, err := f.network.Dial(ctx, network, to)
@@ -61,39 +62,39 @@
 	}
 	listen := func(network, address string) (net.Listener, error) {
 		l, err := f.network.Listen(network, address)
-		return &rememberingListener{Listener: l, conns: &life.conns}, err
+		return &trackingListener{Listener: l, conns: &p.conns}, err
 	}
 	l := lender.New(&s, hosted.Network{Listen: listen, Dial: dial}, f.log, func() uint64 { return 0 })
-	go func() { life.done <- l.Run(ctx) }()
-	ended := false
+	go func() { p.done <- l.Run(ctx) }()
+	stopped := false
 	stop = func() {
-		if !ended {
-			ended = true
-			life.stop()
-			require.NoError(f.t, <-life.done)
+		if !stopped {
+			stopped = true
+			p.stop()
+			require.NoError(f.t, <-p.done)
 		}
 	}
-	f.stops = append(f.stops, stop)
+	f.stopFuncs = append(f.stopFuncs, stop)
 	kill = func() {
-		life.cut.Store(true)
+		p.disconnected.Store(true)
 		f.network.SetDark(s.Listen.Link, true)
-		life.conns.Range(func(conn, _ any) bool {
-			_ = conn.(net.Conn).Close() // the other end may have closed it
+		p.conns.Range(func(conn, _ any) bool {
+			_ = conn.(net.Conn).Close() // the peer may have closed it
 			return true
 		})
-		f.cutOff(vm)
+		f.disconnectFromStore(vm)
 	}
 	return stop, kill
 }
 
-// rememberingListener keeps the connections that it accepted.
-type rememberingListener struct {
+// trackingListener records the connections that it accepts.
+type trackingListener struct {
 	net.Listener
 	conns *sync.Map
 }
 
 // Accept implements net.Listener.
-func (l *rememberingListener) Accept() (net.Conn, error) {
+func (l *trackingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err == nil {
 		l.conns.Store(c, true)
@@ -101,111 +102,110 @@
 	return c, err
 }
 
-// A team's callers come while all routers are cut off from the store, for longer than any
-// router's own tokens would last. A lender beside an upstream still reaches the store and
-// is reached by the routers, so all callers are served.
-func TestLenderServesRoutersInACut(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(1_000_000, "k1")
+// Guards against refusals when all routers lose the store for longer than their own tokens
+// last. A lender that reaches both the store and the routers must keep all callers served.
+func TestLenderServesRoutersWithoutTheStore(t *testing.T) {
+	withFleet(t, func(f *fleet) {
+		f.putConfig(1_000_000, "k1")
 		f.upstream("i-1", "model", 5)
 		f.startLender(firstLender, "")
 		f.startVM(1)
 		f.startVM(2)
-		time.Sleep(6 * time.Second) // they find each other
-		ask := func(vm int) int {
-			q := chat("c")
-			q.vm = vm
-			return f.ask(q).status
+		time.Sleep(6 * time.Second) // they discover each other
+		send := func(vm int) int {
+			req := chat("c")
+			req.vm = vm
+			return f.send(req).status
 		}
-		require.Equal(t, 200, ask(1))
-		require.Equal(t, 200, ask(2))
-		f.cutOff(1)
-		f.cutOff(2)
+		require.Equal(t, 200, send(1))
+		require.Equal(t, 200, send(2))
+		f.disconnectFromStore(1)
+		f.disconnectFromStore(2)
 		for n := range 60 {
-			require.Equal(t, 200, ask(1+n%2))
+			require.Equal(t, 200, send(1+n%2))
 			time.Sleep(300 * time.Millisecond)
 		}
 	})
 }
 
-// All routers die at once, and others take their place. What the lender held is not lost with
-// them: nearly all of the budget is still served. Held by a router, ten seconds of demand
-// would be gone.
+// Guards against the loss of tokens when all routers die at once and others replace them. The
+// lender holds the tokens, so nearly all of the budget can still be spent; held by a router, ten
+// seconds of demand would be lost.
 func TestTokensOutliveTheRouters(t *testing.T) {
-	play(t, func(f *fleet) {
+	withFleet(t, func(f *fleet) {
 		const prepaid, each = 60_000, 1060
-		f.config(prepaid, "k1")
+		f.putConfig(prepaid, "k1")
 		u := f.upstream("i-1", "model", 5)
 		f.startLender(firstLender, "")
 		f.startVM(1)
 		time.Sleep(6 * time.Second)
 		for range 10 {
-			require.Equal(t, 200, f.ask(chat("before")).status)
+			require.Equal(t, 200, f.send(chat("before")).status)
 		}
-		f.cutOffAll(1)
+		f.disconnect(1)
 		f.startVM(2)
 		time.Sleep(3 * time.Second)
 		for range 60 {
-			q := chat("after")
-			q.vm = 2
-			f.ask(q)
+			req := chat("after")
+			req.vm = 2
+			f.send(req)
 			time.Sleep(200 * time.Millisecond)
 		}
 		require.LessOrEqual(t, len(u.Seen())*1015, prepaid)
-		require.Greater(t, (len(u.Seen())+5)*each, prepaid, "at most a few requests' tokens are missing")
+		require.Greater(t, (len(u.Seen())+5)*each, prepaid, "the tokens of at most a few requests are lost")
 	})
 }
 
-// The operators raise a budget that is used up. The lender follows no configuration; it
-// learns the new limit from the next request and serves it.
-func TestLenderLearnsARaisedLimit(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(1500, "k1")
+// Guards against refusals after operators raise an exhausted budget. The lender follows no
+// configuration; the next request carries the new limit.
+func TestLenderUsesRaisedLimit(t *testing.T) {
+	withFleet(t, func(f *fleet) {
+		f.putConfig(1500, "k1")
 		f.upstream("i-1", "model", 5)
 		f.startLender(firstLender, "")
 		f.startVM(1)
 		time.Sleep(6 * time.Second)
-		require.Equal(t, 200, f.ask(chat("a")).status)
-		time.Sleep(time.Second) // what was set aside for it and not used comes back
-		require.Equal(t, 402, f.ask(chat("b")).status)
-		f.config(5000, "k1")
+		require.Equal(t, 200, f.send(chat("a")).status)
+		time.Sleep(time.Second) // its unused reservation is returned
+		require.Equal(t, 402, f.send(chat("b")).status)
+		f.putConfig(5000, "k1")
 		time.Sleep(time.Second)
-		require.Equal(t, 200, f.ask(chat("c")).status)
+		require.Equal(t, 200, f.send(chat("c")).status)
 	})
 }
 
-// An upstream says that it leaves; a moment later its VM is gone without a signal to the
-// lender there. The lender has stepped aside by then, and all that is left of the budget
-// can still be spent through another lender.
-func TestLenderStepsAsideBeforeItsUpstreamLeaves(t *testing.T) {
-	play(t, func(f *fleet) {
+// Guards against the loss of a budget's tokens when an upstream drains and its VM is removed
+// shortly after, without a signal to the lender there. The lender must have withdrawn by then, so
+// that the rest of the budget can be spent through another lender.
+func TestLenderWithdrawsBeforeItsUpstreamLeaves(t *testing.T) {
+	withFleet(t, func(f *fleet) {
 		const prepaid = 60_000
-		f.config(prepaid, "k1")
+		f.putConfig(prepaid, "k1")
 		u := f.upstream("i-1", "model", 5)
 		kills := map[string]func(){}
-		beside := map[string]*standin.Upstream{}
+		upstreams := map[string]*standin.Upstream{}
 		for n := range 2 {
 			vm := firstLender + n
 			id := fmt.Sprint("i-", vm)
-			beside[id] = f.upstream(id, "other", 0)
+			upstreams[id] = f.upstream(id, "other", 0)
 			_, kills[id] = f.startLender(vm, id)
 		}
 		f.startVM(1)
 		time.Sleep(8 * time.Second)
 		for range 20 {
-			require.Equal(t, 200, f.ask(chat("before")).status)
+			require.Equal(t, 200, f.send(chat("before")).status)
 		}
-		home := fmt.Sprint("i-", firstLender)
+		primary := fmt.Sprint("i-", firstLender)
 		if !strings.Contains(f.log.String(), `"vm":"engine-20"`) || !f.tookTokens("engine-20") {
-			home = fmt.Sprint("i-", firstLender+1)
+			primary = fmt.Sprint("i-", firstLender+1)
 		}
-		beside[home].SetState("draining")
+		upstreams[primary].SetState("draining")
 		time.Sleep(3 * time.Second)
-		vm := "engine-" + strings.TrimPrefix(home, "i-")
-		require.Empty(t, f.store.Keys("arbutusmill/member/"+vm+"/"), "it is no longer listed")
-		kills[home]()
+		vm := "engine-" + strings.TrimPrefix(primary, "i-")
+		require.Empty(t, f.store.Keys("arbutusmill/member/"+vm+"/"), "it is no longer listed as a member")
+		kills[primary]()
 		for range 60 {
-			f.ask(chat("after"))
+			f.send(chat("after"))
 			time.Sleep(300 * time.Millisecond)
 		}
 		require.LessOrEqual(t, len(u.Seen())*1015, prepaid)
@@ -213,59 +213,59 @@
 	})
 }
 
-// A router starts, and seconds later the store is away before its first caller comes. The
-// lenders have named it in the store by then and lend to it; else its callers would be refused
-// until the store is back, although the tokens are there.
-func TestRouterThatStartedBeforeAnOutageIsLentTo(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(1_000_000, "k1")
+// Guards against refusals when the store becomes unresponsive seconds after a router started and
+// before its first request. The lenders must have recorded it as a borrower by then; otherwise
+// its callers are refused until the store is back, although tokens are available.
+func TestLendingToRouterStartedBeforeAnOutage(t *testing.T) {
+	withFleet(t, func(f *fleet) {
+		f.putConfig(1_000_000, "k1")
 		f.upstream("i-1", "model", 5)
 		f.startLender(firstLender, "")
 		f.startLender(firstLender+1, "")
 		f.startVM(1)
 		time.Sleep(8 * time.Second)
 		for range 20 {
-			require.Equal(t, 200, f.ask(chat("before")).status)
+			require.Equal(t, 200, f.send(chat("before")).status)
 		}
 		f.startVM(2)
 		time.Sleep(5 * time.Second)
 		f.store.SetSilent(true)
 		time.Sleep(time.Second)
-		q := chat("in the outage")
-		q.vm = 2
-		status := f.ask(q).status
+		req := chat("in the outage")
+		req.vm = 2
+		status := f.send(req).status
 		f.store.SetSilent(false)
 		require.Equal(t, 200, status)
 	})
 }
 
-// The store falls silent and the lenders run out of tokens. Callers are refused, and after the
-// first ones at once: each request used to wait 0.4 s at one lender after the other, for a
-// store that was silent for all of them.
-func TestRefusedAtOnceInASilentOutage(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(1_000_000, "k1")
+// Guards against slow refusals when the store is unresponsive and the lenders have no tokens
+// left: after the first requests, callers must be refused at once. Otherwise each request waits
+// 0.4 s at one lender after the other for a store that is unresponsive for all of them.
+func TestImmediateRefusalDuringStoreOutage(t *testing.T) {
+	withFleet(t, func(f *fleet) {
+		f.putConfig(1_000_000, "k1")
 		f.upstream("i-1", "model", 5)
 		for n := range 4 {
 			f.startLender(firstLender+n, "")
 		}
 		f.startVM(1)
 		time.Sleep(8 * time.Second)
-		require.Equal(t, 200, f.ask(chat("before")).status)
-		time.Sleep(11 * time.Second) // no longer wary, and no demand to hold for
+		require.Equal(t, 200, f.send(chat("before")).status)
+		time.Sleep(11 * time.Second) // the store no longer counts as degraded, and no tokens are held for demand
 		f.store.SetSilent(true)
-		hungry := func(id string) answer {
-			q := chat(id)
-			q.usage = "1000,90000"
-			return f.ask(q)
+		largeRequest := func(id string) response {
+			req := chat(id)
+			req.usage = "1000,90000"
+			return f.send(req)
 		}
 		for n := range 3 {
-			require.Equal(t, 503, hungry(fmt.Sprint("first-", n)).status)
+			require.Equal(t, 503, largeRequest(fmt.Sprint("first-", n)).status)
 		}
 		for n := range 20 {
-			a := hungry(fmt.Sprint("r", n))
-			require.Equal(t, 503, a.status)
-			require.Less(t, a.took, 50*time.Millisecond)
+			resp := largeRequest(fmt.Sprint("r", n))
+			require.Equal(t, 503, resp.status)
+			require.Less(t, resp.elapsed, 50*time.Millisecond)
 			time.Sleep(30 * time.Millisecond)
 		}
 		f.store.SetSilent(false)
@@ -282,11 +282,11 @@
 	return false
 }
 
-// The home of a budget goes dark. Requests do not wait for it again and again: the first
-// ones are late, and from then on another lender stands in.
-func TestDarkLenderIsLeftAlone(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(1_000_000, "k1")
+// Guards against requests that each wait for a budget's primary lender after it became
+// unreachable: the first ones are late, after that a standby lender must be used.
+func TestUnreachableLenderIsAvoided(t *testing.T) {
+	withFleet(t, func(f *fleet) {
+		f.putConfig(1_000_000, "k1")
 		f.upstream("i-1", "model", 5)
 		kills := map[string]func(){}
 		for n := range 2 {
@@ -295,67 +295,67 @@
 		}
 		f.startVM(1)
 		time.Sleep(8 * time.Second)
-		require.Equal(t, 200, f.ask(chat("before")).status)
+		require.Equal(t, 200, f.send(chat("before")).status)
 		for vm, kill := range kills {
 			if f.tookTokens(vm) {
 				kill()
 				break
 			}
 		}
-		require.Equal(t, 200, f.ask(chat("first")).status)
+		require.Equal(t, 200, f.send(chat("first")).status)
 		time.Sleep(3 * time.Second)
 		for range 10 {
-			a := f.ask(chat("later"))
-			require.Equal(t, 200, a.status)
-			require.Less(t, a.took, 300*time.Millisecond)
+			resp := f.send(chat("later"))
+			require.Equal(t, 200, resp.status)
+			require.Less(t, resp.elapsed, 300*time.Millisecond)
 		}
 	})
 }
 
-// Two routers send long prompts to the same engine at the same moment. Through the process
-// beside the engine the second one knows of the first's prompt and goes to another engine.
-func TestRoutersSeeEachOthersPrompts(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(0, "k1")
+// Guards against two routers that send long prompts to the same engine at once. The engine's
+// lender reports the backlog of the first one, so the second one chooses another engine.
+func TestRoutersShareBacklogThroughTheLender(t *testing.T) {
+	withFleet(t, func(f *fleet) {
+		f.putConfig(0, "k1")
 		ups := []*standin.Upstream{f.upstream("i-1", "model", 20), f.upstream("i-2", "model", 20)}
 		f.startLender(firstLender, "i-1")
 		f.startLender(firstLender+1, "i-2")
 		f.startVM(1)
 		f.startVM(2)
 		time.Sleep(8 * time.Second)
-		ask := func(vm int) answer {
-			q := chat(fmt.Sprint("r", vm))
-			q.vm, q.usage, q.parts = vm, "60000,60", "aa:1000,bb:59000"
-			return f.ask(q)
+		send := func(vm int) response {
+			req := chat(fmt.Sprint("r", vm))
+			req.vm, req.usage, req.parts = vm, "60000,60", "aa:1000,bb:59000"
+			return f.send(req)
 		}
 		var wg sync.WaitGroup
-		wg.Go(func() { require.Equal(t, 200, ask(1).status) })
+		wg.Go(func() { require.Equal(t, 200, send(1).status) })
 		time.Sleep(20 * time.Millisecond)
-		require.Equal(t, 200, ask(2).status)
+		require.Equal(t, 200, send(2).status)
 		wg.Wait()
 		require.Len(t, ups[0].Seen(), 1)
 		require.Len(t, ups[1].Seen(), 1)
 	})
 }
 
-// The process beside an engine starts anew, as all do after a loss of power. The engine still
-// has what it read before, and the process knows so from the start: taken for unread, prompts
-// would be read again elsewhere.
-func TestNewLenderKnowsWhatIsCached(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(0, "k1")
+// Guards against repeated prefills after an engine's lender restarts, as after a power loss. The
+// engine still has its cache, and the lender must load its contents at startup; otherwise the
+// prompts would be prefilled again elsewhere.
+func TestNewLenderLoadsCacheState(t *testing.T) {
+	withFleet(t, func(f *fleet) {
+		f.putConfig(0, "k1")
 		f.upstream("i-1", "model", 5)
 		f.startVM(1)
 		f.settle()
-		require.Equal(t, 200, f.ask(chat("r1")).status)
+		require.Equal(t, 200, f.send(chat("r1")).status)
 		f.startLender(firstLender, "i-1")
 		time.Sleep(3 * time.Second)
-		require.Contains(t, f.dump(firstLender), `"cached": 1000`)
+		require.Contains(t, f.fetchDump(firstLender), `"cached": 1000`)
 	})
 }
 
-// dump is what a process shows of its state.
-func (f *fleet) dump(vm int) string {
+// fetchDump returns the state dump of the process on a VM.
+func (f *fleet) fetchDump(vm int) string {
 	resp, err := f.client().Get("http://" + address(vm, adminPort) + "/debug/dump")
 	require.NoError(f.t, err)
 	defer func() { _ = resp.Body.Close() }()
@@ -364,14 +364,14 @@
 	return string(body)
 }
 
-// Many callers of a team come in the same moment, to a fleet that holds nothing of its budget
-// yet. The budget is nearly unused, so none of them may be refused: tokens that were fetched
-// for one request and taken by another that came later must be fetched again.
-func TestManyAtOnceAreAllServed(t *testing.T) {
+// Guards against refusals when many requests of a team arrive at once, while the fleet holds
+// none of its nearly unused budget. Tokens that were fetched for one request and taken by a
+// later one must be fetched again.
+func TestConcurrentRequestsAreAllServed(t *testing.T) {
 	for _, withLender := range []bool{false, true} {
 		t.Run(fmt.Sprint("lender ", withLender), func(t *testing.T) {
-			play(t, func(f *fleet) {
-				f.config(100_000_000, "k1")
+			withFleet(t, func(f *fleet) {
+				f.putConfig(100_000_000, "k1")
 				f.upstream("i-1", "model", 5)
 				if withLender {
 					f.startLender(firstLender, "")
@@ -383,7 +383,7 @@
 				for n := range 200 {
 					wg.Go(func() {
 						time.Sleep(time.Duration(n/10) * time.Millisecond)
-						if f.ask(chat(fmt.Sprint("r", n))).status != 200 {
+						if f.send(chat(fmt.Sprint("r", n))).status != 200 {
 							refused.Add(1)
 						}
 					})
@@ -395,13 +395,13 @@
 	}
 }
 
-// All processes lost power and are back within milliseconds of each other; the entries of their
-// lives before still stand. Callers come at once. The lender beside a serving upstream lends to
-// them from the start, so that no router takes tokens from the store, where it would keep a row
-// and write to the page for the rest of the day.
-func TestLenderIsHomeAtOnce(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(1_000_000, "k1")
+// Guards against routers that take tokens from the store after a power loss, where they would
+// keep a row and write to the page for the rest of the day. All processes restart within
+// milliseconds of each other, the member entries of their previous incarnations still exist, and
+// callers arrive at once; the lender of a serving upstream must lend from the start.
+func TestLenderIsPrimaryAtOnce(t *testing.T) {
+	withFleet(t, func(f *fleet) {
+		f.putConfig(1_000_000, "k1")
 		f.upstream("i-1", "model", 5)
 		f.upstream("i-20", "other", 0)
 		for _, m := range []string{
@@ -416,7 +416,7 @@
 		f.startVM(1)
 		served := 0
 		for n := range 40 {
-			if f.ask(chat(fmt.Sprint("r", n))).status == 200 {
+			if f.send(chat(fmt.Sprint("r", n))).status == 200 {
 				served++
 			}
 			time.Sleep(10 * time.Millisecond)
@@ -426,49 +426,50 @@
 	})
 }
 
-// A router is cut off from the store, and a key is taken away. The processes beside upstreams still
-// have the store, and the router learns of the change from one of them.
+// Guards against a router that keeps accepting a removed key after it lost the store. The lenders
+// still reach the store, and the router must get the change from one of them.
 func TestConfigurationChangesReachARouterWithoutTheStore(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(0, "k1", "k2")
+	withFleet(t, func(f *fleet) {
+		f.putConfig(0, "k1", "k2")
 		f.upstream("i-20", "plain", 0)
 		f.startLender(firstLender, "i-20")
 		f.start()
 		time.Sleep(3 * time.Second)
-		f.cutOff(1)
+		f.disconnectFromStore(1)
 		time.Sleep(3 * time.Second)
-		f.config(0, "k1")
+		f.putConfig(0, "k1")
 		time.Sleep(2 * time.Second)
-		q := level("r")
-		q.key = "k2"
-		require.Equal(t, 401, f.ask(q).status)
+		req := level("r")
+		req.key = "k2"
+		require.Equal(t, 401, f.send(req).status)
 	})
 }
 
-// A configuration grows to 2,000 routes, half a megabyte, and an upstream says that it leaves a
-// moment later. The router's link of 10 Mbit/s has 3 to spare. It sends nothing to that upstream
-// half a second later, and has the configuration within two seconds. Told by a relay in one answer,
-// neither was known before 3.4 s, since the answer took longer than a relay may take.
+// Guards against updates that are delayed by a large configuration on a slow link. The
+// configuration grows to 2,000 routes, half a megabyte, an upstream drains a moment later, and
+// 3 Mbit/s of the router's 10 Mbit/s link are free. The router must send nothing to that upstream
+// half a second later, and have the configuration within two seconds. If a relay sends both in one
+// reply, that exceeds a relay's timeout and neither is received before 3.4 s.
 func TestLargeConfigurationOverASlowLink(t *testing.T) {
-	play(t, func(f *fleet) {
+	withFleet(t, func(f *fleet) {
 		f.linkRate = 375_000
-		f.config(0, "k1", "k2")
+		f.putConfig(0, "k1", "k2")
 		f.upstream("i-20", "plain", 0)
 		f.upstream("i-21", "plain", 0)
 		f.startLender(firstLender, "i-20")
 		f.startLender(firstLender+1, "i-21")
 		f.start()
 		time.Sleep(3 * time.Second)
-		f.largeConfig(2000, "k1")
+		f.putLargeConfig(2000, "k1")
 		time.Sleep(100 * time.Millisecond)
 		f.register("i-20", "plain", "draining")
 		time.Sleep(500 * time.Millisecond)
 		for range 10 {
-			require.Equal(t, "signature-of-i-21", f.ask(level("r")).header.Get(standin.HeaderSignature))
+			require.Equal(t, "signature-of-i-21", f.send(level("r")).header.Get(standin.HeaderSignature))
 		}
 		time.Sleep(1500 * time.Millisecond)
-		q := level("r")
-		q.key = "k2"
-		require.Equal(t, 401, f.ask(q).status, "the key was taken away")
+		req := level("r")
+		req.key = "k2"
+		require.Equal(t, 401, f.send(req).status, "the key was removed")
 	})
 }
--- a/gateway/lenderends_test.go
+++ b/gateway/lenderends_test.go
@@ -10,29 +10,29 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What the streams of these tests set aside and use, in tokens, and the budget that they share.
+// Tokens that each stream of these tests reserves and uses, and the budget that they share.
 const (
-	streamWorst  = 4_000
-	streamUse    = 1_900
-	streamBudget = 80_000
+	streamMaxTokens  = 4_000
+	streamUsedTokens = 1_900
+	streamBudget     = 80_000
 )
 
-// lenderEnds is a fleet whose lender ends while the streams of a dozen callers run on tokens
-// that it lent.
-type lenderEnds struct {
+// lenderFailure is a fleet whose lender stops or dies while the streams of a dozen callers run
+// on tokens that it lent.
+type lenderFailure struct {
 	*fleet
-	engine  *standin.Upstream
-	home    int // the number of the VM with the lender that is home of the budget
-	stop    func()
-	kill    func()
-	streams sync.WaitGroup
-	// others are tokens used by requests that are no such streams.
-	others int
+	engine    *standin.Upstream
+	primaryVM int // the number of the primary lender's VM
+	stop      func()
+	kill      func()
+	streams   sync.WaitGroup
+	// otherTokens are the tokens used by requests other than those streams.
+	otherTokens int
 }
 
-func startLenderEnds(f *fleet) *lenderEnds {
-	f.config(streamBudget, "k1")
-	e := &lenderEnds{fleet: f, engine: f.upstream("i-1", "model", 300)}
+func startLenderFailure(f *fleet) *lenderFailure {
+	f.putConfig(streamBudget, "k1")
+	e := &lenderFailure{fleet: f, engine: f.upstream("i-1", "model", 300)}
 	stops, kills := map[int]func(){}, map[int]func(){}
 	for n := range 2 {
 		vm := firstLender + n
@@ -41,80 +41,82 @@
 	f.startVM(1)
 	time.Sleep(8 * time.Second)
 	for n := range 12 {
-		e.streams.Go(func() { e.stream(fmt.Sprint("before-", n)) })
+		e.streams.Go(func() { e.runStream(fmt.Sprint("before-", n)) })
 	}
 	time.Sleep(time.Second)
-	e.home = firstLender
-	if !f.tookTokens(fmt.Sprint("engine-", e.home)) {
-		e.home++
+	e.primaryVM = firstLender
+	if !f.tookTokens(fmt.Sprint("engine-", e.primaryVM)) {
+		e.primaryVM++
 	}
-	e.stop, e.kill = stops[e.home], kills[e.home]
+	e.stop, e.kill = stops[e.primaryVM], kills[e.primaryVM]
 	return e
 }
 
-func (e *lenderEnds) stream(id string) { e.streamAt(1, id) }
+func (e *lenderFailure) runStream(id string) { e.runStreamAt(1, id) }
 
-func (e *lenderEnds) streamAt(vm int, id string) {
-	q := chat(id)
-	q.usage, q.vm = "1000,3000", vm
-	e.ask(q)
+func (e *lenderFailure) runStreamAt(vm int, id string) {
+	req := chat(id)
+	req.usage, req.vm = "1000,3000", vm
+	e.send(req)
 }
 
-// spendAll asks until the budget is used up, and checks that hardly anything of it was lost.
-func (e *lenderEnds) spendAll() {
+// spendBudget sends requests until the budget is exhausted, and checks that at most two streams'
+// tokens of it were lost.
+func (e *lenderFailure) spendBudget() {
 	for n := range 60 {
-		e.stream(fmt.Sprint("after-", n))
+		e.runStream(fmt.Sprint("after-", n))
 	}
-	used := e.others
+	used := e.otherTokens
 	for _, s := range e.engine.Seen() {
 		if s.Ran && s.ID != "now and then" {
-			used += streamUse
+			used += streamUsedTokens
 		}
 	}
 	require.LessOrEqual(e.t, used, streamBudget)
-	require.Greater(e.t, used+2*streamWorst, streamBudget)
+	require.Greater(e.t, used+2*streamMaxTokens, streamBudget)
 }
 
-// A lender is stopped as planned while streams run on what it lent. What they do not use comes
-// back to the lender before it ends, and the budget can be spent to its end through another
-// one; otherwise a third of it would be lost with each such stop.
-func TestStoppedLenderWaitsForWhatItLent(t *testing.T) {
-	play(t, func(f *fleet) {
-		e := startLenderEnds(f)
-		began := time.Now()
+// Guards against the loss of a third of a budget when a lender is stopped as planned while
+// streams run on tokens that it lent. The unused tokens must return to the lender before it
+// stops, so that the whole budget can be spent through another one.
+func TestStoppedLenderWaitsForItsLots(t *testing.T) {
+	withFleet(t, func(f *fleet) {
+		e := startLenderFailure(f)
+		start := time.Now()
 		e.stop()
-		require.Less(t, time.Since(began), 4*time.Second, "it ends when all is back, two seconds on")
+		require.Less(t, time.Since(start), 4*time.Second, "it stops when all lots are returned, after two seconds")
 		e.streams.Wait()
-		e.spendAll()
+		e.spendBudget()
 	})
 }
 
-// The VM of a lender goes dark while streams run on what it lent, and starts anew seconds
-// later. The routers tell what they used, and the rest of the budget can be spent; before, all
-// that the lender had granted counted as used, and callers were refused with a third of it left.
+// Guards against the loss of all tokens that a lender was granted when its VM becomes unreachable
+// while streams run on tokens that it lent, and restarts seconds later. The routers must report
+// their usage, so that the rest of the budget can be spent; otherwise callers are refused with a
+// third of it left.
 func TestDeadLenderIsSettledByItsBorrowers(t *testing.T) {
-	play(t, func(f *fleet) {
-		e := startLenderEnds(f)
+	withFleet(t, func(f *fleet) {
+		e := startLenderFailure(f)
 		e.kill()
 		time.Sleep(time.Second)
-		f.startLenderAs(fmt.Sprint("engine-", e.home), e.home+10, "")
+		f.startLenderAs(fmt.Sprint("engine-", e.primaryVM), e.primaryVM+10, "")
 		e.streams.Wait()
 		for range 20 {
-			f.ask(chat("now and then"))
-			e.others += 1060
+			f.send(chat("now and then"))
+			e.otherTokens += 1060
 			time.Sleep(time.Second)
 		}
 		require.Contains(t, f.log.String(), `"event":"lender_settled"`)
-		e.spendAll()
+		e.spendBudget()
 	})
 }
 
-// A router is stopped as planned after a lender has died, so that a lot can never go back. It
-// leaves the list of members all the same; listed until its lease ends, it would be counted
-// among those that share the bound on repeats, and lenders would wait for its word.
-func TestRouterLeavesThoughALenderIsGone(t *testing.T) {
-	play(t, func(f *fleet) {
-		e := startLenderEnds(f)
+// Guards against a router that stays listed as a member when it is stopped as planned after a
+// lender died, so that a lot can never be returned. Listed until its lease expires, it would
+// count among the routers that share the retry limit, and lenders would wait for its report.
+func TestRouterDeregistersAfterALenderDied(t *testing.T) {
+	withFleet(t, func(f *fleet) {
+		e := startLenderFailure(f)
 		e.kill()
 		e.streams.Wait()
 		require.NotEmpty(t, f.store.Keys("arbutusmill/member/router-1/"))
@@ -123,27 +125,27 @@
 	})
 }
 
-// Guards against the loss of all that a lender held when a router that it lent to dies with it.
+// Guards against the loss of all tokens that a lender held when a router that it lent to dies with it.
 func TestLenderAndRouterDieTogether(t *testing.T) {
-	play(t, func(f *fleet) {
-		const router, itsNextLife = 2, 3
+	withFleet(t, func(f *fleet) {
+		const router, nextIncarnation = 2, 3
 		f.startVM(router)
-		f.network.SetDark(address(router, linkPort), true) // it can borrow, and is never heard
-		e := startLenderEnds(f)
-		e.streams.Go(func() { e.streamAt(router, "of the router that dies") })
+		f.network.SetDark(address(router, linkPort), true) // it can borrow, and its link address is unreachable
+		e := startLenderFailure(f)
+		e.streams.Go(func() { e.runStreamAt(router, "of the router that dies") })
 		time.Sleep(time.Second)
 		e.kill()
-		f.cutOffAll(router)
+		f.disconnect(router)
 		time.Sleep(time.Second)
-		f.startLenderAs(fmt.Sprint("engine-", e.home), e.home+10, "")
-		f.startVMAs(f.settings(router).VM, itsNextLife)
+		f.startLenderAs(fmt.Sprint("engine-", e.primaryVM), e.primaryVM+10, "")
+		f.startVMAs(f.settings(router).VM, nextIncarnation)
 		e.streams.Wait()
 		for range 20 {
-			f.ask(chat("now and then"))
-			e.others += 1060
+			f.send(chat("now and then"))
+			e.otherTokens += 1060
 			time.Sleep(time.Second)
 		}
 		require.Regexp(t, `"missing":\["router-2/[^"]*"\].*"event":"lender_settled"`, f.log.String())
-		e.spendAll()
+		e.spendBudget()
 	})
 }
--- a/gateway/path_bench_test.go
+++ b/gateway/path_bench_test.go
@@ -21,7 +21,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// tcpFleet is a gateway with stand-ins on loopback, for measurements.
+// tcpFleet starts a gateway with stand-ins on loopback. It returns the addresses for callers and
+// of the engine.
 func tcpFleet(b *testing.B, log io.Writer) (callers, upstream string) {
 	store := standin.NewStore()
 	address := func() string {
@@ -34,11 +35,11 @@
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(b, err)
 		s := &http.Server{Handler: h}
-		go func() { _ = s.Serve(l) }() // ends with Close
+		go func() { _ = s.Serve(l) }() // returns on Close
 		b.Cleanup(func() { _ = s.Close() })
 		return l.Addr().String()
 	}
-	require.NoError(b, store.PutConfig(fmt.Sprintf(configForm, 1, `"k1"`, 1<<50)))
+	require.NoError(b, store.PutConfig(fmt.Sprintf(configTemplate, 1, `"k1"`, 1<<50)))
 	engine := serve(&standin.Upstream{ID: "i-1", Events: 40})
 	require.NoError(b, store.Register("i-1", "model", engine, "bergen", "ready", 64))
 	plain := serve(&standin.Upstream{ID: "i-2"})
@@ -60,8 +61,8 @@
 	return s.Listen.Callers, engine
 }
 
-// BenchmarkStream is a streamed answer of 40 events through a gateway, and, for
-// comparison, from the upstream itself.
+// BenchmarkStream measures a streamed answer of 40 events through a gateway and, for
+// comparison, directly from the upstream.
 func BenchmarkStream(b *testing.B) {
 	callers, upstream := tcpFleet(b, io.Discard)
 	for name, address := range map[string]string{"gateway": callers, "direct": upstream} {
@@ -69,7 +70,7 @@
 	}
 }
 
-// BenchmarkPlain is a plain answer through a gateway.
+// BenchmarkPlain measures a plain answer through a gateway.
 func BenchmarkPlain(b *testing.B) {
 	callers, _ := tcpFleet(b, io.Discard)
 	benchmarkCalls(b, callers, "/alert/x", "surge")
@@ -102,21 +103,21 @@
 	require.Equal(b, 200, resp.StatusCode)
 }
 
-// BenchmarkOpenConnections is the memory of kept connections of callers, each of which
-// made one request, and the most memory and descriptors while streams run beside them. All
-// ends are in this process, so it is an upper bound.
+// BenchmarkOpenConnections measures the memory of open connections of callers, each of which
+// made one request, and the peak memory and descriptors while streams run concurrently. Both
+// ends of all connections are in this process, so the results are upper bounds.
 func BenchmarkOpenConnections(b *testing.B) {
 	const open, streams = 2000, 64
 	callers, _ := tcpFleet(b, io.Discard)
 	for b.Loop() {
-		before := inUse()
+		before := memoryInUse()
 		conns := openConnections(b, callers, open)
-		b.ReportMetric((inUse()-before)/open/1024, "KiB/connection")
+		b.ReportMetric((memoryInUse()-before)/open/1024, "KiB/connection")
 		var wg sync.WaitGroup
 		for range streams {
 			wg.Go(func() { benchmarkCall(b, callers, "/chat/x", strings.Repeat("x", 9000)) })
 		}
-		peak := inUse()
+		peak := memoryInUse()
 		files, err := os.ReadDir("/proc/self/fd")
 		require.NoError(b, err)
 		wg.Wait()
@@ -128,8 +129,8 @@
 	}
 }
 
-// inUse is the memory in use, in bytes.
-func inUse() float64 {
+// memoryInUse returns the heap and stack memory in use, in bytes.
+func memoryInUse() float64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -152,7 +153,7 @@
 	return conns
 }
 
-// benchmarkCall makes one call on a connection of its own.
+// benchmarkCall makes one call on a new connection.
 func benchmarkCall(b *testing.B, address, path, body string) {
 	c := &http.Client{Transport: &http.Transport{}}
 	defer c.CloseIdleConnections()
--- a/gateway/recall_test.go
+++ b/gateway/recall_test.go
@@ -14,55 +14,56 @@
 	"github.com/stretchr/testify/require"
 )
 
-// queueingEngine is an engine that begins to run a deadly prompt some time after it came, and ends
-// then. One whose caller has left is dropped before that.
+// queueingEngine is an engine that queues a crashing prompt for startDelay and then crashes. It
+// drops the prompt if its caller disconnects before.
 type queueingEngine struct {
 	*fragileEngine
-	begins time.Duration
-	came   atomic.Bool
+	startDelay time.Duration
+	received   atomic.Bool
 }
 
 // ServeHTTP implements http.Handler.
 func (e *queueingEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if !strings.Contains(r.Header.Get(standin.HeaderParts), deadlyPart) {
+	if !strings.Contains(r.Header.Get(standin.HeaderParts), crashingPart) {
 		e.Upstream.ServeHTTP(w, r)
 		return
 	}
-	_, _ = io.Copy(io.Discard, r.Body) // a server sees its caller leave only after that
-	e.came.Store(true)
-	begins := time.NewTimer(e.begins)
-	defer begins.Stop()
+	_, _ = io.Copy(io.Discard, r.Body) // a server detects a disconnected caller only after that
+	e.received.Store(true)
+	timer := time.NewTimer(e.startDelay)
+	defer timer.Stop()
 	select {
-	case <-begins.C:
-		e.end()
+	case <-timer.C:
+		e.crash()
 	case <-r.Context().Done():
 	}
 }
 
-// Guards against engines that end under a prompt which waits there while three others end under it.
+// Guards against engines that crash under a prompt which is queued there while three others crash
+// under it.
 func TestWaitingPromptIsRecalled(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(0, "k1")
+	withFleet(t, func(f *fleet) {
+		f.putConfig(0, "k1")
 		const prompts, step = 6, 800 * time.Millisecond
-		engines := f.fragile(prompts)
+		engines := f.startFragileEngines(prompts)
 		var queues []*queueingEngine
 		for _, e := range engines {
-			q := &queueingEngine{fragileEngine: e, begins: prompts * step}
-			e.server.Handler = q
-			queues = append(queues, q)
+			queue := &queueingEngine{fragileEngine: e, startDelay: prompts * step}
+			e.server.Handler = queue
+			queues = append(queues, queue)
 		}
-		f.routers(prompts)
+		f.startRouters(prompts)
 		var wg sync.WaitGroup
 		for vm := 1; vm <= prompts; vm++ {
 			wg.Go(func() {
-				q := deadly(fmt.Sprint("d-", vm), vm)
-				q.path = "/chat/x" // it is sent to one upstream
-				a := f.ask(q)
-				require.Contains(t, []int{http.StatusUnprocessableEntity, http.StatusBadGateway}, a.status, a.body)
+				req := crashingPrompt(fmt.Sprint("d-", vm), vm)
+				req.path = "/chat/x" // has a single attempt
+				resp := f.send(req)
+				require.Contains(t, []int{http.StatusUnprocessableEntity, http.StatusBadGateway}, resp.status, resp.body)
 			})
 			time.Sleep(step / 8)
-			for n, q := range queues { // the next one goes to another engine
-				if q.came.Load() {
+			for n, queue := range queues { // the next prompt goes to another engine
+				if queue.received.Load() {
 					f.register(fmt.Sprint("i-", n+1), "model", "draining")
 				}
 			}
@@ -70,40 +71,40 @@
 		}
 		wg.Wait()
 		time.Sleep(prompts * step)
-		came := 0
-		for _, q := range queues {
-			if q.came.Load() {
-				came++
+		received := 0
+		for _, queue := range queues {
+			if queue.received.Load() {
+				received++
 			}
 		}
-		require.Equal(t, prompts, came, "each waits at an engine of its own")
-		require.Equal(t, 3, endedOf(engines))
+		require.Equal(t, prompts, received, "each waits at a different engine")
+		require.Equal(t, 3, countCrashed(engines))
 	})
 }
 
-// Guards against streams that are cut since other upstreams ended under their prompt: whoever gets an
-// answer shows that the prompt is not to blame.
+// Guards against streams that are interrupted since other upstreams crashed under their prompt: an
+// answer shows that the prompt does not cause the crashes.
 func TestPromptThatIsAnsweredIsNotRecalled(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(0, "k1")
+	withFleet(t, func(f *fleet) {
+		f.putConfig(0, "k1")
 		slow := f.upstream("i-20", "model", 60)
 		slow.Pause = 50 * time.Millisecond
-		f.routers(4)
-		common := func(id string, vm int) question {
-			q := chat(id)
-			q.vm, q.parts = vm, "common:1000"
-			return q
+		f.startRouters(4)
+		common := func(id string, vm int) request {
+			req := chat(id)
+			req.vm, req.parts = vm, "common:1000"
+			return req
 		}
-		answered := make(chan answer)
-		go func() { answered <- f.ask(common("slow", 4)) }()
+		answered := make(chan response)
+		go func() { answered <- f.send(common("slow", 4)) }()
 		time.Sleep(200 * time.Millisecond)
 		f.register("i-20", "model", "draining")
-		engines := f.fragile(6)
+		engines := f.startFragileEngines(6)
 		time.Sleep(500 * time.Millisecond)
-		f.crashThreeUnder(engines, common)
-		a := <-answered
-		require.Equal(t, 200, a.status)
-		require.False(t, a.cut)
-		require.Equal(t, events(60), a.body)
+		f.crashThreeDuring(engines, common)
+		resp := <-answered
+		require.Equal(t, 200, resp.status)
+		require.False(t, resp.truncated)
+		require.Equal(t, events(60), resp.body)
 	})
 }
--- a/gateway/regions_test.go
+++ b/gateway/regions_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A route and a team each name the regions in which their requests may be served. Requests were
-// sent to upstreams of all regions, second tries and transfers of cached parts too. Both bind;
-// a data centre whose region is not known is not allowed.
+// Guards against requests, retries and transfers of cached parts that leave the regions which a
+// route and a team allow. Both restrictions apply; a data centre whose region is unknown is not
+// allowed.
 func TestRequestsStayInTheirRegions(t *testing.T) {
 	for name, c := range map[string]struct {
 		route, team string
@@ -24,15 +24,15 @@
 		"none named":      {route: `[]`, served: []string{"i-1", "i-2", "i-3"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(f *fleet) {
-				f.form = configForm
+			withFleet(t, func(f *fleet) {
+				f.template = configTemplate
 				if c.route != "" {
-					f.form = strings.Replace(f.form, `{"name":"level",`, `{"name":"level","allowed_regions":`+c.route+`,`, 1)
+					f.template = strings.Replace(f.template, `{"name":"level",`, `{"name":"level","allowed_regions":`+c.route+`,`, 1)
 				}
 				if c.team != "" {
-					f.form = strings.Replace(f.form, `"tenants":[{`, `"tenants":[{"allowed_regions":`+c.team+`,`, 1)
+					f.template = strings.Replace(f.template, `"tenants":[{`, `"tenants":[{"allowed_regions":`+c.team+`,`, 1)
 				}
-				f.config(0, "k1")
+				f.putConfig(0, "k1")
 				upstreams := map[string]*standin.Upstream{
 					"i-1": f.upstreamIn("bergen", "i-1", "plain", 0),
 					"i-2": f.upstreamIn("oslo", "i-2", "plain", 0),
@@ -40,13 +40,13 @@
 				}
 				f.start()
 				for _, u := range upstreams {
-					u.SetMode(standin.LoseAnswer) // each request is sent twice
+					u.SetMode(standin.LoseAnswer) // each request takes two attempts
 				}
 				for range 30 {
-					a := f.ask(level("r"))
+					resp := f.send(level("r"))
 					if len(c.served) == 0 {
-						require.Equal(t, 503, a.status)
-						require.NotEmpty(t, a.header.Get("Retry-After"))
+						require.Equal(t, 503, resp.status)
+						require.NotEmpty(t, resp.header.Get("Retry-After"))
 					}
 				}
 				var served []string
@@ -57,7 +57,7 @@
 				}
 				require.ElementsMatch(t, c.served, served)
 				unknown := strings.Count(f.log.String(), `allowed_regions names the region \"north\"`)
-				require.Equal(t, strings.Count(c.route+c.team, "north"), unknown, "one line for each")
+				require.Equal(t, strings.Count(c.route+c.team, "north"), unknown, "one line for each unknown region")
 			})
 		})
 	}
--- a/gateway/request_test.go
+++ b/gateway/request_test.go
@@ -16,19 +16,19 @@
 )
 
 // A caller's request reaches the upstream unchanged, with the router's own headers and
-// without the key; the answer comes back byte for byte.
+// without the key; the answer is returned byte for byte.
 func TestRequestAndAnswerPassUnchanged(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(0, "k1")
+	withFleet(t, func(f *fleet) {
+		f.putConfig(0, "k1")
 		u := f.upstream("i-1", "plain", 0)
 		f.start()
-		q := alert("r1")
-		q.header = map[string]string{standin.HeaderTeam: "somebody-else", "X-Own": "kept", "Kv-From": "10.0.0.1:80/1"}
-		a := f.ask(q)
-		require.Equal(t, 200, a.status)
-		require.Equal(t, standin.PlainAnswer("r1"), a.body)
-		require.Equal(t, "signature-of-i-1", a.header.Get(standin.HeaderSignature))
-		require.Equal(t, "r1", a.header.Get(standin.HeaderID))
+		req := alert("r1")
+		req.header = map[string]string{standin.HeaderTeam: "somebody-else", "X-Own": "kept", "Kv-From": "10.0.0.1:80/1"}
+		resp := f.send(req)
+		require.Equal(t, 200, resp.status)
+		require.Equal(t, standin.PlainAnswer("r1"), resp.body)
+		require.Equal(t, "signature-of-i-1", resp.header.Get(standin.HeaderSignature))
+		require.Equal(t, "r1", resp.header.Get(standin.HeaderID))
 		seen := u.Seen()
 		require.Len(t, seen, 1)
 		require.Equal(t, "POST", seen[0].Method)
@@ -42,104 +42,104 @@
 		for _, name := range []string{"Api-Key", "Kv-From", "Accept-Encoding"} {
 			require.Empty(t, h.Values(name), name)
 		}
-		require.Equal(t, "Go-http-client/1.1", h.Get("User-Agent"), "the caller's own")
+		require.Equal(t, "Go-http-client/1.1", h.Get("User-Agent"), "the caller's own value")
 	})
 }
 
-// The longest prefix decides; unknown routes and keys are refused, public routes need
-// no key.
+// The longest prefix selects the route; unknown routes and keys are refused, public routes
+// need no key.
 func TestRoutesAndKeys(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(0, "k1")
+	withFleet(t, func(f *fleet) {
+		f.putConfig(0, "k1")
 		f.upstream("i-1", "plain", 0)
 		f.start()
-		q := level("r1")
-		q.key = "unknown"
-		require.Equal(t, 401, f.ask(q).status)
-		q.path = "/other/x"
-		require.Equal(t, 404, f.ask(q).status)
-		q.path = "/level/deep/x"
-		require.Equal(t, 503, f.ask(q).status, "public, and its service has no upstream")
+		req := level("r1")
+		req.key = "unknown"
+		require.Equal(t, 401, f.send(req).status)
+		req.path = "/other/x"
+		require.Equal(t, 404, f.send(req).status)
+		req.path = "/level/deep/x"
+		require.Equal(t, 503, f.send(req).status, "public, and its service has no upstream")
 	})
 }
 
-// A router that has read no configuration yet cannot say that a key or route is
-// unknown: callers would give up a request that is allowed.
+// Guards against a router that reports a key or route as unknown before it has read a
+// configuration: callers would not retry a request that is allowed.
 func TestNoConfigurationYet(t *testing.T) {
-	play(t, func(f *fleet) {
+	withFleet(t, func(f *fleet) {
 		f.store.SetSilent(true)
 		f.start()
-		require.Equal(t, 503, f.ask(level("r1")).status)
-		require.Equal(t, 503, f.ready())
+		require.Equal(t, 503, f.send(level("r1")).status)
+		require.Equal(t, 503, f.readyStatus())
 		f.store.SetSilent(false)
-		f.config(0, "k1")
+		f.putConfig(0, "k1")
 		f.upstream("i-1", "plain", 0)
 		time.Sleep(4 * time.Second)
-		require.Equal(t, 200, f.ready())
-		require.Equal(t, 200, f.ask(level("r2")).status)
+		require.Equal(t, 200, f.readyStatus())
+		require.Equal(t, 200, f.send(level("r2")).status)
 	})
 }
 
-// A stream arrives event by event, and the time left is handed on as the deadline.
+// A stream arrives event by event, and the remaining time is forwarded as the deadline.
 func TestStreamPassesEventByEvent(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(1_000_000, "k1")
+	withFleet(t, func(f *fleet) {
+		f.putConfig(1_000_000, "k1")
 		u := f.upstream("i-1", "model", 10)
 		f.start()
-		a := f.ask(chat("r1"))
-		require.Equal(t, 200, a.status)
-		require.False(t, a.cut)
-		require.Equal(t, events(10), a.body)
+		resp := f.send(chat("r1"))
+		require.Equal(t, 200, resp.status)
+		require.False(t, resp.truncated)
+		require.Equal(t, events(10), resp.body)
 		require.Equal(t, "6000", u.Seen()[0].Header.Get(standin.HeaderDeadline))
 	})
 }
 
-// An upstream breaks its connection in the middle of an event. The caller of a stream
-// that may be resumed gets every event once: the second upstream goes on after the last
-// whole event, and no piece of the broken one comes between.
+// Guards against lost, repeated or partial events when an upstream breaks its connection in
+// the middle of an event. The caller of a stream that may be resumed gets every event once:
+// the second upstream continues after the last complete event.
 func TestBrokenStreamIsResumed(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(1_000_000, "k1")
+	withFleet(t, func(f *fleet) {
+		f.putConfig(1_000_000, "k1")
 		ups := []*standin.Upstream{f.upstream("i-1", "model", 10), f.upstream("i-2", "model", 10)}
 		f.start()
-		f.ask(review("r0")) // finds the preferred upstream
-		home := 0
+		f.send(review("r0")) // finds the preferred upstream
+		preferred := 0
 		if len(ups[1].Seen()) > 0 {
-			home = 1
+			preferred = 1
 		}
-		ups[home].SetMode(standin.BreakOff)
-		a := f.ask(review("r1"))
-		require.Equal(t, 200, a.status)
-		require.False(t, a.cut)
-		require.Equal(t, events(10), a.body)
-		require.Equal(t, "signature-of-"+ups[home].ID, a.header.Get(standin.HeaderSignature))
-		require.Equal(t, "4", ups[1-home].Seen()[0].LastEvent)
+		ups[preferred].SetMode(standin.BreakOff)
+		resp := f.send(review("r1"))
+		require.Equal(t, 200, resp.status)
+		require.False(t, resp.truncated)
+		require.Equal(t, events(10), resp.body)
+		require.Equal(t, "signature-of-"+ups[preferred].ID, resp.header.Get(standin.HeaderSignature))
+		require.Equal(t, "4", ups[1-preferred].Seen()[0].LastEvent)
 	})
 }
 
-// An upstream breaks off a stream that must not run twice. The caller's connection is
-// broken too, so that the part does not look whole, and nothing runs again.
+// Guards against a truncated stream that looks complete, and against a second run, when an
+// upstream truncates a stream that must not run twice. The caller's connection must break too.
 func TestBrokenStreamThatMustNotRunTwice(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(1_000_000, "k1")
+	withFleet(t, func(f *fleet) {
+		f.putConfig(1_000_000, "k1")
 		ups := []*standin.Upstream{f.upstream("i-1", "model", 10), f.upstream("i-2", "model", 10)}
 		f.start()
 		for _, u := range ups {
 			u.SetMode(standin.BreakOff)
 		}
-		a := f.ask(chat("r1"))
-		require.True(t, a.cut)
+		resp := f.send(chat("r1"))
+		require.True(t, resp.truncated)
 		require.Equal(t, 1, ups[0].Runs("r1")+ups[1].Runs("r1"))
 	})
 }
 
-// What a failure of the upstream means for a caller, by the kind of request. Unsafe
-// requests run at most once and are never said not to have run when they may have.
+// Guards against unsafe requests that run twice, or that are reported as not run when they may
+// have run, for each kind of upstream failure.
 func TestFailuresByKind(t *testing.T) {
 	cases := []struct {
 		name    string
 		mode    standin.Mode
-		q       question
+		req     request
 		status  int
 		runs    int
 		arrived int
@@ -157,15 +157,15 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			play(t, func(f *fleet) {
-				f.config(0, "k1")
+			withFleet(t, func(f *fleet) {
+				f.putConfig(0, "k1")
 				ups := []*standin.Upstream{f.upstream("i-1", "plain", 0), f.upstream("i-2", "plain", 0)}
 				f.start()
 				for _, u := range ups {
 					u.SetMode(c.mode)
 				}
-				a := f.ask(c.q)
-				require.Equal(t, c.status, a.status, a.body)
+				resp := f.send(c.req)
+				require.Equal(t, c.status, resp.status, resp.body)
 				require.Equal(t, c.runs, ups[0].Runs("r")+ups[1].Runs("r"))
 				require.Equal(t, c.arrived, len(ups[0].Seen())+len(ups[1].Seen()))
 			})
@@ -173,26 +173,26 @@
 	}
 }
 
-// One of two upstreams fails. Safe requests are sent to the other one, and so are
-// requests that were provably not run.
-func TestOtherUpstreamHelps(t *testing.T) {
+// Guards against failures that a second upstream can prevent: when one of two upstreams fails,
+// safe requests and requests that provably did not run are sent to the other one.
+func TestRetryOnAnotherUpstream(t *testing.T) {
 	for _, c := range []struct {
 		mode standin.Mode
-		q    question
+		req  request
 	}{
 		{standin.LoseAnswer, level("r")},
 		{standin.Fail, level("r")},
 		{standin.Decline, level("r")},
 		{standin.Decline, alert("r")},
 	} {
-		t.Run(string(c.mode)+c.q.path, func(t *testing.T) {
-			play(t, func(f *fleet) {
-				f.config(0, "k1")
+		t.Run(string(c.mode)+c.req.path, func(t *testing.T) {
+			withFleet(t, func(f *fleet) {
+				f.putConfig(0, "k1")
 				bad, good := f.upstream("i-1", "plain", 0), f.upstream("i-2", "plain", 0)
 				f.start()
 				bad.SetMode(c.mode)
 				for range 6 {
-					require.Equal(t, 200, f.ask(c.q).status)
+					require.Equal(t, 200, f.send(c.req).status)
 				}
 				require.NotEmpty(t, good.Seen())
 			})
@@ -200,89 +200,90 @@
 	}
 }
 
-// An upstream is gone and its address belongs to another one. The new process says that
-// it is not the expected one, and the request goes to an upstream of its own service.
-func TestAddressUsedAgainByAnother(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(0, "k1")
+// Guards against requests that run at the wrong service after an upstream's address was
+// reassigned. The process there rejects them as not the expected instance, and the request goes
+// to an upstream of its own service.
+func TestAddressReusedByAnotherUpstream(t *testing.T) {
+	withFleet(t, func(f *fleet) {
+		f.putConfig(0, "k1")
 		f.upstream("i-1", "plain", 0)
 		other := &standin.Upstream{ID: "i-9"}
-		f.serve(addressOf("i-2"), other)
+		f.serve(upstreamAddress("i-2"), other)
 		f.register("i-2", "plain", "ready")
 		f.start()
 		for range 60 {
-			require.Equal(t, 200, f.ask(alert("r")).status)
+			require.Equal(t, 200, f.send(alert("r")).status)
 		}
 		require.Empty(t, other.IDs())
-		require.LessOrEqual(t, len(other.Seen()), 1, "it is asked once")
+		require.LessOrEqual(t, len(other.Seen()), 1, "it receives one attempt")
 	})
 }
 
-// A caller leaves while its request runs. The upstream's connection is closed at once,
-// so that it stops working for nobody.
-func TestCallerLeaves(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(1_000_000, "k1")
+// Guards against upstreams that keep working on a request whose caller disconnected: the
+// upstream's connection is closed at once.
+func TestCallerDisconnects(t *testing.T) {
+	withFleet(t, func(f *fleet) {
+		f.putConfig(1_000_000, "k1")
 		u := f.upstream("i-1", "model", 100)
 		f.start()
 		ctx, cancel := context.WithTimeout(context.Background(), 95*time.Millisecond)
 		defer cancel()
-		q := chat("r1")
-		q.ctx = ctx
-		f.ask(q)
+		req := chat("r1")
+		req.ctx = ctx
+		f.send(req)
 		time.Sleep(100 * time.Millisecond)
 		require.True(t, u.Seen()[0].Left)
 	})
 }
 
-// An upstream answers nothing. The caller has its final answer when the time of its
-// route is over, and not later.
-func TestTimeOfRouteIsOver(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(0, "k1")
+// Guards against callers that wait beyond their route's timeout when an upstream does not
+// answer.
+func TestRouteTimeout(t *testing.T) {
+	withFleet(t, func(f *fleet) {
+		f.putConfig(0, "k1")
 		f.upstream("i-1", "plain", 0).SetMode(standin.Hang)
 		f.start()
-		q := alert("r1")
-		q.deadline = 5 * time.Second
-		a := f.ask(q)
-		require.Equal(t, 504, a.status)
-		require.InDelta(t, time.Second, a.took, float64(50*time.Millisecond))
+		req := alert("r1")
+		req.deadline = 5 * time.Second
+		resp := f.send(req)
+		require.Equal(t, 504, resp.status)
+		require.InDelta(t, time.Second, resp.elapsed, float64(50*time.Millisecond))
 	})
 }
 
-// A safe request at an upstream that answers nothing goes to another one while there is
-// time left.
-func TestSilentUpstreamLeavesTimeForAnother(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(0, "k1")
+// Guards against an unresponsive upstream that uses up the whole timeout of a safe request: the
+// request must go to another upstream while there is time left.
+func TestUnresponsiveUpstreamLeavesTimeForAnother(t *testing.T) {
+	withFleet(t, func(f *fleet) {
+		f.putConfig(0, "k1")
 		ups := []*standin.Upstream{f.upstream("i-1", "plain", 0), f.upstream("i-2", "plain", 0)}
 		f.start()
 		ups[0].SetMode(standin.Hang)
 		for range 3 {
-			require.Equal(t, 200, f.ask(level("r")).status)
+			require.Equal(t, 200, f.send(level("r")).status)
 		}
 	})
 }
 
-// A team with a prepaid budget sends a request to an engine and does not say how many
-// tokens it may take. Served, it would be spent from nothing.
+// Guards against unaccounted tokens: a team with a prepaid budget sends a request to an engine
+// without the number of tokens that it may use. It must be refused.
 func TestUndeclaredTokens(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(1_000_000, "k1")
+	withFleet(t, func(f *fleet) {
+		f.putConfig(1_000_000, "k1")
 		u := f.upstream("i-1", "model", 5)
 		f.start()
-		q := chat("r")
-		q.usage = ""
-		require.Equal(t, 400, f.ask(q).status)
+		req := chat("r")
+		req.usage = ""
+		require.Equal(t, 400, f.send(req).status)
 		require.Empty(t, u.Seen())
 	})
 }
 
-// A caller stops in the middle of its body. When its time is over it is told that the
-// request did not run, and not that the request was wrong.
-func TestBodyThatStops(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(0, "k1")
+// Guards against a wrong status when a caller stops sending in the middle of its body: after the
+// timeout, the response must state that the request did not run, not that it was invalid.
+func TestIncompleteBody(t *testing.T) {
+	withFleet(t, func(f *fleet) {
+		f.putConfig(0, "k1")
 		u := f.upstream("i-1", "plain", 0)
 		f.start()
 		conn, err := f.network.Dial(context.Background(), "tcp", address(1, callersPort))
@@ -300,17 +301,17 @@
 	})
 }
 
-// A first send fails after a while and the request goes to another upstream. What that gets
-// as its deadline is what is left for the caller, not the caller's whole time once more.
-func TestRepeatGetsTheTimeThatIsLeft(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(0, "k1")
+// Guards against retries beyond the caller's deadline: when a first attempt fails after a while,
+// the second upstream must get the remaining time as its deadline, not the whole time again.
+func TestRetryGetsTheRemainingTime(t *testing.T) {
+	withFleet(t, func(f *fleet) {
+		f.putConfig(0, "k1")
 		ups := []*standin.Upstream{f.upstream("i-1", "plain", 0), f.upstream("i-2", "plain", 0)}
 		f.start()
 		for _, u := range ups {
 			u.SetMode(standin.Hang)
 		}
-		f.ask(level("r"))
+		f.send(level("r"))
 		seen := append(ups[0].Seen(), ups[1].Seen()...)
 		require.Len(t, seen, 2)
 		var deadlines []int
@@ -325,51 +326,51 @@
 	})
 }
 
-// A body is larger than operators allow. The caller is told so before anything is sent, and
-// the largest body that is allowed passes whole.
-func TestOperatorsBoundBodies(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(0, "k1")
+// Guards against bodies that exceed max_body_bytes: they are refused with 413 before anything is
+// sent, and the largest allowed body passes complete.
+func TestMaxBodyBytes(t *testing.T) {
+	withFleet(t, func(f *fleet) {
+		f.putConfig(0, "k1")
 		u := f.upstream("i-1", "plain", 0)
 		f.start()
-		q := alert("r1")
-		q.body = strings.Repeat("x", 65_537)
-		require.Equal(t, 413, f.ask(q).status)
+		req := alert("r1")
+		req.body = strings.Repeat("x", 65_537)
+		require.Equal(t, 413, f.send(req).status)
 		require.Empty(t, u.Seen())
-		q.body = q.body[1:]
-		require.Equal(t, 200, f.ask(q).status)
-		require.Equal(t, q.body, u.Seen()[0].Body)
+		req.body = req.body[1:]
+		require.Equal(t, 200, f.send(req).status)
+		require.Equal(t, req.body, u.Seen()[0].Body)
 	})
 }
 
-// A caller's stream comes late although it began in time. The log tells the longest pause
-// between its events, and what this router had at the engine then.
-func TestLogTellsTheLongestPause(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(1_000_000, "k1")
+// Guards against streams whose delays cannot be explained: the log must report the longest gap
+// between the events of a stream, and this router's load on the engine at that time.
+func TestLogReportsTheLongestGap(t *testing.T) {
+	withFleet(t, func(f *fleet) {
+		f.putConfig(1_000_000, "k1")
 		f.upstream("i-1", "model", 5)
 		f.start()
-		require.Equal(t, 200, f.ask(chat("r-1")).status)
+		require.Equal(t, 200, f.send(chat("r-1")).status)
 		require.Contains(t, f.log.String(), "whole, longest pause 10 ms beside 1 requests with 0 unread tokens")
 	})
 }
 
-// A caller asks for up to 3,000 tokens of output and leaves a quarter of a second into its
-// stream. Charged for all 3,000, such callers took what their team had paid for, and others of
-// the team were refused for tokens that nobody got. Charged are the prompt, what was passed
-// on, and what the upstream may send until it learns that the connection is closed.
-func TestCallerWhoLeavesIsChargedWhatWasDelivered(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.config(1_000_000, "k1")
+// Guards against overcharging when a caller requests up to 3,000 tokens of output and disconnects
+// a quarter of a second into its stream. If all 3,000 are charged, other callers of the team are
+// refused for tokens that were never delivered. Only the prompt, the forwarded events and what the
+// upstream may send until it detects the closed connection are charged.
+func TestDisconnectedCallerIsChargedForDeliveredTokens(t *testing.T) {
+	withFleet(t, func(f *fleet) {
+		f.putConfig(1_000_000, "k1")
 		f.upstream("i-1", "model", 500)
 		f.start()
 		ctx, cancel := context.WithTimeout(context.Background(), 255*time.Millisecond)
 		defer cancel()
-		q := chat("r-1")
-		q.ctx, q.usage = ctx, "1000,3000"
-		f.ask(q)
+		req := chat("r-1")
+		req.ctx, req.usage = ctx, "1000,3000"
+		f.send(req)
 		time.Sleep(100 * time.Millisecond)
-		const prompt, delivered, onTheWay, perEvent = 1000, 26, 51, 3
+		const prompt, delivered, inFlight, perEvent = 1000, 26, 51, 3
 		used := int64(0)
 		for line := range strings.Lines(f.log.String()) {
 			if _, rest, ok := strings.Cut(line, `"used":`); ok && strings.Contains(line, `"id":"r-1"`) {
@@ -379,7 +380,7 @@
 				used = n
 			}
 		}
-		require.InDelta(t, prompt+(delivered+onTheWay)*perEvent, used, 2*perEvent)
+		require.InDelta(t, prompt+(delivered+inFlight)*perEvent, used, 2*perEvent)
 		require.GreaterOrEqual(t, used, int64(prompt+delivered*perEvent))
 	})
 }
--- a/gateway/slowconn_test.go
+++ b/gateway/slowconn_test.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// slowConn is a connection over a slow link: what arrives takes its time, and its sender does not
-// wait for that.
+// slowConn is a connection over a slow link: it delays received data by the link's rate, without
+// blocking the sender.
 type slowConn struct {
 	net.Conn
 	rate    int // bytes/s
-	pieces  chan []byte
-	arrived []byte
+	chunks  chan []byte
+	pending []byte
 	closed  chan struct{}
 	once    sync.Once
 }
 
-// mostPieces bounds what is on its way.
-const mostPieces = 1 << 12
+// maxChunks is the maximum number of chunks in flight.
+const maxChunks = 1 << 12
 
 func newSlowConn(conn net.Conn, rate int) *slowConn {
-	c := &slowConn{Conn: conn, rate: rate, pieces: make(chan []byte, mostPieces), closed: make(chan struct{})}
+	c := &slowConn{Conn: conn, rate: rate, chunks: make(chan []byte, maxChunks), closed: make(chan struct{})}
 	go func() {
-		defer close(c.pieces)
+		defer close(c.chunks)
 		for {
-			piece := make([]byte, 4<<10)
-			n, err := conn.Read(piece)
-			c.pieces <- piece[:n]
+			chunk := make([]byte, 4<<10)
+			n, err := conn.Read(chunk)
+			c.chunks <- chunk[:n]
 			if err != nil {
 				return
 			}
@@ -45,19 +45,19 @@
 
 // Read implements net.Conn.
 func (c *slowConn) Read(b []byte) (int, error) {
-	for len(c.arrived) == 0 {
-		piece, ok := <-c.pieces
+	for len(c.pending) == 0 {
+		chunk, ok := <-c.chunks
 		if !ok {
 			return 0, io.EOF
 		}
 		select {
-		case <-time.After(time.Duration(len(piece)) * time.Second / time.Duration(c.rate)):
-			c.arrived = piece
+		case <-time.After(time.Duration(len(chunk)) * time.Second / time.Duration(c.rate)):
+			c.pending = chunk
 		case <-c.closed:
 			return 0, net.ErrClosed
 		}
 	}
-	n := copy(b, c.arrived)
-	c.arrived = c.arrived[n:]
+	n := copy(b, c.pending)
+	c.pending = c.pending[n:]
 	return n, nil
 }
