--- a/router/budgets.go
+++ b/router/budgets.go
@@ -12,11 +12,11 @@
 	"github.com/arbutusmill/arbutusmill/vm"
 )
 
-// auditRounds is the number of idle times after which lent lots are asked about.
-const auditRounds = 12
+// auditIdlePeriods is the interval between audits of lent lots, in multiples of budgets.lot_idle.
+const auditIdlePeriods = 12
 
-// makeHolder makes the holder and the ways to more tokens, in their order: the
-// store, then peers, nearest first. A router that is not one of its data centre's
+// makeHolder creates the holder and the chain of sources of more tokens: the store,
+// then other routers, nearest first. A router that is not one of its data centre's
 // holders of a page asks those holders before the store.
 func (r *Router) makeHolder() {
 	b := r.base.Settings.Budgets
@@ -24,14 +24,14 @@
 	r.desk = &lending.Desk{Holder: r.holder, Links: r.base.Links, Address: r.addressOf, Timeout: linkTimeout, Now: time.Now}
 	timing := grant.DefaultTiming()
 	timing.Rebalance, timing.Report = time.Duration(b.Rebalance), time.Duration(b.Report)
-	r.pages = &grant.StoreGranter{Holder: r.holder, Store: r.base.Store, Layout: r.layout, Timing: timing,
+	r.storeGranter = &grant.StoreGranter{Holder: r.holder, Store: r.base.Store, Layout: r.layout, Timing: timing,
 		Timeout: storeTimeout, Now: time.Now}
 	peers := func(list func(string) []string) *grant.PeerGranter {
 		return &grant.PeerGranter{Holder: r.holder, Lender: lender{r}, Peers: list,
 			Timeout: time.Duration(b.PeerTimeout), Now: time.Now}
 	}
 	r.acquirer = &grant.Acquirer{Holder: r.holder, Now: time.Now, Chain: []grant.Granter{
-		peers(r.homes), r.pages, peers(r.others),
+		peers(r.primaryLenders), r.storeGranter, peers(r.otherLenders),
 	}}
 }
 
@@ -44,8 +44,7 @@
 	return p
 }
 
-// holders lists the routers of this data centre that hold grants of a page
-// themselves.
+// holders lists the routers of this data centre that hold grants of a page directly.
 func (r *Router) holders(page string) []vm.VM {
 	var here []vm.VM
 	for _, m := range r.base.View.Routers() {
@@ -53,12 +52,12 @@
 			here = append(here, m)
 		}
 	}
-	ranked := r.places.Nearest(page, here)
+	ranked := r.topology.Nearest(page, here)
 	return ranked[:min(len(ranked), r.base.Settings.Budgets.HoldersPerDatacentre)]
 }
 
-// holdsPage reports whether this router holds grants of the page itself. One that
-// is not listed yet does, so that a new fleet can start.
+// holdsPage reports whether this router holds grants of the page directly. It does while
+// no router of the data centre is listed, so that a new fleet can start.
 func (r *Router) holdsPage(page string) bool {
 	list := r.holders(page)
 	for _, m := range list {
@@ -69,8 +68,8 @@
 	return len(list) == 0
 }
 
-// homes are the holders to ask first, for a router that is none itself.
-func (r *Router) homes(budget string) []string {
+// primaryLenders returns the holders to ask first; none if this router holds the page itself.
+func (r *Router) primaryLenders(budget string) []string {
 	page := r.layout.Key(budget)
 	if r.holdsPage(page) {
 		return nil
@@ -78,18 +77,18 @@
 	return ids(r.holders(page))
 }
 
-// askedPeers bounds the peers that one request asks for tokens.
-const askedPeers = 8
+// maxOtherLenders is the maximum number of other routers that one request asks for tokens.
+const maxOtherLenders = 8
 
-// others are the nearest other routers, the homes left out.
-func (r *Router) others(budget string) []string {
+// otherLenders returns the nearest other routers, without the primary lenders.
+func (r *Router) otherLenders(budget string) []string {
 	asked := map[string]bool{r.base.Settings.VM: true}
-	for _, id := range r.homes(budget) {
+	for _, id := range r.primaryLenders(budget) {
 		asked[id] = true
 	}
 	var out []string
-	for _, m := range r.places.Nearest(budget, r.base.View.Routers()) {
-		if !asked[m.ID] && len(out) < askedPeers {
+	for _, m := range r.topology.Nearest(budget, r.base.View.Routers()) {
+		if !asked[m.ID] && len(out) < maxOtherLenders {
 			out = append(out, m.ID)
 		}
 	}
@@ -104,25 +103,26 @@
 	return out
 }
 
-// lender asks other routers for lots, and counts those that it got.
+// lender borrows lots from other routers and counts them.
 type lender struct{ r *Router }
 
 // Lend implements grant.Lender.
 func (l lender) Lend(ctx context.Context, peer, budget, id string, need, want int64) (grant.Lot, error) {
 	lot, err := l.r.desk.Lend(ctx, peer, budget, id, need, want)
 	if err == nil {
-		l.r.metrics.lots.Inc()
+		l.r.metrics.borrowedLots.Inc()
 	}
 	return lot, err
 }
 
-// addressOf returns where a router answers, by its VM or one of its incarnations.
+// addressOf returns the link address of a router, by the name of its VM or of one of its
+// incarnations.
 func (r *Router) addressOf(name string) (string, bool) {
 	m, ok := r.base.View.Get(vm.IDOf(name))
 	return m.Link, ok
 }
 
-// directHolders counts the routers of the fleet that hold grants of one page.
+// directHolders returns the number of routers of the fleet that hold grants of one page.
 func (r *Router) directHolders() int {
 	byDC := map[string]int{}
 	for _, m := range r.base.View.Routers() {
@@ -135,21 +135,21 @@
 	return n
 }
 
-// syncDue syncs the pages that want it.
-func (r *Router) syncDue(ctx context.Context) {
+// syncDuePages syncs the pages that are due.
+func (r *Router) syncDuePages(ctx context.Context) {
 	r.holder.SetExpectedHolders(r.directHolders())
 	for _, key := range r.holder.Due(time.Now()) {
 		r.syncPage(ctx, key)
 	}
 	if r.holder.Fenced() {
-		r.fencedOut()
+		r.handleFenced()
 	}
 }
 
 func (r *Router) syncPage(ctx context.Context, key string) {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(r.base.Settings.Platform.Timeout))
 	defer cancel()
-	err := r.pages.Sync(ctx, key)
+	err := r.storeGranter.Sync(ctx, key)
 	switch {
 	case err == nil:
 		r.metrics.syncs.Inc()
@@ -161,8 +161,8 @@
 	}
 }
 
-// placeTokens looks at each page, so that this router holds its share of the
-// budgets that others use before a partition needs it.
+// placeTokens syncs each page that this router holds, so that it has its share of the
+// budgets in use elsewhere before a partition starts.
 func (r *Router) placeTokens(ctx context.Context) {
 	r.holder.SetExpectedHolders(r.directHolders())
 	for page := range r.layout.Pages {
@@ -171,17 +171,17 @@
 			continue
 		}
 		r.syncPage(ctx, key)
-		_ = backoff.Sleep(ctx, backoff.Jitter(dutyInterval)) // the next page's calls see a context that ended
+		_ = backoff.Sleep(ctx, backoff.Jitter(budgetSyncInterval)) // if ctx has ended, the next sync fails
 	}
 }
 
-// returnLots gives idle lots back to their lenders.
+// returnLots returns idle lots to their lenders.
 func (r *Router) returnLots(ctx context.Context) {
 	r.desk.ReturnLots(ctx, time.Duration(r.base.Settings.Budgets.LotIdle))
 }
 
-// giveBack returns all lots and grants; it reports whether nothing is left here.
-func (r *Router) giveBack(ctx context.Context) bool {
+// returnTokens returns all lots and grants. It reports whether the holder has none left.
+func (r *Router) returnTokens(ctx context.Context) bool {
 	r.holder.ReturnAll()
 	r.returnLots(ctx)
 	for _, key := range r.holder.Pages() {
@@ -190,10 +190,10 @@
 	return r.holder.Empty()
 }
 
-// fencedOut ends this life: its tokens were, or will be, recovered by others. The
-// process ends with ErrFenced, and whoever keeps it running starts its next life.
-// Requests are refused with a true "not run" until then.
-func (r *Router) fencedOut() {
+// handleFenced ends this incarnation: other routers recover its tokens, or have done so.
+// Run returns ErrFenced, and the process supervisor starts the next incarnation. Until
+// then requests are refused as not run, which is correct.
+func (r *Router) handleFenced() {
 	r.fencedOnce.Do(func() {
 		r.log.Error().Str("incarnation", r.base.Incarnation).Msg("fenced")
 		r.base.Admin.SetReady(false)
--- a/router/dispatch.go
+++ b/router/dispatch.go
@@ -17,34 +17,35 @@
 	"github.com/arbutusmill/arbutusmill/vm"
 )
 
-// maxTries bounds the upstreams that one request is sent to. Another one is tried
-// only while nothing was passed to the caller. A second run of one request is not
-// billed twice, and what may run only once is claimed before it runs, so to the path of
-// requests all work of agents is idempotent.
-const maxTries = 3
+// maxAttempts is the maximum number of upstreams that one request is sent to. A request
+// is retried only while nothing was forwarded to the caller. A request that runs twice is
+// billed once, and a request that may run only once is claimed before it runs, so
+// serving.Dispatcher may treat all work of agents as idempotent.
+const maxAttempts = 3
 
-// agentRoute is the route of all requests that go through agents.
-var agentRoute = &catalog.Route{Kind: catalog.Safe, MaxRuns: maxTries}
+// agentRoute is the route of all requests to agents.
+var agentRoute = &catalog.Route{Kind: catalog.Safe, MaxRuns: maxAttempts}
 
-// agents is the dialect of agents for one request: it implements serving.Upstreams,
+// agentDispatch sends one request to agents. It implements serving.Upstreams,
 // serving.Budgets and serving.RetryBudget.
-type agents struct {
+type agentDispatch struct {
 	*Router
 	job *job
 	req *http.Request
-	// outcome is what the last agent that answered said of the request.
+	// outcome is the outcome reported by the last agent that responded.
 	outcome contract.Outcome
-	// last is the agent that was tried last, unsure the last one that did not say
-	// what became of the request.
-	last, unsure vm.VM
-	// served says that the last agent's word is final, whatever became of earlier runs.
-	served bool
-	byID   map[string]vm.VM
+	// last is the agent of the last attempt, unresolved the last agent that did not
+	// report the outcome of its attempt.
+	last, unresolved vm.VM
+	// conclusive reports whether the last agent's report is final, whatever the outcome of
+	// earlier attempts.
+	conclusive bool
+	byID       map[string]vm.VM
 }
 
-// dispatch sends the request to an upstream and its answer to the caller.
+// dispatch sends the request to an upstream and forwards the response to the caller.
 func (r *Router) dispatch(w http.ResponseWriter, req *http.Request, j *job) {
-	a := &agents{Router: r, job: j, req: req, byID: map[string]vm.VM{}}
+	a := &agentDispatch{Router: r, job: j, req: req, byID: map[string]vm.VM{}}
 	dispatcher := serving.Dispatcher{Upstreams: a, Budgets: a, RetryBudget: a, Now: time.Now}
 	out := serving.NewHTTPCaller(w, time.Duration(r.base.Settings.Limits.WriteTimeout), true)
 	end := dispatcher.Serve(req.Context(), &serving.Request{
@@ -53,10 +54,10 @@
 	}, out)
 	switch {
 	case end.Truncated:
-		// Guard against a cut answer that looks whole: ending the handler normally
-		// would end the body as if that were all. Aborting breaks the connection,
-		// so that the caller's client reports the cut.
-		r.metrics.cut.Inc()
+		// Guard against a truncated response that looks complete: a normal return would
+		// terminate the body properly. Aborting breaks the connection, so that the
+		// caller's client reports the truncation.
+		r.metrics.truncated.Inc()
 		r.log.Warn().Str("id", j.key).Str("agent", a.last.ID).Msg("answer_cut")
 		panic(http.ErrAbortHandler)
 	case end.Refusal != nil:
@@ -65,12 +66,12 @@
 }
 
 // Pick implements serving.Upstreams.
-func (a *agents) Pick(_ *serving.Request, attempts []serving.Attempt) (serving.Target, bool) {
+func (a *agentDispatch) Pick(_ *serving.Request, attempts []serving.Attempt) (serving.Target, bool) {
 	tried := map[string]bool{}
 	for _, at := range attempts {
 		tried[at.Upstream.ID] = true
 	}
-	if !a.job.body.again() {
+	if !a.job.body.canSend() {
 		return serving.Target{}, false
 	}
 	chosen, done, ok := a.chooser.Pick(a.base.View.Agents(a.job.service.Name), a.job.prefixKey, tried)
@@ -83,57 +84,57 @@
 	a.byID[chosen.ID] = chosen
 	return serving.Target{Incarnation: directory.Incarnation{ID: chosen.ID}, Address: chosen.Work, Event: func(time.Time) {},
 		Done: func(at serving.Attempt) serving.Attempt {
-			done(answered(at.Result))
+			done(healthyResult(at.Result))
 			return at
 		}}, true
 }
 
-// answered reports whether a result shows the upstream in working order.
-func answered(r serving.Result) bool {
+// healthyResult reports whether a result shows that the upstream works.
+func healthyResult(r serving.Result) bool {
 	return r == serving.Complete || r == serving.Declined || r == serving.Refused
 }
 
-// Limited implements serving.Upstreams. Agents name no limits.
-func (a *agents) Limited(*serving.Request, []serving.Attempt) *contract.Refusal { return nil }
+// Limited implements serving.Upstreams. Agents report no rate limits.
+func (a *agentDispatch) Limited(*serving.Request, []serving.Attempt) *contract.Refusal { return nil }
 
 // Send implements serving.Upstreams.
-func (a *agents) Send(ctx context.Context, _ *serving.Request, t serving.Target, out serving.Caller) serving.Attempt {
+func (a *agentDispatch) Send(ctx context.Context, _ *serving.Request, t serving.Target, out serving.Caller) serving.Attempt {
 	a.last = a.byID[t.Incarnation.ID]
-	a.served = false
+	a.conclusive = false
 	at := a.send(ctx, out)
 	at.Upstream = t.Incarnation
-	if !at.Result.NotRun() && !a.served {
-		a.unsure = a.last
+	if !at.Result.NotRun() && !a.conclusive {
+		a.unresolved = a.last
 	}
 	return at
 }
 
-func (a *agents) send(ctx context.Context, out serving.Caller) serving.Attempt {
+func (a *agentDispatch) send(ctx context.Context, out serving.Caller) serving.Attempt {
 	req, err := a.workRequest(ctx, a.req, a.job, a.last)
 	if err != nil {
 		return serving.Attempt{Result: serving.Refused, Refusal: contract.Refuse(contract.Internal, "%v", err)}
 	}
-	sent := &hop.Sent{}
-	resp, err := a.work.Do(req.WithContext(sent.Trace(ctx)))
+	tracker := &hop.Sent{}
+	resp, err := a.agentClient.Do(req.WithContext(tracker.Trace(ctx)))
 	switch {
-	case err != nil && !sent.Connected():
+	case err != nil && !tracker.Connected():
 		return serving.Attempt{Result: serving.Unreached, Detail: err.Error()}
 	case err != nil:
-		return lost(ctx, err, serving.Unknown)
+		return lostAttempt(ctx, err, serving.Unknown)
 	}
 	defer resp.Body.Close()
 	if load, ok := upstream.ParseLoad(resp.Header.Get(upstream.LoadHeader)); ok {
 		a.chooser.Report(a.last.ID, load)
 	}
 	if k := contract.Kind(resp.Header.Get(contract.RefusalHeader)); k != "" {
-		return a.refusedBy(k, resp.Header.Get(contract.FencedHeader))
+		return a.refusedAttempt(k, resp.Header.Get(contract.FencedHeader))
 	}
-	return a.pass(ctx, out, resp)
+	return a.forwardResponse(ctx, out, resp)
 }
 
-// lost is a request whose agent did not say what became of it: the connection may have
-// broken after the agent got it.
-func lost(ctx context.Context, err error, result serving.Result) serving.Attempt {
+// lostAttempt returns the attempt of a request whose agent did not report an outcome: the
+// connection may have broken after the agent received the request.
+func lostAttempt(ctx context.Context, err error, result serving.Result) serving.Attempt {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		result = serving.OutOfTime
@@ -143,8 +144,8 @@
 	return serving.Attempt{Result: result, Detail: err.Error()}
 }
 
-// refusedBy is a request that an agent refused, on the agent's own word.
-func (a *agents) refusedBy(k contract.Kind, fenced string) serving.Attempt {
+// refusedAttempt returns the attempt of a request that an agent refused.
+func (a *agentDispatch) refusedAttempt(k contract.Kind, fenced string) serving.Attempt {
 	switch {
 	case k == contract.Stopping:
 		a.base.View.MarkLeaving(a.last.ID)
@@ -157,32 +158,32 @@
 	at := serving.Attempt{Result: serving.Refused, Detail: string(k), Refusal: contract.Refuse(k, "refused by %s", a.last.ID)}
 	switch {
 	case k == contract.UpstreamFailed:
-		at.Result, a.served = serving.Failed, true
+		at.Result, a.conclusive = serving.Failed, true
 	case k.Answer().TryOther || k == contract.NoUpstream:
 		at.Result = serving.Declined
 	}
 	return at
 }
 
-// Reserve implements serving.Budgets. The tokens were set aside before; what is settled
-// is the agent's own outcome, or, while that is not known, nothing yet.
-func (a *agents) Reserve(context.Context, *serving.Request) (func(int64), *contract.Refusal) {
+// Reserve implements serving.Budgets. The tokens are reserved already. The returned function
+// settles them by the agent's outcome, or leaves them open while the outcome is unknown.
+func (a *agentDispatch) Reserve(context.Context, *serving.Request) (func(int64), *contract.Refusal) {
 	return func(int64) {
 		// Guard against a false "not run": an earlier upstream may have run the
 		// request although the last one refused it.
-		if a.unsure.ID != "" && !a.served {
-			a.lost.add(a.job, a.unsure)
+		if a.unresolved.ID != "" && !a.conclusive {
+			a.lost.add(a.job, a.unresolved)
 			return
 		}
 		a.settle(a.job, a.outcome)
 	}, nil
 }
 
-// Request implements serving.RetryBudget: the number of tries is the only bound here.
-func (a *agents) Request(string) {}
+// Request implements serving.RetryBudget. Retries are limited by maxAttempts only.
+func (a *agentDispatch) Request(string) {}
 
 // Allow implements serving.RetryBudget.
-func (a *agents) Allow(*serving.Request) bool { return true }
+func (a *agentDispatch) Allow(*serving.Request) bool { return true }
 
 func (r *Router) workRequest(ctx context.Context, req *http.Request, j *job, chosen vm.VM) (*http.Request, error) {
 	url := r.scheme + "://" + chosen.Work + agent.WorkPath + j.path
@@ -204,18 +205,18 @@
 	return contract.Work{
 		ID: j.id(), Team: j.team.Name, Service: j.service.Name, Spender: r.base.Incarnation,
 		Reservation: j.reservation, Watermarks: r.holder.Watermarks(j.reservation.Budget),
-		Floor: r.outbox.Floor(j.team.Name), Class: j.class, TimeoutMS: j.left().Milliseconds(),
+		Floor: r.outbox.Floor(j.team.Name), Class: j.class, TimeoutMS: j.remaining().Milliseconds(),
 		Idempotent: j.idempotent, Engine: j.engine, Price: j.service.PriceTokens,
 		OutputLimit: j.outputLimit, Generation: j.snapshot.Generation,
 	}
 }
 
-// copyBuffer is the piece in which answers are passed on.
-const copyBuffer = 16 << 10
+// copyBufferSize is the size of the buffer that forwards response bodies.
+const copyBufferSize = 16 << 10
 
-// pass sends an answer to the caller. It is whole only when the agent's trailer says
-// so: a connection that ends early can look like the end of the body.
-func (a *agents) pass(ctx context.Context, out serving.Caller, resp *http.Response) serving.Attempt {
+// forwardResponse forwards a response to the caller. The response is complete only if the
+// agent's trailer says so: a connection that ends early can look like the end of the body.
+func (a *agentDispatch) forwardResponse(ctx context.Context, out serving.Caller, resp *http.Response) serving.Attempt {
 	h := resp.Header
 	h.Del(upstream.LoadHeader)
 	h.Set(idempotencyHeader, a.job.key)
@@ -223,21 +224,21 @@
 	if err := out.Begin(resp.StatusCode, h); err != nil {
 		return serving.Attempt{Result: serving.CallerGone, Detail: err.Error()}
 	}
-	err := copyPieces(out, resp.Body)
+	err := copyBody(out, resp.Body)
 	o, ok := contract.OutcomeOf(resp.Trailer)
 	if err != nil || !ok {
-		return lost(ctx, errors.Join(err, errors.New("the answer has no end")), serving.Broken)
+		return lostAttempt(ctx, errors.Join(err, errors.New("response without a valid outcome trailer")), serving.Broken)
 	}
-	a.outcome, a.served = o, true
+	a.outcome, a.conclusive = o, true
 	if !o.Whole {
 		return serving.Attempt{Result: serving.Refused, Detail: string(o.Kind)}
 	}
 	return serving.Attempt{Result: serving.Complete}
 }
 
-// copyPieces passes the body on piece by piece.
-func copyPieces(out serving.Caller, body io.Reader) error {
-	buf := make([]byte, copyBuffer)
+// copyBody forwards the body and flushes after each read.
+func copyBody(out serving.Caller, body io.Reader) error {
+	buf := make([]byte, copyBufferSize)
 	for {
 		n, err := body.Read(buf)
 		if n > 0 {
--- a/router/dispatch_test.go
+++ b/router/dispatch_test.go
@@ -9,8 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An agent refuses a request by its own word. Refusals of that agent alone send the
-// request to another one, those of the request itself end it; a failure counts as run.
+// Guards against a wrong reaction to an agent's refusal. A refusal that concerns only that
+// agent lets the request go to another agent, a refusal of the request itself ends it, and
+// a failure counts as run.
 func TestRefusalsOfAgents(t *testing.T) {
 	for kind, want := range map[contract.Kind]serving.Result{
 		contract.Overloaded:     serving.Declined,
@@ -20,8 +21,8 @@
 		contract.KeyReused:      serving.Refused,
 		contract.InProgress:     serving.Refused,
 	} {
-		a := &agents{Router: &Router{}, last: vm.VM{ID: "engine-1"}}
-		at := a.refusedBy(kind, "")
+		a := &agentDispatch{Router: &Router{}, last: vm.VM{ID: "engine-1"}}
+		at := a.refusedAttempt(kind, "")
 		require.Equal(t, want, at.Result, kind)
 		require.Equal(t, kind, at.Refusal.Kind)
 	}
--- a/router/job.go
+++ b/router/job.go
@@ -22,20 +22,20 @@
 
 // Headers of callers.
 const (
-	// idempotencyHeader names a request across its retries.
+	// idempotencyHeader identifies a request across its retries.
 	idempotencyHeader = "Idempotency-Key"
-	// taskHeader says what a request is for; presets give it a class.
+	// taskHeader states the purpose of a request; presets map it to a class.
 	taskHeader = "X-Task"
 )
 
-// servicePrefix is the path of plain services; the service's name follows.
+// servicePrefix is the path prefix of plain services; the service's name follows.
 const servicePrefix = "/services/"
 
-// keyForm is what an idempotency key looks like; it becomes part of store keys.
-var keyForm = regexp.MustCompile(`^[A-Za-z0-9._:-]{1,128}$`)
+// keyPattern matches valid idempotency keys; they become part of store keys.
+var keyPattern = regexp.MustCompile(`^[A-Za-z0-9._:-]{1,128}$`)
 
 // job is one request of a caller. The steps of the request path fill it in order:
-// identify, understand, reserve, dispatch, settle.
+// identify, parseRequest, reserve, dispatch, settle.
 type job struct {
 	// identify
 	snapshot *fleet.Snapshot
@@ -45,14 +45,14 @@
 	// revision is a store revision from before the request began.
 	revision store.Revision
 
-	// understand
+	// parseRequest
 	service     *fleet.Service
 	path        string
-	body        *replayable
+	body        *replayableBody
 	engine      bool
 	idempotent  bool
 	prefixKey   uint64
-	worst       int64
+	maxTokens   int64
 	outputLimit int64
 	class       contract.Class
 
@@ -60,15 +60,15 @@
 	reservation grant.Reservation
 }
 
-// id is the request's identity: it is billed once, and claimed once.
+// id returns the request's identity, under which it is billed once and claimed once.
 func (j *job) id() string { return j.team.Name + "/" + j.key }
 
-// left is the time that the request still has.
-func (j *job) left() time.Duration {
+// remaining returns the time until the request's deadline.
+func (j *job) remaining() time.Duration {
 	return time.Duration(j.service.Timeout) - time.Since(j.arrived)
 }
 
-// identify finds the team and the request's name.
+// identify determines the request's team and idempotency key.
 func (r *Router) identify(req *http.Request) (*job, *contract.Refusal) {
 	j := &job{snapshot: r.current.Load(), arrived: time.Now(), revision: r.holder.Revision()}
 	if j.snapshot == nil {
@@ -79,7 +79,7 @@
 		key = rand.Text()
 	}
 	j.key = key
-	if !keyForm.MatchString(key) {
+	if !keyPattern.MatchString(key) {
 		j.key = ""
 		return j, contract.Refuse(contract.BadRequest, "%s: 1 to 128 letters, digits, . _ : -", idempotencyHeader)
 	}
@@ -93,13 +93,13 @@
 	return j, nil
 }
 
-// understand reads what the caller wants, and what it may cost at most.
-func (r *Router) understand(j *job, w http.ResponseWriter, req *http.Request) *contract.Refusal {
+// parseRequest determines the service, the body and the maximum cost of the request.
+func (r *Router) parseRequest(j *job, w http.ResponseWriter, req *http.Request) *contract.Refusal {
 	var refusal *contract.Refusal
 	if name, ok := strings.CutPrefix(req.URL.Path, servicePrefix); ok {
-		refusal = r.understandPlain(j, w, req, name)
+		refusal = r.parsePlain(j, w, req, name)
 	} else {
-		refusal = r.understandEngine(j, w, req)
+		refusal = r.parseEngine(j, w, req)
 	}
 	if refusal != nil {
 		return refusal
@@ -110,13 +110,13 @@
 	return nil
 }
 
-// use notes the service that the request is for, and the class that the preset gives it.
-func (j *job) use(sv *fleet.Service, req *http.Request) {
+// setService sets the request's service, and its class by the preset.
+func (j *job) setService(sv *fleet.Service, req *http.Request) {
 	j.service = sv
 	j.class = j.snapshot.Preset.Class(j.team.Name, sv.Name, req.Header.Get(taskHeader))
 }
 
-func (r *Router) understandEngine(j *job, w http.ResponseWriter, req *http.Request) *contract.Refusal {
+func (r *Router) parseEngine(j *job, w http.ResponseWriter, req *http.Request) *contract.Refusal {
 	raw, refusal := readAll(w, req, r.base.Settings.Limits.BodyBytes)
 	if refusal != nil {
 		return refusal
@@ -129,34 +129,34 @@
 	if !ok {
 		return contract.Refuse(contract.UnknownModel, "there is no model %q", parsed.Model)
 	}
-	j.use(sv, req)
+	j.setService(sv, req)
 	if err := parsed.Bind(sv.MaxOutputTokens, j.class); err != nil {
 		return contract.Refuse(contract.BadRequest, "%v", err)
 	}
 	j.engine, j.idempotent = true, true
 	j.path = req.URL.Path
-	j.body = whole(parsed.Body)
+	j.body = newBufferedBody(parsed.Body)
 	j.prefixKey = parsed.PrefixKey
 	j.outputLimit = parsed.OutputLimit
-	j.worst = parsed.PromptBound + parsed.OutputLimit
+	j.maxTokens = parsed.PromptBound + parsed.OutputLimit
 	return nil
 }
 
-func (r *Router) understandPlain(j *job, w http.ResponseWriter, req *http.Request, rest string) *contract.Refusal {
+func (r *Router) parsePlain(j *job, w http.ResponseWriter, req *http.Request, rest string) *contract.Refusal {
 	name, _, _ := strings.Cut(rest, "/")
 	sv, ok := j.snapshot.ByName(name)
 	if !ok || sv.Kind != fleet.KindPlain {
 		return contract.Refuse(contract.UnknownService, "there is no service %q", name)
 	}
-	j.use(sv, req)
+	j.setService(sv, req)
 	j.path = strings.TrimPrefix(req.URL.RequestURI(), servicePrefix+name)
 	if !strings.HasPrefix(j.path, "/") {
 		j.path = "/" + j.path
 	}
 	j.idempotent = slices.Contains(sv.IdempotentMethods, req.Method)
-	j.worst = sv.PriceTokens
+	j.maxTokens = sv.PriceTokens
 	limited := http.MaxBytesReader(w, req.Body, r.base.Settings.Limits.BodyBytes)
-	body, err := peek(limited)
+	body, err := bufferBody(limited)
 	if err != nil {
 		return bodyRefusal(err)
 	}
@@ -180,33 +180,33 @@
 	return contract.Refuse(contract.BadRequest, "the body could not be read: %v", err)
 }
 
-// replayable is a body that can be sent again as long as all of it was kept.
-type replayable struct {
+// replayableBody is a request body that can be sent again if all of it is buffered.
+type replayableBody struct {
 	head []byte
-	rest io.Reader // nil when head is everything
+	rest io.Reader // nil if head is the complete body
 	sent bool
 }
 
-// keptBody is the most of a body that is kept for another try; longer ones stream.
-const keptBody = 64 << 10
+// maxBufferedBody is the size in bytes from which a body is streamed and cannot be sent again.
+const maxBufferedBody = 64 << 10
 
-func whole(b []byte) *replayable { return &replayable{head: b} }
+func newBufferedBody(b []byte) *replayableBody { return &replayableBody{head: b} }
 
-func peek(r io.Reader) (*replayable, error) {
-	head, err := io.ReadAll(io.LimitReader(r, keptBody))
+func bufferBody(r io.Reader) (*replayableBody, error) {
+	head, err := io.ReadAll(io.LimitReader(r, maxBufferedBody))
 	if err != nil {
 		return nil, err
 	}
-	if len(head) < keptBody {
-		return whole(head), nil
+	if len(head) < maxBufferedBody {
+		return newBufferedBody(head), nil
 	}
-	return &replayable{head: head, rest: r}, nil
+	return &replayableBody{head: head, rest: r}, nil
 }
 
-// again reports whether the body can be sent (again).
-func (b *replayable) again() bool { return b.rest == nil || !b.sent }
+// canSend reports whether the body can be sent, for the first time or again.
+func (b *replayableBody) canSend() bool { return b.rest == nil || !b.sent }
 
-func (b *replayable) reader() io.ReadCloser {
+func (b *replayableBody) reader() io.ReadCloser {
 	b.sent = true
 	if b.rest == nil {
 		return hop.OneShot{Reader: bytes.NewReader(b.head)}
@@ -214,8 +214,8 @@
 	return hop.OneShot{Reader: io.MultiReader(bytes.NewReader(b.head), b.rest)}
 }
 
-// length is the body's size, or -1 when it is not known.
-func (b *replayable) length() int64 {
+// length returns the body's size in bytes, or -1 if it is unknown.
+func (b *replayableBody) length() int64 {
 	if b.rest != nil {
 		return -1
 	}
--- a/router/ledger.go
+++ b/router/ledger.go
@@ -10,14 +10,14 @@
 	"github.com/arbutusmill/arbutusmill/process"
 )
 
-// shards is this router's side of the ledger: it can append to any shard, and does
-// so for those that the others take it to own.
+// shards is this router's access to the ledger. It can append to any shard, and appends
+// the charges that other processes send it as the shard's owner.
 type shards struct {
 	list     []*ledger.Shard
 	batchers []*ledger.Batcher
 }
 
-// makeLedger makes the shards and the outbox.
+// makeLedger creates the shards and the outbox.
 func (r *Router) makeLedger() {
 	s := r.base.Settings.Ledger
 	layout := ledger.Layout{Prefix: process.LedgerPrefix, Shards: s.Shards}
@@ -33,24 +33,24 @@
 }
 
 // start starts the group commit of each shard.
-func (s *shards) start(d *process.Duties) {
-	for _, g := range s.batchers {
-		d.Go(g.Run)
+func (s *shards) start(tasks *process.Duties) {
+	for _, b := range s.batchers {
+		tasks.Go(b.Run)
 	}
 }
 
 func (s *shards) append(ctx context.Context, shard int, charges []ledger.Charge) (int64, error) {
 	if shard < 0 || shard >= len(s.batchers) {
-		return 0, billing.Error.New("there is no shard %d", shard)
+		return 0, billing.Error.New("ledger shard %d does not exist", shard)
 	}
 	return s.batchers[shard].Append(ctx, charges)
 }
 
-// waiting counts the appends that wait for a flush in all shards.
+// waiting returns the number of appends that wait for a flush, in all shards.
 func (s *shards) waiting() int {
 	total := 0
-	for _, g := range s.batchers {
-		n, _ := g.Waiting()
+	for _, b := range s.batchers {
+		n, _ := b.Waiting()
 		total += n
 	}
 	return total
@@ -64,7 +64,7 @@
 	return out
 }
 
-// appendCharges answers another process's charges.
+// appendCharges appends charges sent by another process.
 func (r *Router) appendCharges(ctx context.Context, in link.AppendRequest) (link.AppendReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
--- a/router/lost.go
+++ b/router/lost.go
@@ -9,8 +9,9 @@
 	"github.com/arbutusmill/arbutusmill/vm"
 )
 
-// lostRequests holds the requests whose outcome only their agent knows: the connection
-// broke, or the caller went away. Their reservations stay open until it is known.
+// lostRequests holds the requests whose outcome this router did not receive: the connection
+// to the agent broke, or the caller disconnected. Their reservations stay open until the
+// agent reports the outcome.
 type lostRequests struct {
 	mu   sync.Mutex
 	jobs map[string]lostJob
@@ -52,40 +53,39 @@
 	return len(l.jobs)
 }
 
-// resolveLost asks the agents what became of lost requests. An agent that does not
-// answer is asked once a round, or a silent one would hold up all the others.
+// resolveLost queries the agents for the outcomes of lost requests. An agent that does not
+// reply is queried only once per round; otherwise its timeouts would delay all the others.
 func (r *Router) resolveLost(ctx context.Context) {
-	silent := map[string]bool{}
+	unresponsive := map[string]bool{}
 	for key, lost := range r.lost.list() {
-		if silent[lost.agent.ID] {
+		if unresponsive[lost.agent.ID] {
 			continue
 		}
-		done, answered := r.resolve(ctx, lost)
-		silent[lost.agent.ID] = !answered
+		done, replied := r.resolve(ctx, lost)
+		unresponsive[lost.agent.ID] = !replied
 		if done {
 			r.lost.remove(key)
 		}
 	}
 }
 
-// resolve settles one lost request if its outcome can be known. An agent that says
-// that it does not know the request never began it and never will, unless it is a new life of that
-// agent: then the work of the old one is gone with it. What the old life had served
-// is not known; its own charge may be in the ledger. The whole reservation counts
-// as used then, so that no token can be spent twice, and the caller is not billed by
-// this router.
-func (r *Router) resolve(ctx context.Context, lost lostJob) (done, answered bool) {
+// resolve settles one lost request if its outcome can be determined. If the agent has no
+// record of the request, it never began it and never will, unless the agent has restarted:
+// then the previous incarnation's record is lost. What that incarnation served is unknown,
+// and its charge may be in the ledger. The whole reservation then counts as used, so that
+// no token is spent twice, and this router does not bill the caller.
+func (r *Router) resolve(ctx context.Context, lost lostJob) (done, replied bool) {
 	ctx, cancel := context.WithTimeout(ctx, linkTimeout)
 	defer cancel()
 	var out link.OutcomeReply
 	err := r.base.Links.Call(ctx, lost.agent.Link, link.MethodOutcome, link.OutcomeRequest{Reservation: lost.job.reservation}, &out)
 	if err != nil {
-		return r.abandon(ctx, lost), false
+		return r.strandIfGone(ctx, lost), false
 	}
 	if out.Running {
 		return false, true
 	}
-	if !out.Known && r.lostSince(ctx, lost) {
+	if !out.Known && r.agentStateLost(ctx, lost) {
 		r.strand(lost)
 		return true, true
 	}
@@ -93,13 +93,14 @@
 	return true, true
 }
 
-// lostSince reports whether the agent had another life since the request began.
-func (r *Router) lostSince(ctx context.Context, lost lostJob) bool {
-	lives, err := r.base.Lives.All(ctx)
+// agentStateLost reports whether an incarnation of the agent may have ended, and lost its
+// state, since the request began.
+func (r *Router) agentStateLost(ctx context.Context, lost lostJob) bool {
+	incarnations, err := r.base.Lives.All(ctx)
 	if err != nil {
 		return true
 	}
-	for _, e := range lives {
+	for _, e := range incarnations {
 		if e.VM == lost.agent.ID {
 			return e.LostSince(lost.job.revision)
 		}
@@ -107,16 +108,16 @@
 	return false
 }
 
-// abandon gives up on an agent whose VM is gone for good.
-func (r *Router) abandon(ctx context.Context, lost lostJob) bool {
+// strandIfGone strands the request if its agent's VM is gone permanently.
+func (r *Router) strandIfGone(ctx context.Context, lost lostJob) bool {
 	if _, listed := r.base.View.Get(lost.agent.ID); listed {
 		return false
 	}
-	lives, err := r.base.Lives.All(ctx)
+	incarnations, err := r.base.Lives.All(ctx)
 	if err != nil {
 		return false
 	}
-	for _, e := range lives {
+	for _, e := range incarnations {
 		if e.VM == lost.agent.ID && e.Gone {
 			r.strand(lost)
 			return true
@@ -125,7 +126,7 @@
 	return false
 }
 
-// strand counts the whole reservation as used, without a bill.
+// strand counts the whole reservation as used, without billing it.
 func (r *Router) strand(lost lostJob) {
 	n := lost.job.reservation.Tokens()
 	r.holder.Settle(lost.job.arrived, lost.job.reservation, n)
--- a/router/methods.go
+++ b/router/methods.go
@@ -10,7 +10,7 @@
 	"github.com/arbutusmill/arbutusmill/link"
 )
 
-// methods answers the control messages of other processes.
+// methods returns the handlers for control messages of other processes.
 func (r *Router) methods() map[string]link.Handler {
 	m := r.desk.Methods()
 	m[link.MethodWatermarks] = link.Handle(r.watermarks)
@@ -20,7 +20,7 @@
 	return m
 }
 
-// settleLot settles a lot of a dead borrower by the evidence that its recovery found.
+// settleLot settles a lot of a dead borrower by the evidence that recovery collected.
 func (r *Router) settleLot(_ context.Context, in grant.LotReturn) (link.Empty, error) {
 	if in.Lender == r.holder.ID() {
 		r.holder.TakeBack(time.Now(), in)
@@ -37,8 +37,9 @@
 	return recovery.PeerEvidence{Lots: r.holder.LentTo(in.Holder)}, nil
 }
 
-// watermarks tells an agent which evidence it may forget: of this life from memory,
-// of others from the pages. A row that is gone needs no evidence.
+// watermarks returns the watermarks up to which an agent may discard evidence: for this
+// incarnation from memory, for other holders from the pages. A row that no longer exists
+// needs no evidence.
 func (r *Router) watermarks(ctx context.Context, in link.WatermarkRequest) (link.WatermarkReply, error) {
 	out := link.WatermarkReply{Through: map[string]int64{}}
 	if in.Holder == r.holder.ID() {
@@ -62,7 +63,7 @@
 	return out, nil
 }
 
-// reportNow writes what is unreported, for an agent that is leaving.
+// reportNow writes the unreported totals, for an agent that is shutting down.
 func (r *Router) reportNow(ctx context.Context, in link.WatermarkRequest) {
 	if !in.Urgent {
 		return
--- a/router/metrics.go
+++ b/router/metrics.go
@@ -9,16 +9,16 @@
 
 // routerMetrics are the counters of one router.
 type routerMetrics struct {
-	set        *metrics.Set
-	tokens     *metrics.Counter
-	retries    *metrics.Counter
-	cut        *metrics.Counter
-	lots       *metrics.Counter
-	syncs      *metrics.Counter
-	syncErrors *metrics.Counter
-	stranded   *metrics.Counter
-	recovered  *metrics.Counter
-	forfeited  *metrics.Counter
+	set          *metrics.Set
+	tokens       *metrics.Counter
+	retries      *metrics.Counter
+	truncated    *metrics.Counter
+	borrowedLots *metrics.Counter
+	syncs        *metrics.Counter
+	syncErrors   *metrics.Counter
+	stranded     *metrics.Counter
+	recovered    *metrics.Counter
+	forfeited    *metrics.Counter
 }
 
 func newMetrics(r *Router) *routerMetrics {
@@ -30,13 +30,13 @@
 	})
 	set.NewGauge("arbutusmill_router_lost_requests", func() float64 { return float64(r.lost.size()) })
 	set.NewGauge("arbutusmill_router_waiting_charges", func() float64 {
-		if !r.begun.Load() {
+		if !r.initialized.Load() {
 			return 0
 		}
 		return float64(r.outbox.Waiting())
 	})
 	set.NewGauge("arbutusmill_router_ledger_queue_appends", func() float64 {
-		if !r.begun.Load() {
+		if !r.initialized.Load() {
 			return 0
 		}
 		return float64(r.shards.waiting())
@@ -48,16 +48,16 @@
 		return 0
 	})
 	return &routerMetrics{
-		set:        set,
-		tokens:     set.NewCounter("arbutusmill_router_billed_tokens_total"),
-		retries:    set.NewCounter("arbutusmill_router_retries_total"),
-		cut:        set.NewCounter("arbutusmill_router_cut_answers_total"),
-		lots:       set.NewCounter("arbutusmill_router_borrowed_lots_total"),
-		syncs:      set.NewCounter("arbutusmill_router_page_syncs_total"),
-		syncErrors: set.NewCounter("arbutusmill_router_page_sync_errors_total"),
-		stranded:   set.NewCounter("arbutusmill_router_stranded_tokens_total"),
-		recovered:  set.NewCounter("arbutusmill_router_recovered_tokens_total"),
-		forfeited:  set.NewCounter("arbutusmill_router_forfeited_tokens_total"),
+		set:          set,
+		tokens:       set.NewCounter("arbutusmill_router_billed_tokens_total"),
+		retries:      set.NewCounter("arbutusmill_router_retries_total"),
+		truncated:    set.NewCounter("arbutusmill_router_cut_answers_total"),
+		borrowedLots: set.NewCounter("arbutusmill_router_borrowed_lots_total"),
+		syncs:        set.NewCounter("arbutusmill_router_page_syncs_total"),
+		syncErrors:   set.NewCounter("arbutusmill_router_page_sync_errors_total"),
+		stranded:     set.NewCounter("arbutusmill_router_stranded_tokens_total"),
+		recovered:    set.NewCounter("arbutusmill_router_recovered_tokens_total"),
+		forfeited:    set.NewCounter("arbutusmill_router_forfeited_tokens_total"),
 	}
 }
 
--- a/router/recover.go
+++ b/router/recover.go
@@ -14,75 +14,75 @@
 	"github.com/arbutusmill/arbutusmill/vm"
 )
 
-// watch is what this router suspects about other holders.
-type watch struct {
+// suspectTracker records the holders and agents that this router suspects to be dead.
+type suspectTracker struct {
 	mu sync.Mutex
-	// since is when a holder was first found missing.
-	since map[string]time.Time
-	why   map[string]string
+	// since is the time at which each was first suspected.
+	since  map[string]time.Time
+	reason map[string]string
 }
 
-func (w *watch) state() map[string]string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (s *suspectTracker) state() map[string]string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	out := map[string]string{}
-	for h, t := range w.since {
-		out[h] = t.Format(time.RFC3339) + " " + w.why[h]
+	for h, t := range s.since {
+		out[h] = t.Format(time.RFC3339) + " " + s.reason[h]
 	}
 	return out
 }
 
-// note returns how long the holder has been suspected.
-func (w *watch) note(holder, why string) time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.since == nil {
-		w.since, w.why = map[string]time.Time{}, map[string]string{}
+// record records the reason for suspecting a holder and returns how long it has been
+// suspected.
+func (s *suspectTracker) record(holder, reason string) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.since == nil {
+		s.since, s.reason = map[string]time.Time{}, map[string]string{}
 	}
-	if _, ok := w.since[holder]; !ok {
-		w.since[holder] = time.Now()
+	if _, ok := s.since[holder]; !ok {
+		s.since[holder] = time.Now()
 	}
-	w.why[holder] = why
-	return time.Since(w.since[holder])
+	s.reason[holder] = reason
+	return time.Since(s.since[holder])
 }
 
-func (w *watch) clear(holder string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.since, holder)
-	delete(w.why, holder)
+func (s *suspectTracker) clear(holder string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.since, holder)
+	delete(s.reason, holder)
 }
 
-// recoverDead recovers the holders that are dead and that this router, by
-// rendezvous, is to look after. Two routers that both think so do the same work
-// twice, with the same result.
+// recoverDead recovers the dead holders that are assigned to this router by rendezvous
+// hashing. If two routers recover the same holder, the result is the same.
 func (r *Router) recoverDead(ctx context.Context) {
 	others := r.holder.OtherHolders()
-	newest := newestLives(others)
+	newest := newestIncarnations(others)
 	for _, holder := range others {
-		why := r.deadBecause(holder, newest)
-		if why == "" {
-			r.watch.clear(holder)
+		reason := r.deadReason(holder, newest)
+		if reason == "" {
+			r.suspects.clear(holder)
 			continue
 		}
-		age := r.watch.note(holder, why)
-		gone := why == whyAbsent
+		age := r.suspects.record(holder, reason)
+		gone := reason == reasonAbsent
 		if gone && age < time.Duration(r.base.Settings.Platform.ListLag) {
 			continue
 		}
-		if r.looksAfter(holder) {
-			r.recoverOne(ctx, holder, gone, age)
+		if r.isRecoverer(holder) {
+			r.recoverHolder(ctx, holder, gone, age)
 		}
 	}
 }
 
-// Reasons to think a holder dead.
+// Reasons for presuming a holder dead.
 const (
-	whyAbsent  = "absent_from_list"
-	whyNewLife = "has_a_newer_life"
+	reasonAbsent         = "absent_from_list"
+	reasonNewIncarnation = "has_a_newer_life"
 )
 
-func newestLives(holders []string) map[string]int64 {
+func newestIncarnations(holders []string) map[string]int64 {
 	out := map[string]int64{}
 	for _, h := range holders {
 		if id, n, err := incarnation.Parse(h); err == nil {
@@ -92,24 +92,24 @@
 	return out
 }
 
-// deadBecause says why a holder is taken for dead, or nothing. Silence is no
-// reason: a partition looks the same.
-func (r *Router) deadBecause(holder string, newest map[string]int64) string {
+// deadReason returns the reason why a holder is presumed dead, or "". A missing reply is
+// no reason: a partition has the same effect.
+func (r *Router) deadReason(holder string, newest map[string]int64) string {
 	id, n, err := incarnation.Parse(holder)
 	if err != nil {
 		return ""
 	}
 	own, count, _ := incarnation.Parse(r.holder.ID())
 	if n < newest[id] || (id == own && n < count) {
-		return whyNewLife
+		return reasonNewIncarnation
 	}
 	if _, listed := r.base.View.Get(id); !listed {
-		return whyAbsent
+		return reasonAbsent
 	}
 	return ""
 }
 
-func (r *Router) looksAfter(holder string) bool {
+func (r *Router) isRecoverer(holder string) bool {
 	var names []string
 	for _, m := range r.base.View.Routers() {
 		if m.ID != vm.IDOf(holder) || m.ID == r.base.Settings.VM {
@@ -119,7 +119,7 @@
 	return rendezvous.Pick("recovery/"+holder, names) == r.base.Settings.VM
 }
 
-func (r *Router) recoverOne(ctx context.Context, holder string, gone bool, age time.Duration) {
+func (r *Router) recoverHolder(ctx context.Context, holder string, gone bool, age time.Duration) {
 	if gone {
 		if err := r.base.Lives.MarkGone(ctx, vm.IDOf(holder)); err != nil {
 			return
@@ -131,42 +131,42 @@
 	res, err := rec.Recover(ctx, holder, forfeit)
 	if err != nil {
 		if errors.Is(err, recovery.ErrIncomplete) {
-			r.watch.note(holder, err.Error())
+			r.suspects.record(holder, err.Error())
 			r.markGoneAgents(ctx)
 		}
 		r.log.Warn().Str("holder", holder).Err(err).Msg("recovery_waits")
 		return
 	}
 	r.holder.ForgetRecovered(holder)
-	r.watch.clear(holder)
+	r.suspects.clear(holder)
 	r.metrics.recovered.Add(int(res.Returned))
 	r.metrics.forfeited.Add(int(res.Forfeited))
 	r.log.Warn().Str("holder", holder).Int64("returned", res.Returned).Int64("used", res.Used).
 		Int64("forfeited", res.Forfeited).Msg("recovered")
 }
 
-// markGoneAgents records agents whose VMs have been absent from the list for longer
-// than its lag, so that recovery does not wait for them for ever.
+// markGoneAgents marks agents as gone whose VMs have been absent from the list for longer
+// than platform.list_lag, so that recovery does not wait for them forever.
 func (r *Router) markGoneAgents(ctx context.Context) {
-	lives, err := r.base.Lives.All(ctx)
+	incarnations, err := r.base.Lives.All(ctx)
 	if err != nil {
 		return
 	}
-	for _, e := range lives {
+	for _, e := range incarnations {
 		if e.Role != recovery.AgentRole || e.Clean || e.Gone {
 			continue
 		}
 		if _, listed := r.base.View.Get(e.VM); listed {
-			r.watch.clear(e.VM)
+			r.suspects.clear(e.VM)
 			continue
 		}
-		if r.watch.note(e.VM, whyAbsent) > time.Duration(r.base.Settings.Platform.ListLag) {
-			_ = r.base.Lives.MarkGone(ctx, e.VM) // tried again with the next recovery
+		if r.suspects.record(e.VM, reasonAbsent) > time.Duration(r.base.Settings.Platform.ListLag) {
+			_ = r.base.Lives.MarkGone(ctx, e.VM) // retried with the next recovery
 		}
 	}
 }
 
-// recoveryFleet is the other processes as recovery sees them.
+// recoveryFleet gives recovery access to the other processes.
 type recoveryFleet struct {
 	r      *Router
 	holder string
@@ -175,8 +175,8 @@
 // Agents implements recovery.Fleet.
 func (f recoveryFleet) Agents() []string { return ids(f.r.base.View.AllAgents()) }
 
-// Peers implements recovery.Fleet. The dead holder's VM is among them when it has a
-// new life.
+// Peers implements recovery.Fleet. The list includes the dead holder's VM if it has a
+// new incarnation.
 func (f recoveryFleet) Peers() []string { return ids(f.r.base.View.Routers()) }
 
 // FenceAgent implements recovery.Fleet.
--- a/router/router.go
+++ b/router/router.go
@@ -1,6 +1,6 @@
-// Package router is the process on an entry VM. It knows the callers, sets the
-// worst case of each request aside from its team's budget, chooses an upstream,
-// passes the answer on, and settles what it cost.
+// Package router is the process on an entry VM. It authenticates callers, reserves the
+// maximum cost of each request from its team's budget, chooses an upstream, forwards the
+// response, and settles the actual cost.
 package router
 
 import (
@@ -30,27 +30,27 @@
 
 // Router is one router process.
 type Router struct {
-	base    *process.Base
-	log     zerolog.Logger
-	current *fleet.Current
-	places  datacentre.Map
-	layout  account.Layout
+	base     *process.Base
+	log      zerolog.Logger
+	current  *fleet.Current
+	topology datacentre.Map
+	layout   account.Layout
 
-	holder   *grant.Holder
-	desk     *lending.Desk
-	pages    *grant.StoreGranter
-	acquirer *grant.Acquirer
-	outbox   *ledger.Outbox
-	shards   *shards
-	chooser  *upstream.Chooser
-	lost     lostRequests
-	watch    watch
-	metrics  *routerMetrics
-	work     *http.Client
-	scheme   string
-	// begun says that this life has its incarnation, holder and ledger.
-	begun atomic.Bool
-	// fenced is closed when this life may spend nothing more.
+	holder       *grant.Holder
+	desk         *lending.Desk
+	storeGranter *grant.StoreGranter
+	acquirer     *grant.Acquirer
+	outbox       *ledger.Outbox
+	shards       *shards
+	chooser      *upstream.Chooser
+	lost         lostRequests
+	suspects     suspectTracker
+	metrics      *routerMetrics
+	agentClient  *http.Client
+	scheme       string
+	// initialized is set once the incarnation, holder and ledger exist.
+	initialized atomic.Bool
+	// fenced is closed when this incarnation may not spend any more tokens.
 	fenced     chan struct{}
 	fencedOnce sync.Once
 
@@ -62,22 +62,21 @@
 
 // Bounds of a router's calls.
 const (
-	// sendTimeout bounds one send of charges, the group commit included.
+	// sendTimeout bounds sending one batch of charges, including the group commit.
 	sendTimeout = 5 * time.Second
 	// linkTimeout bounds a control message.
 	linkTimeout = 2 * time.Second
-	// headerTimeout bounds the wait for a request's headers.
+	// headerTimeout bounds reading a request's headers.
 	headerTimeout = 10 * time.Second
-	// idleConns bounds the kept connections to one agent.
-	idleConns = 64
-	// dutyInterval is the pause between two rounds of the budget duties.
-	dutyInterval = 200 * time.Millisecond
-	// lostInterval is the pause between two rounds of questions about lost
-	// requests.
-	lostInterval = time.Second
+	// maxIdleConnsPerAgent is the maximum number of idle connections to one agent.
+	maxIdleConnsPerAgent = 64
+	// budgetSyncInterval is the pause between two rounds of syncing due pages.
+	budgetSyncInterval = 200 * time.Millisecond
+	// resolveInterval is the pause between two rounds of resolving lost requests.
+	resolveInterval = time.Second
 )
 
-// New makes a router; it makes no call.
+// New creates a router without making network calls.
 func New(s *settings.Settings, log io.Writer, open process.Opener) (*Router, error) {
 	base, err := process.New(s, log, open)
 	if err != nil {
@@ -85,9 +84,9 @@
 	}
 	r := &Router{
 		base: base, log: base.Log, current: &fleet.Current{}, chooser: upstream.NewChooser(),
-		places: datacentre.Map{Here: s.Datacentre, Regions: s.Regions},
-		layout: account.Layout{Prefix: process.PagePrefix, Pages: s.Budgets.Pages},
-		work:   workClient(base.Security), scheme: "http", idle: make(chan struct{}), fenced: make(chan struct{}),
+		topology:    datacentre.Map{Here: s.Datacentre, Regions: s.Regions},
+		layout:      account.Layout{Prefix: process.PagePrefix, Pages: s.Budgets.Pages},
+		agentClient: newAgentClient(base.Security), scheme: "http", idle: make(chan struct{}), fenced: make(chan struct{}),
 	}
 	if base.Security.Client != nil {
 		r.scheme = "https"
@@ -96,14 +95,15 @@
 	return r, nil
 }
 
-func workClient(sec link.Security) *http.Client {
+func newAgentClient(sec link.Security) *http.Client {
 	return &http.Client{Transport: &http.Transport{
-		TLSClientConfig: sec.Client, MaxIdleConnsPerHost: idleConns, DisableCompression: true,
+		TLSClientConfig: sec.Client, MaxIdleConnsPerHost: maxIdleConnsPerAgent, DisableCompression: true,
 	}}
 }
 
-// Run serves until stop is done, then stops in order: not ready for the balancer,
-// no new work, streams finish, charges are flushed, grants go back.
+// Run serves until stop is done, then shuts down in order: it reports not ready to the
+// load balancer, refuses new requests, waits for running ones, flushes charges and returns
+// grants.
 func (r *Router) Run(stop context.Context) error {
 	secure, err := callersTLS(r.base.Settings.Security.Callers)
 	if err != nil {
@@ -115,28 +115,28 @@
 	}
 	ctx, cancel := context.WithCancel(context.WithoutCancel(stop))
 	defer cancel()
-	duties := process.NewDuties(ctx)
+	tasks := process.NewDuties(ctx)
 	r.metrics = newMetrics(r)
 	r.base.Admin.Metrics = r.metrics.set
-	duties.Serve(&http.Server{Handler: r.base.Admin.Handler(), ReadHeaderTimeout: headerTimeout}, l.admin, nil)
-	if err := r.begin(stop); err != nil {
+	tasks.Serve(&http.Server{Handler: r.base.Admin.Handler(), ReadHeaderTimeout: headerTimeout}, l.admin, nil)
+	if err := r.initialize(stop); err != nil {
 		cancel()
-		duties.Wait()
+		tasks.Wait()
 		return err
 	}
-	callers := r.start(duties, l, secure)
+	callers := r.start(tasks, l, secure)
 	err = r.serveUntil(stop)
 	r.stop(ctx)
 	process.Finish(callers)
 	cancel()
 	r.base.Links.Close()
-	duties.Wait()
+	tasks.Wait()
 	return err
 }
 
-// serveUntil takes requests until the stop, or until this life is fenced.
+// serveUntil accepts requests until stop is done or this incarnation is fenced.
 func (r *Router) serveUntil(stop context.Context) error {
-	if err := r.prime(stop); err != nil {
+	if err := r.loadFloors(stop); err != nil {
 		return err
 	}
 	r.base.Admin.SetReady(true)
@@ -148,8 +148,8 @@
 	}
 }
 
-// prime learns the ledger's positions before the first request.
-func (r *Router) prime(ctx context.Context) error {
+// loadFloors loads the ledger's positions before the first request.
+func (r *Router) loadFloors(ctx context.Context) error {
 	pause := backoff.New(50*time.Millisecond, 2*time.Second)
 	for {
 		err := r.outbox.LoadFloors(ctx)
@@ -188,14 +188,15 @@
 	return &tls.Config{Certificates: []tls.Certificate{cert}, MinVersion: tls.VersionTLS12}, nil
 }
 
-// begin takes the incarnation, the list of VMs and the first configuration.
-func (r *Router) begin(ctx context.Context) error {
+// initialize starts the incarnation, creates the holder and the ledger, and reads the list
+// of VMs.
+func (r *Router) initialize(ctx context.Context) error {
 	if err := r.base.Begin(ctx); err != nil {
 		return err
 	}
 	r.makeHolder()
 	r.makeLedger()
-	r.begun.Store(true)
+	r.initialized.Store(true)
 	pause := backoff.New(100*time.Millisecond, 2*time.Second)
 	for {
 		err := r.base.View.Refresh(ctx, r.base.Lister, time.Duration(r.base.Settings.Platform.Timeout))
@@ -209,30 +210,31 @@
 	}
 }
 
-// start starts a goroutine for each duty, and returns the server for callers.
-func (r *Router) start(d *process.Duties, l listeners, secure *tls.Config) *http.Server {
+// start starts the background tasks and returns the server for callers.
+func (r *Router) start(tasks *process.Duties, l listeners, secure *tls.Config) *http.Server {
 	b := r.base.Settings.Budgets
-	d.Go(r.base.Follow)
-	d.Go(func(ctx context.Context) { r.base.FollowConfig(ctx, r.current) })
-	d.Go(r.outbox.Run)
-	r.shards.start(d)
-	d.Every(dutyInterval, r.syncDue)
-	d.Every(min(time.Second, time.Duration(b.LotIdle)/2), r.returnLots)
-	d.Every(time.Duration(b.LotIdle)*auditRounds, r.desk.AuditLots)
-	d.Every(lostInterval, r.resolveLost)
-	d.Every(time.Duration(b.RecoverInterval), r.recoverDead)
-	d.Go(r.placeTokens)
-	d.Every(time.Duration(b.Place), r.placeTokens)
+	tasks.Go(r.base.Follow)
+	tasks.Go(func(ctx context.Context) { r.base.FollowConfig(ctx, r.current) })
+	tasks.Go(r.outbox.Run)
+	r.shards.start(tasks)
+	tasks.Every(budgetSyncInterval, r.syncDuePages)
+	tasks.Every(min(time.Second, time.Duration(b.LotIdle)/2), r.returnLots)
+	tasks.Every(time.Duration(b.LotIdle)*auditIdlePeriods, r.desk.AuditLots)
+	tasks.Every(resolveInterval, r.resolveLost)
+	tasks.Every(time.Duration(b.RecoverInterval), r.recoverDead)
+	tasks.Go(r.placeTokens)
+	tasks.Every(time.Duration(b.Place), r.placeTokens)
 	server := &link.Server{Log: r.base.Log.Printf, Security: r.base.Security, Methods: r.methods()}
-	d.Go(func(ctx context.Context) { server.Serve(ctx, l.link) })
+	tasks.Go(func(ctx context.Context) { server.Serve(ctx, l.link) })
 	callers := &http.Server{Handler: r.Handler(), ReadHeaderTimeout: headerTimeout,
 		MaxHeaderBytes: r.base.Settings.Limits.HeaderBytes}
-	d.Serve(callers, l.callers, secure)
+	tasks.Serve(callers, l.callers, secure)
 	return callers
 }
 
-// enter counts a request in.
-func (r *Router) enter() *contract.Refusal {
+// beginRequest counts a request as active. It refuses the request if the router is full or
+// shutting down.
+func (r *Router) beginRequest() *contract.Refusal {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.leaving {
@@ -245,7 +247,7 @@
 	return nil
 }
 
-func (r *Router) leave() {
+func (r *Router) endRequest() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.active--
@@ -254,13 +256,13 @@
 	}
 }
 
-// stop is a planned stop.
+// stop performs a planned shutdown.
 func (r *Router) stop(ctx context.Context) {
 	s := r.base.Settings
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(s.StopTimeout))
 	defer cancel()
 	r.base.Admin.SetReady(false)
-	_ = backoff.Sleep(ctx, time.Duration(s.StopNotice)) // a shorter notice when the time to stop ends
+	_ = backoff.Sleep(ctx, time.Duration(s.StopNotice)) // shorter if stop_timeout expires first
 	r.mu.Lock()
 	r.leaving = true
 	if r.active == 0 {
@@ -272,25 +274,25 @@
 	case <-ctx.Done():
 	}
 	pause := backoff.New(50*time.Millisecond, time.Second)
-	for ctx.Err() == nil && !r.holder.Fenced() && !r.handedOver(ctx) {
+	for ctx.Err() == nil && !r.holder.Fenced() && !r.handOver(ctx) {
 		_ = pause.Wait(ctx)
 	}
 	r.log.Info().Int("charges_left", r.outbox.Waiting()).Int("lost_requests_left", r.lost.size()).Msg("stopped")
 }
 
-// handedOver flushes charges, resolves lost requests and gives grants back; it
-// reports whether nothing is left. A life that left nothing ends clean.
-func (r *Router) handedOver(ctx context.Context) bool {
+// handOver resolves lost requests, flushes charges and returns grants. It reports whether
+// nothing is left; the incarnation is then marked clean.
+func (r *Router) handOver(ctx context.Context) bool {
 	r.resolveLost(ctx)
 	_ = r.outbox.Flush(ctx)
-	clean := r.giveBack(ctx)
+	clean := r.returnTokens(ctx)
 	if !clean || r.outbox.Waiting() > 0 || r.lost.size() > 0 {
 		return false
 	}
 	return r.base.Lives.MarkClean(ctx, r.base.Incarnation) == nil
 }
 
-// State is a router as dumps show it.
+// State is a summary of a router for debug dumps.
 type State struct {
 	Incarnation string              `json:"incarnation"`
 	Ready       bool                `json:"ready"`
@@ -315,11 +317,11 @@
 	r.mu.Unlock()
 	s := State{Ready: r.base.Admin.Ready(), Leaving: leaving, Active: active,
 		Upstreams: r.chooser.States(), VMs: r.base.View.State(), Links: r.base.Links.Peers(),
-		Lost: r.lost.size(), Suspects: r.watch.state()}
+		Lost: r.lost.size(), Suspects: r.suspects.state()}
 	if snap := r.current.Load(); snap != nil {
 		s.Generation, s.Preset = snap.Generation, snap.Document.Preset
 	}
-	if r.begun.Load() {
+	if r.initialized.Load() {
 		s.Incarnation = r.base.Incarnation
 		s.Budgets, s.Fenced = r.holder.State(time.Now()), r.holder.Fenced()
 		s.Charges, s.Shards = r.outbox.Waiting(), r.shards.state()
--- a/router/serve.go
+++ b/router/serve.go
@@ -13,7 +13,7 @@
 	"github.com/arbutusmill/arbutusmill/openai"
 )
 
-// Handler is the HTTP interface for callers.
+// Handler returns the HTTP handler for callers.
 func (r *Router) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+openai.ChatPath, r.serve)
@@ -27,17 +27,17 @@
 	return mux
 }
 
-// serve is the path of a request: each step either goes on or refuses at once.
+// serve handles one request: each step either continues or refuses immediately.
 func (r *Router) serve(w http.ResponseWriter, req *http.Request) {
-	if refusal := r.enter(); refusal != nil {
+	if refusal := r.beginRequest(); refusal != nil {
 		r.refuse(w, &job{}, refusal)
 		return
 	}
-	defer r.leave()
+	defer r.endRequest()
 	j, refusal := r.identify(req)
 	if refusal == nil {
 		w.Header().Set(idempotencyHeader, j.key)
-		refusal = r.understand(j, w, req)
+		refusal = r.parseRequest(j, w, req)
 	}
 	if refusal == nil {
 		refusal = r.reserve(req.Context(), j)
@@ -49,7 +49,7 @@
 	r.dispatch(w, req, j)
 }
 
-// refuse answers at once, with the time after which a retry may help.
+// refuse logs a refusal and writes it, with a Retry-After header where a retry may help.
 func (r *Router) refuse(w http.ResponseWriter, j *job, refusal *contract.Refusal) {
 	id := j.key
 	w.Header().Set(contract.RequestIDHeader, id)
@@ -63,19 +63,19 @@
 	refusal.Write(w, id)
 }
 
-// reserve sets the worst case aside, with the room for its charge.
+// reserve reserves the maximum cost of the request and a place in the outbox for its charge.
 func (r *Router) reserve(ctx context.Context, j *job) *contract.Refusal {
 	if err := r.outbox.Admit(); err != nil {
 		return contract.Refuse(contract.ChargeBacklog, "%v", err)
 	}
 	budget := j.team.Budget(j.service.Name)
-	if j.worst == 0 {
+	if j.maxTokens == 0 {
 		j.reservation = grant.Reservation{Budget: budget}
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, min(j.left(), reserveTimeout))
+	ctx, cancel := context.WithTimeout(ctx, min(j.remaining(), reserveTimeout))
 	defer cancel()
-	res, err := r.acquirer.Acquire(ctx, budget, j.worst)
+	res, err := r.acquirer.Acquire(ctx, budget, j.maxTokens)
 	if err != nil {
 		r.outbox.Cancel()
 		return budgetRefusal(budget, err)
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// Bounds of the search for tokens: for all of it, and for the store's part.
+// Timeouts for acquiring tokens: in total, and for the store calls.
 const (
 	reserveTimeout = 5 * time.Second
 	storeTimeout   = time.Second
@@ -102,7 +102,8 @@
 	return contract.Refuse(contract.BudgetUnreachable, "the tokens of budget %s cannot be reached now", budget)
 }
 
-// settle closes the books of a request: what was not used is available again.
+// settle settles the reservation of a request and queues its charge. Unused tokens become
+// available again.
 func (r *Router) settle(j *job, o contract.Outcome) {
 	if len(j.reservation.Parts) > 0 {
 		r.holder.Settle(time.Now(), j.reservation, o.Billed())
@@ -118,7 +119,7 @@
 	})
 }
 
-// modelList is the answer to GET /v1/models.
+// modelList is the response to GET /v1/models.
 type modelList struct {
 	Object string  `json:"object"`
 	Data   []model `json:"data"`
