--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,6 +1,6 @@
-// Package agent is the process in the slot beside an upstream. It is the only way
-// to that upstream: it queues by priority, claims what may run only once, counts
-// what answers cost, and keeps the second copy of each charge.
+// Package agent is the sidecar process of an upstream. All requests to that upstream go
+// through it: it queues them by priority, claims those that may run only once, meters
+// responses, and keeps the second copy of each charge.
 package agent
 
 import (
@@ -39,7 +39,7 @@
 	witness     *witness.Witness
 	outbox      *ledger.Outbox
 	claims      claim.Registry
-	upstream    *upstreamCaller
+	upstream    *upstreamClient
 	metrics     *agentMetrics
 	nonce       atomic.Int64
 	claimCounts claimCounts
@@ -47,24 +47,24 @@
 	mu      sync.Mutex
 	leaving bool
 	active  int
-	idle    chan struct{} // closed when leaving and nothing is active
+	idle    chan struct{} // closed when leaving is set and no request is active
 }
 
-// sweepInterval is the pause between two questions about evidence of budgets that
-// are not in use any more.
+// sweepInterval is the pause between two sweeps, which trim the evidence about budgets
+// that are no longer in use.
 const sweepInterval = time.Minute
 
-// Limits of an agent's memory.
+// Limits and timeouts of an agent.
 const (
-	// witnessRuns bounds the runs whose evidence is kept.
-	witnessRuns = 50_000
-	// sendTimeout bounds one send of charges, the group commit included.
+	// maxWitnessRuns is the maximum number of runs for which evidence is kept.
+	maxWitnessRuns = 50_000
+	// sendTimeout bounds sending one batch of charges, including the group commit.
 	sendTimeout = 5 * time.Second
-	// headerTimeout bounds the wait for a request's headers.
+	// headerTimeout bounds reading a request's headers.
 	headerTimeout = 10 * time.Second
 )
 
-// New makes an agent; it makes no call.
+// New creates an agent without making network calls.
 func New(s *settings.Settings, log io.Writer, open process.Opener) (*Agent, error) {
 	base, err := process.New(s, log, open)
 	if err != nil {
@@ -75,10 +75,10 @@
 	a := &Agent{
 		base: base, id: s.VM, log: base.Log,
 		queue:   NewQueue(s.Upstream.Slots, s.Upstream.Queue),
-		witness: witness.New(witnessRuns),
+		witness: witness.New(maxWitnessRuns),
 		outbox:  ledger.NewOutbox(layout, sender, s.Ledger.Backlog),
 		claims:  claim.Registry{Store: base.Store, Prefix: process.ClaimPrefix},
-		upstream: &upstreamCaller{url: s.Upstream.URL, client: &http.Client{
+		upstream: &upstreamClient{url: s.Upstream.URL, client: &http.Client{
 			Transport: &http.Transport{MaxIdleConnsPerHost: s.Upstream.Slots, DisableCompression: true}}},
 		idle: make(chan struct{}),
 	}
@@ -87,8 +87,8 @@
 	return a, nil
 }
 
-// Run serves until stop is done, then stops in order: no new work, what runs comes
-// to its end, charges are flushed.
+// Run serves until stop is done, then shuts down in order: it refuses new requests, waits
+// for running ones and flushes charges.
 func (a *Agent) Run(stop context.Context) error {
 	s := a.base.Settings
 	listeners, err := a.listen()
@@ -97,27 +97,27 @@
 	}
 	ctx, cancel := context.WithCancel(context.WithoutCancel(stop))
 	defer cancel()
-	duties := process.NewDuties(ctx)
-	duties.Serve(&http.Server{Handler: a.base.Admin.Handler(), ReadHeaderTimeout: headerTimeout}, listeners.admin, nil)
-	if err := a.begin(stop); err != nil {
+	tasks := process.NewDuties(ctx)
+	tasks.Serve(&http.Server{Handler: a.base.Admin.Handler(), ReadHeaderTimeout: headerTimeout}, listeners.admin, nil)
+	if err := a.initialize(stop); err != nil {
 		cancel()
-		duties.Wait()
+		tasks.Wait()
 		return err
 	}
-	duties.Go(a.base.Follow)
-	duties.Go(a.outbox.Run)
-	duties.Every(sweepInterval, a.sweep)
+	tasks.Go(a.base.Follow)
+	tasks.Go(a.outbox.Run)
+	tasks.Every(sweepInterval, a.sweep)
 	server := &link.Server{Log: a.base.Log.Printf, Security: a.base.Security, Methods: a.methods()}
-	duties.Go(func(ctx context.Context) { server.Serve(ctx, listeners.link) })
+	tasks.Go(func(ctx context.Context) { server.Serve(ctx, listeners.link) })
 	work := &http.Server{Handler: a.Handler(), ReadHeaderTimeout: headerTimeout}
-	duties.Serve(work, listeners.work, a.base.Security.Server)
+	tasks.Serve(work, listeners.work, a.base.Security.Server)
 	a.base.Admin.SetReady(true)
 	<-stop.Done()
 	a.stop(ctx, time.Duration(s.StopTimeout))
 	process.Finish(work)
 	cancel()
 	a.base.Links.Close()
-	duties.Wait()
+	tasks.Wait()
 	return nil
 }
 
@@ -135,9 +135,9 @@
 	return l, err
 }
 
-// begin registers this life first and reads the fences after it: a recovery that
-// does not see this life has written its fence before it is read here.
-func (a *Agent) begin(ctx context.Context) error {
+// initialize registers this incarnation before it reads the fences. If a recovery did not
+// see this incarnation, its fence was written before and is read here.
+func (a *Agent) initialize(ctx context.Context) error {
 	if err := a.base.Begin(ctx); err != nil {
 		return err
 	}
@@ -157,13 +157,13 @@
 	return a.base.View.Refresh(ctx, a.base.Lister, time.Duration(a.base.Settings.Platform.Timeout))
 }
 
-// Handler is the HTTP interface for routers. With mutual TLS the handshake has
-// admitted them; else the shared secret does.
+// Handler returns the HTTP handler for routers. Mutual TLS authenticates them if it is
+// configured, else the shared secret does.
 func (a *Agent) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(WorkPath+"/", a.ServeWork)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !a.known(r) {
+		if !a.authorized(r) {
 			contract.Refuse(contract.Unauthorized, "the agent takes work from its routers only").Write(w, "")
 			return
 		}
@@ -171,7 +171,7 @@
 	})
 }
 
-func (a *Agent) known(r *http.Request) bool {
+func (a *Agent) authorized(r *http.Request) bool {
 	if a.base.Security.Server != nil {
 		return true
 	}
@@ -179,8 +179,8 @@
 	return subtle.ConstantTimeCompare([]byte(r.Header.Get("Authorization")), []byte(want)) == 1
 }
 
-// enter counts a request in; it refuses when the agent is leaving.
-func (a *Agent) enter() bool {
+// beginRequest counts a request as active. It reports false if the agent is shutting down.
+func (a *Agent) beginRequest() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.leaving {
@@ -190,7 +190,7 @@
 	return true
 }
 
-func (a *Agent) leave() {
+func (a *Agent) endRequest() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.active--
@@ -199,8 +199,8 @@
 	}
 }
 
-// stop ends new work, waits for what runs, and flushes the charges. The life counts
-// as clean only when nothing was left behind.
+// stop refuses new requests, waits for running ones and flushes the charges. The
+// incarnation is marked clean only if no charge and no evidence is left.
 func (a *Agent) stop(ctx context.Context, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -216,7 +216,7 @@
 	case <-ctx.Done():
 	}
 	pause := backoff.New(50*time.Millisecond, time.Second)
-	for ctx.Err() == nil && !a.handedOver(ctx) {
+	for ctx.Err() == nil && !a.handOver(ctx) {
 		_ = pause.Wait(ctx)
 	}
 	left := a.outbox.Waiting()
@@ -229,19 +229,19 @@
 	a.log.Info().Int("charges_left", left).Int("runs_left", runs).Msg("stopped")
 }
 
-// handedOver sends what is left to routers, and reports whether nothing is.
-func (a *Agent) handedOver(ctx context.Context) bool {
+// handOver flushes charges and trims evidence. It reports whether nothing is left.
+func (a *Agent) handOver(ctx context.Context) bool {
 	_ = a.outbox.Flush(ctx)
 	a.sweep(ctx)
 	return a.outbox.Waiting() == 0 && a.witness.State().Runs == 0
 }
 
-// sweep asks how far holders have reported, for budgets that no request has told it
-// of, and forgets that evidence.
+// sweep queries the holders' watermarks and trims the evidence up to them. It covers
+// budgets that no current request carries watermarks for.
 func (a *Agent) sweep(ctx context.Context) {
 	for holder, budgets := range a.witness.Rows() {
 		in := link.WatermarkRequest{Holder: holder, Budgets: budgets, Urgent: a.isLeaving()}
-		out, ok := a.askWatermarks(ctx, holder, in)
+		out, ok := a.queryWatermarks(ctx, holder, in)
 		if !ok {
 			continue
 		}
@@ -251,15 +251,15 @@
 	}
 }
 
-// askWatermarks asks the holder's own VM, and any other router when that one does not
-// answer: the pages tell it too, if later.
-func (a *Agent) askWatermarks(ctx context.Context, holder string, in link.WatermarkRequest) (link.WatermarkReply, bool) {
+// queryWatermarks queries the holder's own VM, then other routers if it does not reply: they
+// read the watermarks from the pages, which may lag.
+func (a *Agent) queryWatermarks(ctx context.Context, holder string, in link.WatermarkRequest) (link.WatermarkReply, bool) {
 	routers := slices.Clone(a.base.View.Routers())
 	own := vm.IDOf(holder)
 	slices.SortStableFunc(routers, func(x, y vm.VM) int {
-		return cmp.Compare(distance(own, x), distance(own, y))
+		return cmp.Compare(queryRank(own, x), queryRank(own, y))
 	})
-	for _, m := range routers[:min(len(routers), askedRouters)] {
+	for _, m := range routers[:min(len(routers), maxQueriedRouters)] {
 		var out link.WatermarkReply
 		call, cancel := context.WithTimeout(ctx, sendTimeout)
 		err := a.base.Links.Call(call, m.Link, link.MethodWatermarks, in, &out)
@@ -271,11 +271,11 @@
 	return link.WatermarkReply{}, false
 }
 
-// askedRouters bounds the routers that are asked about one holder.
-const askedRouters = 3
+// maxQueriedRouters is the maximum number of routers that are queried about one holder.
+const maxQueriedRouters = 3
 
-// distance puts the VM named own first.
-func distance(own string, m vm.VM) int {
+// queryRank orders the VM named own before all others.
+func queryRank(own string, m vm.VM) int {
 	if m.ID == own {
 		return 0
 	}
@@ -305,7 +305,7 @@
 	}
 }
 
-// State is an agent as dumps show it.
+// State is a summary of an agent for debug dumps.
 type State struct {
 	Incarnation string        `json:"incarnation"`
 	Ready       bool          `json:"ready"`
@@ -323,12 +323,12 @@
 	a.mu.Lock()
 	leaving, active := a.leaving, a.active
 	a.mu.Unlock()
-	life := ""
+	incarnation := ""
 	if a.base.Admin.Ready() {
-		life = a.incarnation
+		incarnation = a.incarnation
 	}
 	return State{
-		Incarnation: life, Ready: a.base.Admin.Ready(), Leaving: leaving, Active: active,
+		Incarnation: incarnation, Ready: a.base.Admin.Ready(), Leaving: leaving, Active: active,
 		Charges: a.outbox.Waiting(), Queue: a.queue.State(), Witness: a.witness.State(), Claims: a.claimCounts.state(),
 		VMs: a.base.View.State(), Links: a.base.Links.Peers(),
 	}
--- a/agent/classqueue.go
+++ b/agent/classqueue.go
@@ -6,38 +6,38 @@
 )
 
 func (c *classQueue) push(w *waiter) {
-	if len(c.byTm[w.team]) == 0 {
+	if len(c.byTeam[w.team]) == 0 {
 		c.teams = append(c.teams, w.team)
 	}
-	c.byTm[w.team] = append(c.byTm[w.team], w)
+	c.byTeam[w.team] = append(c.byTeam[w.team], w)
 	c.size++
 }
 
-// pop takes the oldest waiter of the team whose turn it is. One team's flood
-// therefore waits behind every other team's next request.
+// pop removes the oldest waiter of the next team in round-robin order, so that a team
+// with many requests does not delay the next request of another team.
 func (c *classQueue) pop() *waiter {
 	if len(c.teams) == 0 {
 		return nil
 	}
 	team := c.teams[0]
 	c.teams = c.teams[1:]
-	w := c.byTm[team][0]
-	c.byTm[team] = c.byTm[team][1:]
+	w := c.byTeam[team][0]
+	c.byTeam[team] = c.byTeam[team][1:]
 	c.size--
-	if len(c.byTm[team]) > 0 {
+	if len(c.byTeam[team]) > 0 {
 		c.teams = append(c.teams, team)
 	} else {
-		delete(c.byTm, team)
+		delete(c.byTeam, team)
 	}
 	return w
 }
 
-// popNewest takes the newest waiter of the team that has most waiters.
+// popNewest removes the newest waiter of the team with the most waiters.
 func (c *classQueue) popNewest() *waiter {
 	var longest []*waiter
 	for _, t := range c.teams {
-		if len(c.byTm[t]) > len(longest) {
-			longest = c.byTm[t]
+		if len(c.byTeam[t]) > len(longest) {
+			longest = c.byTeam[t]
 		}
 	}
 	if len(longest) == 0 {
@@ -48,17 +48,17 @@
 	return w
 }
 
-// remove takes one waiter out; it reports whether it was there.
+// remove removes a waiter and reports whether it was queued.
 func (c *classQueue) remove(w *waiter) bool {
-	list := c.byTm[w.team]
+	list := c.byTeam[w.team]
 	i := slices.Index(list, w)
 	if i < 0 {
 		return false
 	}
 	c.size--
-	c.byTm[w.team] = slices.Delete(slices.Clone(list), i, i+1)
-	if len(c.byTm[w.team]) == 0 {
-		delete(c.byTm, w.team)
+	c.byTeam[w.team] = slices.Delete(slices.Clone(list), i, i+1)
+	if len(c.byTeam[w.team]) == 0 {
+		delete(c.byTeam, w.team)
 		j := slices.Index(c.teams, w.team)
 		c.teams = slices.Delete(slices.Clone(c.teams), j, j+1)
 	}
@@ -68,7 +68,7 @@
 func (c *classQueue) olderThan(t time.Time) []*waiter {
 	var out []*waiter
 	for _, team := range c.teams {
-		for _, w := range c.byTm[team] {
+		for _, w := range c.byTeam[team] {
 			if w.since.Before(t) {
 				out = append(out, w)
 			}
--- a/agent/load.go
+++ b/agent/load.go
@@ -6,12 +6,12 @@
 	"github.com/arbutusmill/arbutusmill/upstream"
 )
 
-// loadHeader is the load that answers carry back to routers.
+// loadHeader is the load reported to routers in response headers.
 type loadHeader upstream.Load
 
 func (l loadHeader) set(h http.Header) { h.Set(upstream.LoadHeader, upstream.Load(l).String()) }
 
-// load is this agent's own view of its upstream, without lag.
+// load returns the current load of the upstream, as counted by this agent's queue.
 func (a *Agent) load() loadHeader {
 	s := a.queue.State()
 	waiting := 0
--- a/agent/once.go
+++ b/agent/once.go
@@ -14,30 +14,30 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// keptAnswer is the most of an answer that a claim keeps for retries.
-const keptAnswer = 64 << 10
+// maxSavedBody is the maximum size in bytes of a response body that a claim keeps for retries.
+const maxSavedBody = 64 << 10
 
 // claimTimeout bounds the wait for the store to confirm a claim.
 const claimTimeout = 2 * time.Second
 
-// endTimeout bounds the tries to record a claim's end.
-const endTimeout = 10 * time.Second
+// claimEndTimeout bounds the attempts to record a claim's end.
+const claimEndTimeout = 10 * time.Second
 
-// claimCounts are the claims that this life asked for, by what came of them.
-type claimCounts struct{ taken, found, unavailable atomic.Int64 }
+// claimCounts counts the claims requested by this incarnation, by result.
+type claimCounts struct{ acquired, existing, unavailable atomic.Int64 }
 
-func (c *claimCounts) note(mine bool, err error) {
+func (c *claimCounts) record(acquired bool, err error) {
 	switch {
 	case err != nil:
 		c.unavailable.Add(1)
-	case mine:
-		c.taken.Add(1)
+	case acquired:
+		c.acquired.Add(1)
 	default:
-		c.found.Add(1)
+		c.existing.Add(1)
 	}
 }
 
-// ClaimState is the counts as dumps show them.
+// ClaimState has the numbers of claims by result, for debug dumps.
 type ClaimState struct {
 	Taken       int64 `json:"taken"`
 	Found       int64 `json:"found_taken"`
@@ -45,24 +45,24 @@
 }
 
 func (c *claimCounts) state() ClaimState {
-	return ClaimState{Taken: c.taken.Load(), Found: c.found.Load(), Unavailable: c.unavailable.Load()}
+	return ClaimState{Taken: c.acquired.Load(), Found: c.existing.Load(), Unavailable: c.unavailable.Load()}
 }
 
-// savedAnswer is an answer as a claim keeps it.
-type savedAnswer struct {
+// savedResponse is a response as stored in a claim.
+type savedResponse struct {
 	Status int         `json:"status"`
 	Header http.Header `json:"header"`
 	Body   []byte      `json:"body"`
-	// Cut says that the body was longer than a claim keeps.
-	Cut bool `json:"cut,omitempty"`
+	// Truncated reports whether the body was longer than maxSavedBody.
+	Truncated bool `json:"cut,omitempty"`
 }
 
-// recorder passes an answer through and keeps a copy for the claim.
+// recorder forwards a response and keeps a copy for the claim.
 type recorder struct {
 	next  sink
-	saved savedAnswer
-	// lost says that the router went away; the copy goes on.
-	lost bool
+	saved savedResponse
+	// routerGone reports whether the router disconnected; recording continues.
+	routerGone bool
 }
 
 func (r *recorder) start(status int, header http.Header) {
@@ -70,42 +70,42 @@
 	r.next.start(status, header)
 }
 
-func (r *recorder) write(piece []byte) error {
-	room := keptAnswer - len(r.saved.Body)
-	r.saved.Cut = r.saved.Cut || len(piece) > room
-	r.saved.Body = append(r.saved.Body, piece[:min(len(piece), max(0, room))]...)
-	if !r.lost {
-		r.lost = r.next.write(piece) != nil
+func (r *recorder) write(chunk []byte) error {
+	free := maxSavedBody - len(r.saved.Body)
+	r.saved.Truncated = r.saved.Truncated || len(chunk) > free
+	r.saved.Body = append(r.saved.Body, chunk[:min(len(chunk), max(0, free))]...)
+	if !r.routerGone {
+		r.routerGone = r.next.write(chunk) != nil
 	}
 	return nil
 }
 
-// once runs a request behind its claim, so that it runs at most once in the whole
-// fleet, whatever routers and callers retry.
-func (a *Agent) once(ctx context.Context, t *run) *contract.Refusal {
+// runOnce runs a request under its claim, so that it runs at most once in the whole fleet,
+// whatever routers and callers retry.
+func (a *Agent) runOnce(ctx context.Context, t *run) *contract.Refusal {
 	body, err := readBody(t.r)
 	if err != nil {
 		return t.finish(contract.Outcome{Kind: contract.BadRequest}, contract.Refuse(contract.BadRequest, "%v", err))
 	}
-	want := claim.Claim{Owner: a.incarnation, Nonce: a.nonce.Add(1), Digest: digest(t.r, body)}
-	take, cancel := context.WithTimeout(ctx, min(claimTimeout, t.work.Timeout()))
-	got, mine, err := a.claims.Acquire(take, t.work.ID, want)
+	want := claim.Claim{Owner: a.incarnation, Nonce: a.nonce.Add(1), Digest: requestDigest(t.r, body)}
+	acquireCtx, cancel := context.WithTimeout(ctx, min(claimTimeout, t.work.Timeout()))
+	got, acquired, err := a.claims.Acquire(acquireCtx, t.work.ID, want)
 	cancel()
-	a.claimCounts.note(mine, err)
+	a.claimCounts.record(acquired, err)
 	if err != nil {
 		return t.finish(contract.Outcome{Kind: contract.ClaimUnavailable}, contract.Refuse(contract.ClaimUnavailable, "%v", err))
 	}
-	if !mine {
+	if !acquired {
 		return t.replay(got, want)
 	}
-	rec := &recorder{next: passThrough{t}}
-	o, refusal := t.pass(ctx, rec)
+	rec := &recorder{next: routerSink{t}}
+	o, refusal := t.forward(ctx, rec)
 	a.endClaim(t.work.ID, got, o, rec)
 	return t.finish(o, refusal)
 }
 
-// endClaim records how the run ended. If the store cannot be reached, the claim
-// stays started, and retries learn that the outcome is unknown: that is true.
+// endClaim records how the run ended. If the store is unreachable, the claim stays
+// started, and retries receive OutcomeUnknown, which is correct.
 func (a *Agent) endClaim(id string, c claim.Claim, o contract.Outcome, rec *recorder) {
 	state := claim.Ended
 	switch {
@@ -118,25 +118,25 @@
 	if err != nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), endTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), claimEndTimeout)
 	defer cancel()
 	if err := a.claims.End(ctx, id, c, state, answer); err != nil {
 		a.log.Warn().Str("id", id).Err(err).Msg("claim end not recorded")
 	}
 }
 
-// replay answers a request whose claim another run has.
+// replay responds to a request whose claim belongs to another run.
 func (t *run) replay(got, want claim.Claim) *contract.Refusal {
-	var saved savedAnswer
+	var saved savedResponse
 	switch {
 	case got.Digest != want.Digest:
-		return t.end(contract.KeyReused, "the idempotency key was used for another request")
+		return t.finishRefused(contract.KeyReused, "the idempotency key was used for another request")
 	case got.State != claim.Ended:
-		return t.end(contract.OutcomeUnknown, "the request was started before and its outcome is not known")
-	case json.Unmarshal(got.Answer, &saved) != nil || saved.Cut:
-		return t.end(contract.OutcomeUnknown, "the request ran before; its answer was too long to keep")
+		return t.finishRefused(contract.OutcomeUnknown, "the request was started before and its outcome is not known")
+	case json.Unmarshal(got.Answer, &saved) != nil || saved.Truncated:
+		return t.finishRefused(contract.OutcomeUnknown, "the request ran before; its answer was too long to keep")
 	}
-	s := passThrough{t}
+	s := routerSink{t}
 	s.start(saved.Status, saved.Header)
 	if err := s.write(saved.Body); err != nil {
 		return t.finish(contract.Outcome{Replayed: true, Kind: contract.UpstreamFailed}, nil)
@@ -144,18 +144,18 @@
 	return t.finish(contract.Outcome{Replayed: true, Whole: true}, nil)
 }
 
-func (t *run) end(k contract.Kind, message string) *contract.Refusal {
+func (t *run) finishRefused(k contract.Kind, message string) *contract.Refusal {
 	return t.finish(contract.Outcome{Kind: k}, contract.Refuse(k, "%s", message))
 }
 
-func digest(r *http.Request, body []byte) string {
+func requestDigest(r *http.Request, body []byte) string {
 	d := xxhash.New()
 	_, _ = d.WriteString(r.Method + " " + r.URL.RequestURI() + "\n")
 	_, _ = d.Write(body)
 	return fmt.Sprintf("%016x", d.Sum64())
 }
 
-// readBody reads the whole body and puts it back.
+// readBody reads the whole body and makes it readable again.
 func readBody(r *http.Request) ([]byte, error) {
 	var b bytes.Buffer
 	if _, err := b.ReadFrom(http.MaxBytesReader(nil, r.Body, maxAnswer)); err != nil {
--- a/agent/queue.go
+++ b/agent/queue.go
@@ -8,8 +8,9 @@
 	"github.com/arbutusmill/arbutusmill/contract"
 )
 
-// Queue gives an upstream's slots to requests: classes strictly in order, teams of
-// a class in turn, and one slot in reserveShare kept for urgent work.
+// Queue assigns an upstream's slots to requests: classes in strict order of precedence,
+// the teams of a class round-robin, and one slot in urgentSlotDivisor reserved for urgent
+// work.
 type Queue struct {
 	slots    int
 	reserved int
@@ -20,54 +21,52 @@
 	mu      sync.Mutex
 	running int
 	classes [contract.ClassCount]classQueue
-	// service is the average time that a request holds a slot.
-	service time.Duration
-	shed    int64
+	// serviceTime is the average time that a request holds a slot.
+	serviceTime time.Duration
+	shed        int64
 }
 
-// reserveShare is the share of slots that only urgent requests may take: 1 in 8,
-// at least one where there are two. Without it an urgent request that finds all
-// slots taken by long deferrable work waits for one of them to end.
-const reserveShare = 8
+// urgentSlotDivisor determines the slots reserved for urgent requests: 1 in 8, and at least
+// one if there are two or more. Without them an urgent request that finds all slots taken
+// by long deferrable work waits for one of those requests to end.
+const urgentSlotDivisor = 8
 
-// DefaultAgeAfter is the wait after which deferrable work counts as normal, so that
-// a steady flow of normal work does not hold it back for ever. Nothing ages into
-// the urgent class.
+// DefaultAgeAfter is the wait after which deferrable work counts as normal, so that a
+// steady flow of normal work does not starve it. No request ages into the urgent class.
 const DefaultAgeAfter = 30 * time.Second
 
 // waiter is one request in the queue.
 type waiter struct {
 	team  string
 	since time.Time
-	// ready gets nil when the slot is given, or the refusal of a request that
-	// was shed.
+	// ready receives nil when the waiter gets a slot, or the refusal if it is shed.
 	ready chan *contract.Refusal
 }
 
 // classQueue holds the waiters of one class, by team.
 type classQueue struct {
-	teams []string // in turn
-	byTm  map[string][]*waiter
-	size  int
+	teams  []string // in round-robin order
+	byTeam map[string][]*waiter
+	size   int
 }
 
-// NewQueue returns a queue for slots requests at once and limit waiting ones for
-// each class.
+// NewQueue returns a queue with the given number of slots that admits up to limit waiting
+// requests per class.
 func NewQueue(slots, limit int) *Queue {
 	q := &Queue{slots: slots, limit: limit, ageAfter: DefaultAgeAfter, now: time.Now}
 	if slots > 1 {
-		q.reserved = max(1, slots/reserveShare)
+		q.reserved = max(1, slots/urgentSlotDivisor)
 	}
 	for i := range q.classes {
-		q.classes[i].byTm = map[string][]*waiter{}
+		q.classes[i].byTeam = map[string][]*waiter{}
 	}
 	return q
 }
 
-// Acquire waits for a slot. It refuses at once when the class's queue is full or
-// the wait cannot end before the timeout. The caller must call release once.
+// Acquire waits for a slot. It refuses immediately if the queue is full or the expected
+// wait is longer than the timeout. The caller must call release once.
 func (q *Queue) Acquire(ctx context.Context, class contract.Class, team string, timeout time.Duration) (release func(), refusal *contract.Refusal) {
-	w, refusal := q.enter(class, team, timeout)
+	w, refusal := q.acquireOrEnqueue(class, team, timeout)
 	if refusal != nil {
 		return nil, refusal
 	}
@@ -88,11 +87,11 @@
 	return q.abandon(class, w)
 }
 
-// enter takes a free slot (nil waiter) or a place in the queue.
-func (q *Queue) enter(class contract.Class, team string, timeout time.Duration) (*waiter, *contract.Refusal) {
+// acquireOrEnqueue takes a free slot and returns a nil waiter, or enqueues a waiter.
+func (q *Queue) acquireOrEnqueue(class contract.Class, team string, timeout time.Duration) (*waiter, *contract.Refusal) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.free(class) && q.aheadLocked(class) == 0 {
+	if q.slotFree(class) && q.aheadLocked(class) == 0 {
 		q.running++
 		return nil, nil
 	}
@@ -102,7 +101,7 @@
 	if q.totalLocked() >= q.limit && !q.shedLocked(class) {
 		return nil, contract.Refuse(contract.Overloaded, "the queue is full")
 	}
-	if wait := q.expectLocked(class); wait > timeout {
+	if wait := q.expectedWaitLocked(class); wait > timeout {
 		return nil, contract.Refuse(contract.DeadlineTooShort, "the wait would be about %s", wait.Round(time.Millisecond))
 	}
 	w := &waiter{team: team, since: q.now(), ready: make(chan *contract.Refusal, 1)}
@@ -110,15 +109,15 @@
 	return w, nil
 }
 
-// free reports whether the class may take a slot now.
-func (q *Queue) free(class contract.Class) bool {
+// slotFree reports whether a request of the class may take a slot now.
+func (q *Queue) slotFree(class contract.Class) bool {
 	if class == contract.Urgent {
 		return q.running < q.slots
 	}
 	return q.running < q.slots-q.reserved
 }
 
-// aheadLocked counts the waiters that go before a new one of the class.
+// aheadLocked returns the number of waiters ahead of a new one of the class.
 func (q *Queue) aheadLocked(class contract.Class) int {
 	n := 0
 	for c := contract.Urgent; c <= class; c++ {
@@ -129,13 +128,13 @@
 
 func (q *Queue) totalLocked() int { return q.aheadLocked(contract.ClassCount - 1) }
 
-// expectLocked estimates the wait of a new request of the class.
-func (q *Queue) expectLocked(class contract.Class) time.Duration {
-	return q.service * time.Duration(q.aheadLocked(class)) / time.Duration(q.slots)
+// expectedWaitLocked estimates the wait of a new request of the class.
+func (q *Queue) expectedWaitLocked(class contract.Class) time.Duration {
+	return q.serviceTime * time.Duration(q.aheadLocked(class)) / time.Duration(q.slots)
 }
 
-// shedLocked refuses the newest waiter of the lowest class below the given one, so
-// that work that can wait makes room for work that cannot.
+// shedLocked refuses the newest waiter of the lowest class below the given one, in favour
+// of more urgent work. It reports whether there was one.
 func (q *Queue) shedLocked(class contract.Class) bool {
 	for c := contract.ClassCount - 1; c > class; c-- {
 		if w := q.classes[c].popNewest(); w != nil {
@@ -147,8 +146,8 @@
 	return false
 }
 
-// abandon takes a waiter out whose time is over. The slot may have been given at
-// the same moment; then it is used or passed on.
+// abandon removes a waiter whose timeout expired or whose caller disconnected. If it got a
+// slot at the same moment, the slot is released.
 func (q *Queue) abandon(class contract.Class, w *waiter) (func(), *contract.Refusal) {
 	q.mu.Lock()
 	for c := range q.classes {
@@ -171,20 +170,20 @@
 	return func() { once.Do(func() { q.release(q.now().Sub(start)) }) }
 }
 
-// serviceWeight is the weight of one request in the average service time.
-const serviceWeight = 16
+// serviceTimeWeight is the weight of one request in the average service time.
+const serviceTimeWeight = 16
 
 func (q *Queue) release(held time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.running--
-	if q.service == 0 {
-		q.service = held
+	if q.serviceTime == 0 {
+		q.serviceTime = held
 	}
-	q.service += (held - q.service) / serviceWeight
+	q.serviceTime += (held - q.serviceTime) / serviceTimeWeight
 	q.ageLocked()
 	for c := contract.Urgent; c < contract.ClassCount; c++ {
-		for q.free(c) {
+		for q.slotFree(c) {
 			w := q.classes[c].pop()
 			if w == nil {
 				break
@@ -195,7 +194,7 @@
 	}
 }
 
-// ageLocked moves deferrable waiters that have waited long to the normal class.
+// ageLocked moves deferrable waiters that have waited for ageAfter to the normal class.
 func (q *Queue) ageLocked() {
 	from := &q.classes[contract.Deferrable]
 	before := q.now().Add(-q.ageAfter)
@@ -205,7 +204,7 @@
 	}
 }
 
-// QueueState is a queue as dumps show it.
+// QueueState is a summary of a queue for debug dumps.
 type QueueState struct {
 	Slots     int            `json:"slots"`
 	Running   int            `json:"running"`
@@ -219,7 +218,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	s := QueueState{Slots: q.slots, Running: q.running, Waiting: map[string]int{}, Shed: q.shed,
-		ServiceMS: float64(q.service) / float64(time.Millisecond)}
+		ServiceMS: float64(q.serviceTime) / float64(time.Millisecond)}
 	for c := range q.classes {
 		s.Waiting[contract.Class(c).String()] = q.classes[c].size
 	}
--- a/agent/queue_test.go
+++ b/agent/queue_test.go
@@ -12,9 +12,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// order starts one waiter for each name, in turn, and returns them in the order in
-// which they got the slot. A name is class letter and team: u, n or d.
-func order(t *testing.T, q *Queue, names []string, pause time.Duration) []string {
+// acquireOrder starts one waiter for each name, in the given order, and returns the names in
+// the order in which the waiters got the slot. A name is a class letter (u, n or d) and a
+// team.
+func acquireOrder(t *testing.T, q *Queue, names []string, pause time.Duration) []string {
 	classes := map[byte]contract.Class{'u': contract.Urgent, 'n': contract.Normal, 'd': contract.Deferrable}
 	hold, refusal := q.Acquire(t.Context(), contract.Urgent, "holder", time.Hour)
 	require.Nil(t, refusal)
@@ -40,46 +41,45 @@
 	return out
 }
 
-// A pilot's check and a season's reviews wait for the same engine. The pilot must go
-// first although the reviews came first.
+// Guards against urgent work that waits behind less urgent work queued before it.
 func TestUrgentGoesFirst(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		got := order(t, NewQueue(1, 10), []string{"dA", "dA", "nB", "uC"}, 0)
+		got := acquireOrder(t, NewQueue(1, 10), []string{"dA", "dA", "nB", "uC"}, 0)
 		require.Equal(t, []string{"uC", "nB", "dA", "dA"}, got)
 	})
 }
 
-// One team sends a flood. Another team's request of the same class must not wait
-// behind all of it.
+// Guards against starvation by one team: it queues many requests, and another team's later
+// request of the same class must not wait behind all of them.
 func TestFloodDoesNotStarveOthers(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		got := order(t, NewQueue(1, 10), []string{"nA", "nA", "nA", "nA", "nB"}, 0)
+		got := acquireOrder(t, NewQueue(1, 10), []string{"nA", "nA", "nA", "nA", "nB"}, 0)
 		require.Equal(t, []string{"nA", "nB", "nA", "nA", "nA"}, got)
 	})
 }
 
-// The queue is full of work that can wait when urgent work arrives. The newest of
-// the waiting work is refused at once, and the urgent work is not.
+// Guards against refusing urgent work because the queue is full of deferrable work. The
+// newest deferrable request is refused immediately, and the urgent one is queued.
 func TestUrgentShedsDeferrable(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		got := order(t, NewQueue(1, 3), []string{"dA", "dB", "dB", "uC"}, 0)
+		got := acquireOrder(t, NewQueue(1, 3), []string{"dA", "dB", "dB", "uC"}, 0)
 		require.Equal(t, []string{"dB!overloaded", "uC", "dA", "dB"}, got)
 	})
 }
 
-// Deferrable work waits long behind a steady flow of normal work. After the ageing
-// time it counts as normal, so it is served before normal work that came later.
+// Guards against starvation of deferrable work by a steady flow of normal work. After
+// DefaultAgeAfter it counts as normal, so it is served before normal work queued later.
 func TestDeferrableAges(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		got := order(t, NewQueue(1, 10), []string{"dA", "nB", "nB"}, DefaultAgeAfter)
+		got := acquireOrder(t, NewQueue(1, 10), []string{"dA", "nB", "nB"}, DefaultAgeAfter)
 		require.Equal(t, "nB", got[0])
 		require.Equal(t, "dA", got[1])
 	})
 }
 
-// The wait would be longer than the request has. It is refused at once, with a true
-// "not run", and not when its time is over.
-func TestHopelessDeadlineIsRefusedAtOnce(t *testing.T) {
+// Guards against queueing a request until its timeout although the expected wait is longer.
+// It must be refused as not run immediately.
+func TestTooShortDeadlineIsRefusedAtOnce(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		q := NewQueue(1, 10)
 		release, _ := q.Acquire(t.Context(), contract.Normal, "A", time.Hour)
@@ -97,8 +97,9 @@
 	})
 }
 
-// Normal work fills an engine. A slot stays free for urgent work.
-func TestSlotIsKeptForUrgent(t *testing.T) {
+// Guards against normal work that takes all slots of an engine. One slot stays free for
+// urgent work.
+func TestSlotIsReservedForUrgent(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		q := NewQueue(2, 10)
 		_, refusal := q.Acquire(t.Context(), contract.Normal, "A", time.Hour)
@@ -110,7 +111,7 @@
 	})
 }
 
-// Requests give up while slots are handed out. No slot may be lost by it.
+// Guards against lost slots: a request times out at the moment when it gets a slot.
 func TestAbandonedWaitersLoseNoSlot(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		q := NewQueue(2, 100)
--- a/agent/run.go
+++ b/agent/run.go
@@ -13,17 +13,17 @@
 	"github.com/arbutusmill/arbutusmill/hop"
 )
 
-// WorkPath is the prefix of an agent's requests; the upstream's path follows.
+// WorkPath is the path prefix of requests to an agent; the upstream's path follows.
 const WorkPath = "/work"
 
-// run is one request on its way through the agent. Its steps follow in the order in
-// which ServeWork calls them; each either goes on or ends the request.
+// run is one request in the agent. Its methods follow in the order in which they are
+// called; each either continues or ends the request.
 type run struct {
 	agent   *Agent
 	work    contract.Work
 	w       http.ResponseWriter
 	r       *http.Request
-	started bool // the answer's head was sent
+	started bool // the response headers were sent
 }
 
 // ServeWork handles one request of a router.
@@ -33,18 +33,18 @@
 		a.refuse(w, work, contract.Refuse(contract.BadRequest, "%s: %v", contract.WorkHeader, err))
 		return
 	}
-	if !a.enter() {
+	if !a.beginRequest() {
 		a.refuse(w, work, contract.Refuse(contract.Stopping, "agent %s is leaving", a.id))
 		return
 	}
-	defer a.leave()
+	defer a.endRequest()
 	t := &run{agent: a, work: work, w: w, r: r}
 	if refusal := t.admit(); refusal != nil {
 		a.refuse(w, work, refusal)
 	}
 }
 
-// refuse answers that the request was not run here, and why.
+// refuse logs and writes a refusal, with the current load in the headers.
 func (a *Agent) refuse(w http.ResponseWriter, work contract.Work, r *contract.Refusal) {
 	a.metrics.refused(r.Kind)
 	a.log.Info().Str("id", work.ID).Str("kind", string(r.Kind)).Str("why", r.Message).Msg("refused")
@@ -53,8 +53,8 @@
 	r.Write(w, work.ID)
 }
 
-// admit takes what the request needs, in the order that leaves nothing behind when
-// a step refuses: room for the charge, a slot, the witness's entry.
+// admit acquires what the request needs, in an order in which a refusal leaves nothing
+// behind: a place in the outbox, a slot, the witness's record.
 func (t *run) admit() *contract.Refusal {
 	a := t.agent
 	a.witness.Trim(t.work.Reservation.Budget, t.work.Watermarks)
@@ -73,13 +73,13 @@
 		a.outbox.Cancel()
 		return t.beginRefusal(err)
 	}
-	ctx, cancel := t.context(deadline)
+	ctx, cancel := t.runContext(deadline)
 	defer cancel()
-	return t.claimed(ctx)
+	return t.execute(ctx)
 }
 
-// beginRefusal maps the witness's errors. A fenced holder is named, so that the
-// router knows whether it is shut out itself or a peer whose lot it used.
+// beginRefusal maps the witness's errors to refusals. The response names a fenced holder,
+// so that the router can tell whether it is fenced itself or a peer whose lot it used.
 func (t *run) beginRefusal(err error) *contract.Refusal {
 	kind := contract.ChargeBacklog
 	var fenced *witness.FencedError
@@ -95,9 +95,10 @@
 	return contract.Refuse(kind, "%v", err)
 }
 
-// context bounds the run. A request that may be repeated ends with its caller; one
-// that may not is brought to its end, so that its claim can keep the answer.
-func (t *run) context(deadline time.Time) (context.Context, context.CancelFunc) {
+// runContext returns the run's context, which ends at the deadline. An idempotent request
+// also ends when its caller disconnects; another one continues, so that its claim can keep
+// the response.
+func (t *run) runContext(deadline time.Time) (context.Context, context.CancelFunc) {
 	parent := t.r.Context()
 	if !t.work.Idempotent {
 		parent = context.WithoutCancel(parent)
@@ -105,21 +106,21 @@
 	return context.WithDeadline(parent, deadline)
 }
 
-// claimed runs the request, behind a durable claim if it is not idempotent.
-func (t *run) claimed(ctx context.Context) *contract.Refusal {
+// execute runs the request, under a durable claim if it is not idempotent.
+func (t *run) execute(ctx context.Context) *contract.Refusal {
 	if t.work.Idempotent {
-		return t.finish(t.pass(ctx, passThrough{t}))
+		return t.finish(t.forward(ctx, routerSink{t}))
 	}
-	return t.agent.once(ctx, t)
+	return t.agent.runOnce(ctx, t)
 }
 
-// finish ends the run's books: what it used, its charge, and the trailer. A refusal
-// is returned when the request had no effect and nothing was sent.
+// finish records the usage, queues the charge and sets the trailer. It returns the refusal
+// only if the response has not started.
 func (t *run) finish(o contract.Outcome, refusal *contract.Refusal) *contract.Refusal {
 	a := t.agent
 	a.witness.End(t.work.ID, o.Billed())
 	t.charge(o)
-	a.metrics.ended(t.work, o)
+	a.metrics.recordEnd(t.work, o)
 	why := ""
 	if refusal != nil {
 		why = refusal.Message
@@ -133,7 +134,7 @@
 	return nil
 }
 
-// charge hands the charge to the outbox, or gives its room back.
+// charge puts the charge into the outbox, or releases its place there.
 func (t *run) charge(o contract.Outcome) {
 	if o.Billed() == 0 {
 		t.agent.outbox.Cancel()
@@ -145,8 +146,8 @@
 	})
 }
 
-// pass sends the request to the upstream and its answer to the sink.
-func (t *run) pass(ctx context.Context, to sink) (contract.Outcome, *contract.Refusal) {
+// forward sends the request to the upstream and the response to the sink.
+func (t *run) forward(ctx context.Context, to sink) (contract.Outcome, *contract.Refusal) {
 	path := strings.TrimPrefix(t.r.URL.RequestURI(), WorkPath)
 	resp, err := t.agent.upstream.call(ctx, t.r, path)
 	if err != nil {
@@ -154,52 +155,52 @@
 	}
 	defer resp.Body.Close()
 	if t.work.Engine {
-		return t.passEngine(ctx, resp, to)
+		return t.forwardEngine(ctx, resp, to)
 	}
-	if err := passPlain(resp, to); err != nil {
-		return t.failed(ctx, err, t.cap(t.work.Price))
+	if err := copyPlainResponse(resp, to); err != nil {
+		return t.failed(ctx, err, t.capUsage(t.work.Price))
 	}
-	return contract.Outcome{Used: t.cap(t.work.Price), Whole: true}, nil
+	return contract.Outcome{Used: t.capUsage(t.work.Price), Whole: true}, nil
 }
 
-func (t *run) passEngine(ctx context.Context, resp *http.Response, to sink) (contract.Outcome, *contract.Refusal) {
+func (t *run) forwardEngine(ctx context.Context, resp *http.Response, to sink) (contract.Outcome, *contract.Refusal) {
 	if resp.StatusCode != http.StatusOK {
-		// An engine's error answer generated nothing.
-		return contract.Outcome{Whole: true}, passPlainRefusal(resp, to)
+		// An error response of an engine generated no tokens.
+		return contract.Outcome{Whole: true}, copyErrorResponse(resp, to)
 	}
-	m, err := passEngine(resp, t.work.OutputLimit, to)
-	used := t.cap(m.Billed())
+	m, err := copyEngineResponse(resp, t.work.OutputLimit, to)
+	used := t.capUsage(m.Billed())
 	if err != nil {
 		return t.failed(ctx, err, used)
 	}
 	return contract.Outcome{Used: used, Whole: true}, nil
 }
 
-func passPlainRefusal(resp *http.Response, to sink) *contract.Refusal {
-	if err := passPlain(resp, to); err != nil {
+func copyErrorResponse(resp *http.Response, to sink) *contract.Refusal {
+	if err := copyPlainResponse(resp, to); err != nil {
 		return contract.Refuse(contract.UpstreamFailed, "%v", err)
 	}
 	return nil
 }
 
-// cap guards against an engine that reports more tokens than were reserved, which
-// would show as spend beyond the budget: the bill ends at the reservation, and the
-// rest is counted as the operator's loss.
-func (t *run) cap(used int64) int64 {
-	most := t.work.Reservation.Tokens()
-	if used > most {
-		t.agent.metrics.overrun.Add(int(used - most))
-		return most
+// capUsage guards against an engine that reports more tokens than were reserved, which
+// would appear as spending beyond the budget: the bill is capped at the reservation, and
+// the excess is counted as the operator's loss.
+func (t *run) capUsage(used int64) int64 {
+	reserved := t.work.Reservation.Tokens()
+	if used > reserved {
+		t.agent.metrics.overrun.Add(int(used - reserved))
+		return reserved
 	}
 	return used
 }
 
-// failed maps an error to an outcome. Only an upstream that was not reached makes
-// "not run" true.
+// failed maps an error to an outcome. The request is reported as not run only if the
+// upstream was not reached.
 func (t *run) failed(ctx context.Context, err error, used int64) (contract.Outcome, *contract.Refusal) {
 	kind := contract.UpstreamFailed
 	switch {
-	case errors.Is(err, errNotSent):
+	case errors.Is(err, errUnreached):
 		kind = contract.NoUpstream
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		kind = contract.TimedOut
@@ -209,10 +210,10 @@
 	return contract.Outcome{Used: used, Kind: kind}, contract.Refuse(kind, "%v", err)
 }
 
-// passThrough sends an answer to the router as it comes.
-type passThrough struct{ t *run }
+// routerSink forwards a response to the router as it arrives.
+type routerSink struct{ t *run }
 
-func (p passThrough) start(status int, header http.Header) {
+func (p routerSink) start(status int, header http.Header) {
 	h := p.t.w.Header()
 	hop.CopyHeaders(h, header)
 	h.Del("Content-Length")
@@ -222,8 +223,8 @@
 	p.t.w.WriteHeader(status)
 }
 
-func (p passThrough) write(piece []byte) error {
-	if _, err := p.t.w.Write(piece); err != nil {
+func (p routerSink) write(chunk []byte) error {
+	if _, err := p.t.w.Write(chunk); err != nil {
 		return err
 	}
 	return http.NewResponseController(p.t.w).Flush()
--- a/agent/upstream.go
+++ b/agent/upstream.go
@@ -13,51 +13,54 @@
 	"github.com/arbutusmill/arbutusmill/openai"
 )
 
-// Bounds of what is read of an upstream's answer.
+// Limits on requests and responses.
 const (
-	// maxLine bounds one line of a stream of events.
+	// maxLine is the maximum length in bytes of one line of an event stream.
 	maxLine = 1 << 20
-	// maxBody bounds a request's body: ten times the text of a prompt of 200,000 tokens.
+	// maxBody is the maximum size of a request body in bytes: ten times the text of a prompt of
+	// 200,000 tokens.
 	maxBody = 8 << 20
-	// maxAnswer bounds an answer that is not streamed.
+	// maxAnswer is the maximum size in bytes of a response that is not streamed.
 	maxAnswer = 8 << 20
-	// copyBuffer is the piece in which plain answers are passed on.
-	copyBuffer = 32 << 10
+	// copyBufferSize is the size of the buffers that forward responses.
+	copyBufferSize = 32 << 10
 )
 
-// upstreamCaller calls the one upstream that this agent stands beside.
-type upstreamCaller struct {
+// upstreamClient sends requests to this agent's upstream.
+type upstreamClient struct {
 	url    string
 	client *http.Client
 }
 
-// errNotSent says that the request did not reach the upstream.
-var errNotSent = errors.New("upstream not reached")
+// errUnreached means that the request did not reach the upstream.
+var errUnreached = errors.New("upstream not reached")
 
-// call sends a request. An error that wraps errNotSent had no effect there.
-func (u *upstreamCaller) call(ctx context.Context, r *http.Request, path string) (*http.Response, error) {
-	req, err := http.NewRequestWithContext(ctx, r.Method, u.url+path, bodyOf(r))
+// call sends a request. If the error wraps errUnreached, the request had no effect on the
+// upstream.
+func (u *upstreamClient) call(ctx context.Context, r *http.Request, path string) (*http.Response, error) {
+	req, err := http.NewRequestWithContext(ctx, r.Method, u.url+path, requestBody(r))
 	if err != nil {
-		return nil, errors.Join(errNotSent, err)
+		return nil, errors.Join(errUnreached, err)
 	}
 	hop.CopyHeaders(req.Header, r.Header)
 	req.ContentLength = r.ContentLength
-	sent := &hop.Sent{}
-	req = req.WithContext(sent.Trace(ctx))
+	tracker := &hop.Sent{}
+	req = req.WithContext(tracker.Trace(ctx))
 	resp, err := u.client.Do(req)
-	if err != nil && !sent.Connected() {
-		err = errors.Join(errNotSent, err)
+	if err != nil && !tracker.Connected() {
+		err = errors.Join(errUnreached, err)
 	}
 	return resp, err
 }
 
-// bodyOf is a request's body for the upstream. It is wrapped so that net/http cannot send it a
-// second time by itself, as it does for repeatable bodies when a kept connection breaks.
+// requestBody returns a request's body for the upstream. It is wrapped so that net/http cannot
+// retry the request by itself, as it does for rewindable bodies when a keep-alive connection
+// breaks.
 //
-// One of known length is not read beyond it. The client of net/http looks whether more follows;
-// where the answer has begun by then, the server has closed the body, the look fails, and the
-// client closes the connection in the middle of the answer.
-func bodyOf(r *http.Request) io.ReadCloser {
+// A body of known length is not read beyond that length. The net/http client probes for more
+// data; if the response has begun by then, the server has closed the body, the read fails, and
+// the client closes the connection in the middle of the response.
+func requestBody(r *http.Request) io.ReadCloser {
 	limit := int64(maxBody)
 	if r.ContentLength >= 0 {
 		limit = min(limit, r.ContentLength)
@@ -65,16 +68,16 @@
 	return io.NopCloser(io.LimitReader(r.Body, limit))
 }
 
-// sink takes an answer piece by piece; Write must not keep the piece.
+// sink receives a response in chunks; write must not retain the chunk.
 type sink interface {
 	start(status int, header http.Header)
-	write(piece []byte) error
+	write(chunk []byte) error
 }
 
-// passEngine passes an engine's answer on and counts its tokens. It ends a stream
-// that would pass more pieces of output than the limit: the engine was told that
-// limit, and what it generates beyond it is not paid for.
-func passEngine(resp *http.Response, limit int64, to sink) (openai.Meter, error) {
+// copyEngineResponse forwards an engine's response and counts its tokens. It ends a stream
+// with more output chunks than the limit: the request states that limit, and output beyond
+// it is not covered by the reservation.
+func copyEngineResponse(resp *http.Response, limit int64, to sink) (openai.Meter, error) {
 	var m openai.Meter
 	to.start(resp.StatusCode, resp.Header)
 	if !strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
@@ -85,7 +88,7 @@
 		m.Whole(b)
 		return m, to.write(b)
 	}
-	lines := bufio.NewReaderSize(resp.Body, copyBuffer)
+	lines := bufio.NewReaderSize(resp.Body, copyBufferSize)
 	for !m.Done {
 		line, err := readLine(lines)
 		if err != nil {
@@ -93,7 +96,7 @@
 		}
 		m.Line(line)
 		if m.Outputs > limit {
-			return m, errOverLimit
+			return m, errOutputLimit
 		}
 		if err := to.write(line); err != nil {
 			return m, err
@@ -102,8 +105,8 @@
 	return m, to.write([]byte("\n"))
 }
 
-// errOverLimit says that an engine ignored the output limit.
-var errOverLimit = errors.New("engine passed the output limit")
+// errOutputLimit means that an engine ignored the output limit.
+var errOutputLimit = errors.New("engine exceeded the output limit")
 
 func readLine(r *bufio.Reader) ([]byte, error) {
 	line, err := r.ReadSlice('\n')
@@ -118,10 +121,10 @@
 	return line, err
 }
 
-// passPlain passes a plain service's answer on.
-func passPlain(resp *http.Response, to sink) error {
+// copyPlainResponse forwards a plain service's response.
+func copyPlainResponse(resp *http.Response, to sink) error {
 	to.start(resp.StatusCode, resp.Header)
-	buf := make([]byte, copyBuffer)
+	buf := make([]byte, copyBufferSize)
 	for {
 		n, err := resp.Body.Read(buf)
 		if n > 0 {
