--- a/agent/agent.go
+++ b/agent/agent.go
@@ -97,14 +97,14 @@
 	}
 	ctx, cancel := context.WithCancel(context.WithoutCancel(stop))
 	defer cancel()
-	tasks := process.NewDuties(ctx)
+	tasks := process.NewTaskGroup(ctx)
 	tasks.Serve(&http.Server{Handler: a.base.Admin.Handler(), ReadHeaderTimeout: headerTimeout}, listeners.admin, nil)
 	if err := a.initialize(stop); err != nil {
 		cancel()
 		tasks.Wait()
 		return err
 	}
-	tasks.Go(a.base.Follow)
+	tasks.Go(a.base.FollowVMs)
 	tasks.Go(a.outbox.Run)
 	tasks.Every(sweepInterval, a.sweep)
 	server := &link.Server{Log: a.base.Log.Printf, Security: a.base.Security, Methods: a.methods()}
@@ -114,7 +114,7 @@
 	a.base.Admin.SetReady(true)
 	<-stop.Done()
 	a.stop(ctx, time.Duration(s.StopTimeout))
-	process.Finish(work)
+	process.ShutdownServer(work)
 	cancel()
 	a.base.Links.Close()
 	tasks.Wait()
@@ -138,7 +138,7 @@
 // initialize registers this incarnation before it reads the fences. If a recovery did not
 // see this incarnation, its fence was written before and is read here.
 func (a *Agent) initialize(ctx context.Context) error {
-	if err := a.base.Begin(ctx); err != nil {
+	if err := a.base.StartIncarnation(ctx); err != nil {
 		return err
 	}
 	a.incarnation = a.base.Incarnation
@@ -222,7 +222,7 @@
 	left := a.outbox.Waiting()
 	runs := a.witness.State().Runs
 	if left == 0 && runs == 0 {
-		if err := a.base.Lives.MarkClean(ctx, a.incarnation); err != nil {
+		if err := a.base.Incarnations.MarkClean(ctx, a.incarnation); err != nil {
 			a.log.Warn().Err(err).Msg("clean_end_not_recorded")
 		}
 	}
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -36,7 +36,7 @@
 func (m *agentMetrics) recordEnd(w contract.Work, o contract.Outcome) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`arbutusmill_agent_requests_total{class=%q}`, w.Class)).Inc()
 	m.tokens.Add(int(o.Used))
-	if !o.Whole {
+	if !o.Complete {
 		m.truncated.Inc()
 	}
 }
--- a/agent/once.go
+++ b/agent/once.go
@@ -39,13 +39,13 @@
 
 // ClaimState has the numbers of claims by result, for debug dumps.
 type ClaimState struct {
-	Taken       int64 `json:"taken"`
-	Found       int64 `json:"found_taken"`
-	Unavailable int64 `json:"unavailable"`
+	Acquired       int64 `json:"taken"`
+	AlreadyClaimed int64 `json:"found_taken"`
+	Unavailable    int64 `json:"unavailable"`
 }
 
 func (c *claimCounts) state() ClaimState {
-	return ClaimState{Taken: c.acquired.Load(), Found: c.existing.Load(), Unavailable: c.unavailable.Load()}
+	return ClaimState{Acquired: c.acquired.Load(), AlreadyClaimed: c.existing.Load(), Unavailable: c.unavailable.Load()}
 }
 
 // savedResponse is a response as stored in a claim.
@@ -111,7 +111,7 @@
 	switch {
 	case o.Kind == contract.NoUpstream:
 		state = claim.Withdrawn
-	case !o.Whole:
+	case !o.Complete:
 		return
 	}
 	answer, err := json.Marshal(rec.saved)
@@ -141,7 +141,7 @@
 	if err := s.write(saved.Body); err != nil {
 		return t.finish(contract.Outcome{Replayed: true, Kind: contract.UpstreamFailed}, nil)
 	}
-	return t.finish(contract.Outcome{Replayed: true, Whole: true}, nil)
+	return t.finish(contract.Outcome{Replayed: true, Complete: true}, nil)
 }
 
 func (t *run) finishRefused(k contract.Kind, message string) *contract.Refusal {
--- a/agent/run.go
+++ b/agent/run.go
@@ -126,7 +126,7 @@
 		why = refusal.Message
 	}
 	a.log.Info().Str("id", t.work.ID).Str("service", t.work.Service).Int64("tokens", o.Used).
-		Bool("whole", o.Whole).Str("kind", string(o.Kind)).Str("why", why).Msg("ended")
+		Bool("whole", o.Complete).Str("kind", string(o.Kind)).Str("why", why).Msg("ended")
 	if refusal != nil && !t.started {
 		return refusal
 	}
@@ -160,20 +160,20 @@
 	if err := copyPlainResponse(resp, to); err != nil {
 		return t.failed(ctx, err, t.capUsage(t.work.Price))
 	}
-	return contract.Outcome{Used: t.capUsage(t.work.Price), Whole: true}, nil
+	return contract.Outcome{Used: t.capUsage(t.work.Price), Complete: true}, nil
 }
 
 func (t *run) forwardEngine(ctx context.Context, resp *http.Response, to sink) (contract.Outcome, *contract.Refusal) {
 	if resp.StatusCode != http.StatusOK {
 		// An error response of an engine generated no tokens.
-		return contract.Outcome{Whole: true}, copyErrorResponse(resp, to)
+		return contract.Outcome{Complete: true}, copyErrorResponse(resp, to)
 	}
 	m, err := copyEngineResponse(resp, t.work.OutputLimit, to)
 	used := t.capUsage(m.Billed())
 	if err != nil {
 		return t.failed(ctx, err, used)
 	}
-	return contract.Outcome{Used: used, Whole: true}, nil
+	return contract.Outcome{Used: used, Complete: true}, nil
 }
 
 func copyErrorResponse(resp *http.Response, to sink) *contract.Refusal {
--- a/agent/upstream.go
+++ b/agent/upstream.go
@@ -44,7 +44,7 @@
 	}
 	hop.CopyHeaders(req.Header, r.Header)
 	req.ContentLength = r.ContentLength
-	tracker := &hop.Sent{}
+	tracker := &hop.ConnTracker{}
 	req = req.WithContext(tracker.Trace(ctx))
 	resp, err := u.client.Do(req)
 	if err != nil && !tracker.Connected() {
@@ -85,7 +85,7 @@
 		if err != nil {
 			return m, err
 		}
-		m.Whole(b)
+		m.RecordBody(b)
 		return m, to.write(b)
 	}
 	lines := bufio.NewReaderSize(resp.Body, copyBufferSize)
@@ -94,7 +94,7 @@
 		if err != nil {
 			return m, err
 		}
-		m.Line(line)
+		m.RecordLine(line)
 		if m.Outputs > limit {
 			return m, errOutputLimit
 		}
--- a/capacity/slopes_test.go
+++ b/capacity/slopes_test.go
@@ -395,7 +395,7 @@
 			return timePerCall(func() {
 				var m openai.Meter
 				for range size {
-					m.Line(line)
+					m.RecordLine(line)
 				}
 			}), 0
 		}}
--- a/contract/kind.go
+++ b/contract/kind.go
@@ -123,8 +123,8 @@
 	return &Refusal{Kind: k, Message: fmt.Sprintf(format, args...)}
 }
 
-// After sets the delay after which a retry may succeed, and returns the refusal.
-func (r *Refusal) After(d time.Duration) *Refusal {
+// WithRetryAfter sets the delay after which a retry may succeed, and returns the refusal.
+func (r *Refusal) WithRetryAfter(d time.Duration) *Refusal {
 	r.RetryAfter = d
 	return r
 }
--- a/contract/work.go
+++ b/contract/work.go
@@ -88,8 +88,8 @@
 type Outcome struct {
 	// Used is the billed amount in tokens.
 	Used int64 `json:"used"`
-	// Whole reports whether the upstream's answer was forwarded completely.
-	Whole bool `json:"whole"`
+	// Complete reports whether the upstream's answer was forwarded completely.
+	Complete bool `json:"whole"`
 	// Kind is set if the answer is not complete.
 	Kind Kind `json:"kind,omitempty"`
 	// Replayed reports whether the answer is that of an earlier run; it costs nothing.
--- a/coord/grant/fleet_test.go
+++ b/coord/grant/fleet_test.go
@@ -18,11 +18,11 @@
 
 func newFleet(t *testing.T, credit int64) (*lab.Fleet, *lab.Node, *lab.Node) {
 	f := lab.New(lab.Options{Pages: 1, Policy: func() grant.Policy { return grant.FavourAvailability() },
-		Timing: grant.DefaultTiming(), Transfers: true, Expect: 2})
+		Timing: grant.DefaultTiming(), Transfers: true, ExpectedHolders: 2})
 	ctx := t.Context()
-	require.NoError(t, f.Book().Create(ctx, budget, "lakeshore"))
+	require.NoError(t, f.Accounts().Create(ctx, budget, "lakeshore"))
 	if credit > 0 {
-		require.NoError(t, f.Book().TopUp(ctx, budget, "first", credit))
+		require.NoError(t, f.Accounts().TopUp(ctx, budget, "first", credit))
 	}
 	var nodes []*lab.Node
 	for _, dc := range []string{"cleveland", "detroit"} {
@@ -30,7 +30,7 @@
 		require.NoError(t, err)
 		n, err := f.AddNode(ctx, dc+"-router", dc)
 		require.NoError(t, err)
-		n.Place(ctx)
+		n.SyncAllPages(ctx)
 		nodes = append(nodes, n)
 	}
 	return f, nodes[0], nodes[1]
@@ -55,10 +55,10 @@
 	virtualtime.Test(t, func(t *testing.T) {
 		f, near, far := newFleet(t, 1000)
 		ctx := t.Context()
-		f.Cut("detroit")
+		f.Partition("detroit")
 		farServed := spendAll(ctx, f, far)
 		require.Positive(t, farServed, "tokens must be placed there before the partition")
-		require.NoError(t, f.Book().TopUp(ctx, budget, "second", 500))
+		require.NoError(t, f.Accounts().TopUp(ctx, budget, "second", 500))
 		for range 60 {
 			f.Now = f.Now.Add(time.Minute)
 			near.Sync(ctx)
@@ -95,7 +95,7 @@
 		f.Now = f.Now.Add(6 * time.Minute)
 		near.Sync(ctx)
 		far.Sync(ctx)
-		a, err := f.Book().Get(ctx, budget)
+		a, err := f.Accounts().Get(ctx, budget)
 		require.NoError(t, err)
 		require.Equal(t, int64(400), a.Settled())
 	})
@@ -180,12 +180,12 @@
 		ctx := t.Context()
 		f.Store.SetFaults(memstore.Faults{Down: true})
 		spendOwn(ctx, f, near)
-		f.DropLots = 1
+		f.DropLotReplies = 1
 		_, err := near.Serve(ctx, "lost", budget, 50)
 		require.ErrorIs(t, err, grant.ErrUnreachable)
 		lots := far.Holder.LentLots()[near.Holder.ID()]
 		require.Len(t, lots, 1)
-		far.Audit()
+		far.ReclaimLostLots()
 		require.Empty(t, far.Holder.LentLots())
 		near.Holder.Borrow(f.Now, budget, grant.Lot{Part: lots[0]}) // the late answer
 		require.Equal(t, int64(0), near.Holder.State(f.Now)[0].Spendable)
@@ -237,14 +237,14 @@
 		f.Store.SetFaults(memstore.Faults{LoseResponses: 1})
 		done := make(chan error, 2)
 		for range 2 {
-			go func() { done <- f.Book().TopUp(ctx, budget, "invoice-1", 700) }()
+			go func() { done <- f.Accounts().TopUp(ctx, budget, "invoice-1", 700) }()
 		}
 		require.NoError(t, <-done)
 		require.NoError(t, <-done)
-		a, err := f.Book().Get(ctx, budget)
+		a, err := f.Accounts().Get(ctx, budget)
 		require.NoError(t, err)
 		require.Equal(t, int64(700), a.Credit())
-		err = f.Book().TopUp(ctx, budget, "invoice-1", 900)
+		err = f.Accounts().TopUp(ctx, budget, "invoice-1", 900)
 		require.ErrorIs(t, err, account.ErrCreditDiffers)
 	})
 }
@@ -262,17 +262,17 @@
 		require.NoError(t, err)
 		r.Finish(50)
 		f.Store.SetFaults(memstore.Faults{})
-		far.Frozen = true
+		far.Paused = true
 		f.Agents[1].Dead = true
 		_, err = f.Recover(ctx, near.DC, far.Holder.ID(), false)
 		require.Error(t, err, "one agent does not answer")
-		far.Frozen, f.Agents[1].Dead = false, false
-		far.Audit()
+		far.Paused, f.Agents[1].Dead = false, false
+		far.ReclaimLostLots()
 		near.ReturnLots(0)
-		far.Audit()
+		far.ReclaimLostLots()
 		f.Now = f.Now.Add(10 * time.Minute)
 		far.Sync(ctx)
-		a, err := f.Book().Get(ctx, budget)
+		a, err := f.Accounts().Get(ctx, budget)
 		require.NoError(t, err)
 		require.Equal(t, int64(50), a.Rows[far.Holder.ID()].Settled)
 	})
@@ -284,7 +284,7 @@
 	virtualtime.Test(t, func(t *testing.T) {
 		f, near, far := newFleet(t, 1000)
 		ctx := t.Context()
-		f.Cut("cleveland", "detroit")
+		f.Partition("cleveland", "detroit")
 		spendOwn(ctx, f, near)
 		r, err := near.Serve(ctx, "peer", budget, 50)
 		require.NoError(t, err)
@@ -298,7 +298,7 @@
 	virtualtime.Test(t, func(t *testing.T) {
 		f, near, far := newFleet(t, 1000)
 		far.Dead = true
-		require.NoError(t, f.Book().TopUp(t.Context(), budget, "second", 5000))
+		require.NoError(t, f.Accounts().TopUp(t.Context(), budget, "second", 5000))
 		f.Store.SetFaults(memstore.Faults{Delay: 50 * time.Millisecond})
 		first, cancel := context.WithCancel(t.Context())
 		go func() { _, _ = near.Serve(first, "first", budget, 800) }()
--- a/coord/grant/property_test.go
+++ b/coord/grant/property_test.go
@@ -30,8 +30,8 @@
 	policy := rapid.SampledFrom([]grant.Policy{grant.FavourAvailability(), grant.FavourExactness(),
 		grant.EvenPolicy{N: 3}, grant.RequestPolicy{}}).Draw(t, "policy")
 	f := &faultyFleet{t: t, ctx: ctx, Fleet: lab.New(lab.Options{Pages: 1, Policy: func() grant.Policy { return policy },
-		Timing: grant.DefaultTiming(), Transfers: true, Expect: 3})}
-	require.NoError(t, f.Book().Create(ctx, budget, "team"))
+		Timing: grant.DefaultTiming(), Transfers: true, ExpectedHolders: 3})}
+	require.NoError(t, f.Accounts().Create(ctx, budget, "team"))
 	f.topUp()
 	for _, dc := range dcs {
 		_, err := f.AddAgent(ctx, dc+"-engine", dc)
@@ -46,13 +46,13 @@
 	f.count++
 	ctx, cancel := context.WithTimeout(f.ctx, lab.CallTimeout)
 	defer cancel()
-	if f.Book().TopUp(ctx, budget, fmt.Sprint(f.count), n) == nil {
+	if f.Accounts().TopUp(ctx, budget, fmt.Sprint(f.count), n) == nil {
 		f.credit += n
 		return
 	}
 	// Not acknowledged, but it may have taken effect: read the account.
 	f.Store.SetFaults(memstore.Faults{})
-	a, err := f.Book().Get(f.ctx, budget)
+	a, err := f.Accounts().Get(f.ctx, budget)
 	require.NoError(f.t, err)
 	f.credit = a.Credit()
 }
@@ -61,7 +61,7 @@
 	ctx, cancel := context.WithTimeout(f.ctx, lab.CallTimeout)
 	defer cancel()
 	if n, err := f.AddNode(ctx, dc+"-router", dc); err == nil {
-		n.Place(f.ctx)
+		n.SyncAllPages(f.ctx)
 	}
 }
 
@@ -79,7 +79,7 @@
 			n.Sync(f.ctx)
 		}
 	case 7:
-		f.Cut(rapid.SampledFrom(dcs).Draw(f.t, "cut"))
+		f.Partition(rapid.SampledFrom(dcs).Draw(f.t, "cut"))
 	case 8:
 		f.Heal()
 	case 9:
@@ -88,17 +88,17 @@
 		f.start(n.DC)
 	case 10:
 		n := f.node()
-		n.Frozen = !n.Frozen
+		n.Paused = !n.Paused
 	case 11:
 		f.recover()
 	case 12:
 		f.Store.SetFaults(memstore.Faults{LoseResponses: rapid.IntRange(0, 2).Draw(f.t, "lose"), Down: rapid.IntRange(0, 5).Draw(f.t, "down") == 0})
-		f.DropLots = rapid.IntRange(0, 2).Draw(f.t, "drop")
+		f.DropLotReplies = rapid.IntRange(0, 2).Draw(f.t, "drop")
 	case 13:
 		for _, n := range f.Nodes {
 			n.ReturnLots(0)
-			if !n.Dead && !n.Frozen {
-				n.Audit()
+			if !n.Dead && !n.Paused {
+				n.ReclaimLostLots()
 			}
 		}
 	case 14:
@@ -108,7 +108,7 @@
 
 func (f *faultyFleet) serve() {
 	n := f.node()
-	if n.Dead || n.Frozen {
+	if n.Dead || n.Paused {
 		return
 	}
 	f.count++
@@ -140,20 +140,20 @@
 // stabilize ends all failures and requests, and makes every node report.
 func (f *faultyFleet) stabilize() {
 	f.Store.SetFaults(memstore.Faults{})
-	f.DropLots = 0
+	f.DropLotReplies = 0
 	f.Heal()
 	for _, r := range f.open {
 		r.Finish(1)
 	}
 	for _, n := range f.Nodes {
-		n.Frozen = false
+		n.Paused = false
 	}
 	for range 3 {
 		f.Now = f.Now.Add(5 * time.Minute)
 		for _, n := range f.Nodes {
 			if !n.Dead {
 				n.ReturnLots(0)
-				n.Audit()
+				n.ReclaimLostLots()
 				n.SyncPage(f.ctx, f.Layout.PageKey(0))
 			}
 		}
@@ -178,7 +178,7 @@
 			}
 			f.stabilize()
 			f.check()
-			a, err := f.Book().Get(f.ctx, budget)
+			a, err := f.Accounts().Get(f.ctx, budget)
 			require.NoError(rt, err)
 			require.NoError(rt, a.Check())
 			require.LessOrEqual(rt, f.Served(budget), a.Settled()+a.Outstanding()+a.Forfeited)
--- a/coord/internal/lab/experiment.go
+++ b/coord/internal/lab/experiment.go
@@ -18,20 +18,20 @@
 	DCs  [3]string
 	// Rate is the requests per second over all teams.
 	Rate float64
-	// WorstMin and WorstMax bound the tokens that a request reserves, UsedMin and
+	// ReservedMin and WorstMax bound the tokens that a request reserves, UsedMin and
 	// UsedMax the share of them that it uses.
-	WorstMin, WorstMax int64
-	UsedMin, UsedMax   float64
-	Favour             grant.DemandPolicy
+	ReservedMin, ReservedMax int64
+	UsedMin, UsedMax         float64
+	Favour                   grant.DemandPolicy
 }
 
 // Deployments returns the two deployments that the policies are compared on.
 func Deployments() []Deployment {
 	return []Deployment{
 		{Name: "brekke", DCs: [3]string{"bergen", "alesund", "floro"}, Rate: 10,
-			WorstMin: 300, WorstMax: 900, UsedMin: 0.1, UsedMax: 0.5, Favour: grant.FavourAvailability()},
+			ReservedMin: 300, ReservedMax: 900, UsedMin: 0.1, UsedMax: 0.5, Favour: grant.FavourAvailability()},
 		{Name: "lakeshore", DCs: [3]string{"cleveland", "detroit", "milwaukee"}, Rate: 10,
-			WorstMin: 200, WorstMax: 4000, UsedMin: 0.3, UsedMax: 0.9, Favour: grant.FavourExactness()},
+			ReservedMin: 200, ReservedMax: 4000, UsedMin: 0.3, UsedMax: 0.9, Favour: grant.FavourExactness()},
 	}
 }
 
@@ -86,9 +86,9 @@
 	Partition  time.Duration
 	// Budget is the ratio of credit to demand.
 	Budget float64
-	// Death makes one router crash during the partition.
-	Death bool
-	Seed  uint64
+	// RouterCrash makes one router crash during the partition.
+	RouterCrash bool
+	Seed        uint64
 }
 
 // Result is the result of one cell. Tokens are summed over all teams.
@@ -97,22 +97,24 @@
 	Served   int
 	// Overspend is the tokens served in excess of the credits.
 	Overspend int64
-	// False counts the refusals although the budget covered the reservation, with
+	// FalseRefusals counts the refusals although the budget covered the reservation, with
 	// the reservations of running requests counted as spent. Far counts those of them
 	// where the caller's side of the partition did not have enough tokens.
-	False, Far int
-	// Lost is an upper bound on the requests that an optimal placement of tokens would
+	FalseRefusals, FalseOutOfReach int
+	// LostRequests is an upper bound on the requests that an optimal placement of tokens would
 	// have served in addition: the false refusals, but no more than the unspent
 	// tokens would have covered.
-	Lost int
+	LostRequests int
 	// Stranded is the tokens that dead holders still hold at the end, Forfeited those
 	// that recovery forfeited.
 	Stranded, Forfeited int64
 	Reads, Writes       int64
 }
 
-// FalsePer10k returns the false refusals per 10,000 requests.
-func (r Result) FalsePer10k() float64 { return 1e4 * float64(r.False) / float64(r.Requests) }
+// FalseRefusalsPer10k returns the false refusals per 10,000 requests.
+func (r Result) FalseRefusalsPer10k() float64 {
+	return 1e4 * float64(r.FalseRefusals) / float64(r.Requests)
+}
 
 // WritesPer100 returns the store writes per 100 requests.
 func (r Result) WritesPer100() float64 { return 100 * float64(r.Writes) / float64(r.Requests) }
@@ -189,15 +191,15 @@
 func (x *experiment) setUp() error {
 	d := x.cell.Deployment
 	x.f = New(Options{Pages: 2, Policy: func() grant.Policy { return x.cell.Policy.Policy(d) },
-		Timing: grant.DefaultTiming(), Transfers: x.cell.Policy.Transfers, Expect: holders})
+		Timing: grant.DefaultTiming(), Transfers: x.cell.Policy.Transfers, ExpectedHolders: holders})
 	x.start = x.f.Now
-	perRequest := float64(d.WorstMin+d.WorstMax) / 2 * (d.UsedMin + d.UsedMax) / 2
+	perRequest := float64(d.ReservedMin+d.ReservedMax) / 2 * (d.UsedMin + d.UsedMax) / 2
 	for t := range teams {
 		x.credit[t] = int64(x.cell.Budget * teamShare[t] * d.Rate * x.cell.Horizon.Seconds() * perRequest)
-		if err := x.f.Book().Create(x.ctx, budgetName(t), fmt.Sprint("team-", t)); err != nil {
+		if err := x.f.Accounts().Create(x.ctx, budgetName(t), fmt.Sprint("team-", t)); err != nil {
 			return err
 		}
-		if err := x.f.Book().TopUp(x.ctx, budgetName(t), "first", x.credit[t]); err != nil {
+		if err := x.f.Accounts().TopUp(x.ctx, budgetName(t), "first", x.credit[t]); err != nil {
 			return err
 		}
 	}
@@ -210,7 +212,7 @@
 			if err != nil {
 				return err
 			}
-			n.Place(x.ctx)
+			n.SyncAllPages(x.ctx)
 		}
 	}
 	return nil
@@ -254,13 +256,13 @@
 	since := time.Duration(second) * time.Second
 	switch {
 	case x.cell.Partition > 0 && since == x.cell.partitionAt():
-		x.f.Cut(x.cell.Deployment.DCs[2])
+		x.f.Partition(x.cell.Deployment.DCs[2])
 	case x.cell.Partition > 0 && since == x.cell.partitionAt()+x.cell.Partition:
 		x.f.Heal()
 		x.countLost()
-	case x.cell.Death && since == x.cell.crashAt():
+	case x.cell.RouterCrash && since == x.cell.crashAt():
 		x.crashRouter()
-	case x.cell.Death && since == x.cell.crashAt()+restartAfter:
+	case x.cell.RouterCrash && since == x.cell.crashAt()+restartAfter:
 		if err := x.restartRouter(); err != nil {
 			return err
 		}
@@ -269,10 +271,10 @@
 		n.Sync(x.ctx)
 		n.ReturnLots(lotIdle)
 		if second%60 == i && !n.Dead {
-			n.Audit()
+			n.ReclaimLostLots()
 		}
-		if second%60 == 30+i && !n.Dead && !n.Frozen {
-			n.Place(x.ctx)
+		if second%60 == 30+i && !n.Dead && !n.Paused {
+			n.SyncAllPages(x.ctx)
 		}
 	}
 	if second%10 == 0 && since > x.cell.crashAt()+listLag {
@@ -292,7 +294,7 @@
 	old := x.f.Nodes[0]
 	n, err := x.f.AddNode(x.ctx, old.VM, old.DC)
 	if err == nil {
-		n.Place(x.ctx)
+		n.SyncAllPages(x.ctx)
 	}
 	return err
 }
@@ -311,7 +313,7 @@
 func (x *experiment) handleArrival() {
 	d := x.cell.Deployment
 	team := x.pickTeam()
-	tokens := d.WorstMin + x.rng.Int64N(d.WorstMax-d.WorstMin+1)
+	tokens := d.ReservedMin + x.rng.Int64N(d.ReservedMax-d.ReservedMin+1)
 	share := d.UsedMin + x.rng.Float64()*(d.UsedMax-d.UsedMin)
 	duration := time.Second + time.Duration(x.rng.Int64N(int64(3*time.Second)))
 	n := x.pickNode(team)
@@ -360,10 +362,10 @@
 	if left < tokens {
 		return
 	}
-	x.res.False++
+	x.res.FalseRefusals++
 	x.falseRefusals[team]++
 	if x.availableFrom(n, team) < tokens {
-		x.res.Far++
+		x.res.FalseOutOfReach++
 	}
 }
 
@@ -382,7 +384,7 @@
 		}
 	}
 	if x.f.Side(n.DC) == 0 {
-		if a, err := x.f.Book().Get(x.ctx, budgetName(team)); err == nil {
+		if a, err := x.f.Accounts().Get(x.ctx, budgetName(team)); err == nil {
 			available += a.Free()
 		}
 	}
@@ -393,10 +395,10 @@
 // would have covered.
 func (x *experiment) countLost() {
 	d := x.cell.Deployment
-	mean := float64(d.WorstMin+d.WorstMax) / 2 * (d.UsedMin + d.UsedMax) / 2
+	mean := float64(d.ReservedMin+d.ReservedMax) / 2 * (d.UsedMin + d.UsedMax) / 2
 	for t := range teams {
 		left := float64(x.credit[t] - x.used[t] - x.reserved[t])
-		x.res.Lost += min(x.falseRefusals[t], int(left/mean))
+		x.res.LostRequests += min(x.falseRefusals[t], int(left/mean))
 		x.falseRefusals[t] = 0
 	}
 }
@@ -406,7 +408,7 @@
 	calls := x.f.Store.Calls()
 	x.res.Reads, x.res.Writes = calls.Reads, calls.Writes
 	for t := range teams {
-		a, err := x.f.Book().Get(x.ctx, budgetName(t))
+		a, err := x.f.Accounts().Get(x.ctx, budgetName(t))
 		if err != nil {
 			return x.res, err
 		}
--- a/coord/internal/lab/experiment_test.go
+++ b/coord/internal/lab/experiment_test.go
@@ -39,14 +39,14 @@
 		var evenFalse, fullFalse int
 		for _, budget := range []float64{0.95, 1.05} {
 			cell := lab.Cell{Deployment: d, Policy: evenSplit, Horizon: lab.Horizon,
-				Partition: lab.Horizon / 2, Budget: budget, Death: true, Seed: *seed}
+				Partition: lab.Horizon / 2, Budget: budget, RouterCrash: true, Seed: *seed}
 			evenResult := run(t, cell)
 			cell.Policy = fullPolicy
 			fullResult := run(t, cell)
 			require.Zero(t, evenResult.Overspend)
 			require.Zero(t, fullResult.Overspend)
-			evenFalse += evenResult.False
-			fullFalse += fullResult.False
+			evenFalse += evenResult.FalseRefusals
+			fullFalse += fullResult.FalseRefusals
 		}
 		require.LessOrEqual(t, 10*fullFalse, evenFalse, "%s: false refusals", d.Name)
 		steady := run(t, lab.Cell{Deployment: d, Policy: fullPolicy, Horizon: lab.Horizon, Budget: 1.05, Seed: *seed})
@@ -69,7 +69,7 @@
 			for _, partition := range []time.Duration{0, time.Minute, 10 * time.Minute, time.Hour} {
 				for _, budget := range []float64{0.50, 0.95, 1.05} {
 					for _, death := range []bool{false, true} {
-						c := lab.Cell{Deployment: d, Policy: p, Horizon: lab.Horizon, Partition: partition, Budget: budget, Death: death, Seed: *seed}
+						c := lab.Cell{Deployment: d, Policy: p, Horizon: lab.Horizon, Partition: partition, Budget: budget, RouterCrash: death, Seed: *seed}
 						printRow(c, run(t, c))
 					}
 				}
@@ -81,6 +81,6 @@
 func printRow(c lab.Cell, r lab.Result) {
 	per := func(n int64) float64 { return 100 * float64(n) / float64(r.Requests) }
 	fmt.Printf("%-10s %-22s %9s %5.0f%% %5t | %8d %9d %9.1f %7.1f %8.2f %9d %9d %7.2f %7.2f\n", c.Deployment.Name, c.Policy.Name,
-		c.Partition, 100*c.Budget, c.Death, r.Requests, r.Overspend, r.FalsePer10k(), 1e4*float64(r.Far)/float64(r.Requests), 1e4*float64(r.Lost)/float64(r.Requests),
+		c.Partition, 100*c.Budget, c.RouterCrash, r.Requests, r.Overspend, r.FalseRefusalsPer10k(), 1e4*float64(r.FalseOutOfReach)/float64(r.Requests), 1e4*float64(r.LostRequests)/float64(r.Requests),
 		r.Stranded, r.Forfeited, per(r.Writes), per(r.Reads))
 }
--- a/coord/internal/lab/lab.go
+++ b/coord/internal/lab/lab.go
@@ -30,22 +30,22 @@
 	Timing grant.Timing
 	// Transfers allows nodes to borrow from each other.
 	Transfers bool
-	// Expect is the number of holders that policies assume.
-	Expect int
+	// ExpectedHolders is the number of holders that policies assume.
+	ExpectedHolders int
 }
 
 // Fleet is a set of nodes and agents that share one store.
 type Fleet struct {
-	Opt    Options
-	Store  *memstore.Store
-	Layout account.Layout
-	Lives  incarnation.Registry
-	Fences recovery.Fences
-	Now    time.Time
-	Nodes  []*Node
-	Agents []*Agent
-	// DropLots is the number of next replies to lot requests that are lost.
-	DropLots int
+	Opt          Options
+	Store        *memstore.Store
+	Layout       account.Layout
+	Incarnations incarnation.Registry
+	Fences       recovery.Fences
+	Now          time.Time
+	Nodes        []*Node
+	Agents       []*Agent
+	// DropLotReplies is the number of next replies to lot requests that are lost.
+	DropLotReplies int
 
 	// side is the side of the partition that a data centre is on; the store is on
 	// side 0.
@@ -54,8 +54,8 @@
 
 // Agent is a witness in a data centre.
 type Agent struct {
-	VM, DC, Life string
-	Witness      *witness.Witness
+	VM, DC, Incarnation string
+	Witness             *witness.Witness
 	// Served is the number of tokens used on this agent, by budget.
 	Served map[string]int64
 	Dead   bool
@@ -63,12 +63,12 @@
 
 // Node is one incarnation of a router.
 type Node struct {
-	VM, DC string
-	Holder *grant.Holder
-	Pages  *grant.StoreGranter
-	Acq    *grant.Acquirer
+	VM, DC   string
+	Holder   *grant.Holder
+	Pages    *grant.StoreGranter
+	Acquirer *grant.Acquirer
 	// Dead nodes do nothing; Frozen ones are paused and may resume.
-	Dead, Frozen bool
+	Dead, Paused bool
 
 	fleet *Fleet
 }
@@ -78,15 +78,15 @@
 	s := memstore.New()
 	return &Fleet{
 		Opt: opt, Store: s, Layout: account.Layout{Prefix: "budget/", Pages: opt.Pages},
-		Lives:  incarnation.Registry{Store: s, Prefix: "life/"},
-		Fences: recovery.Fences{Store: s, Key: "fences"},
-		Now:    time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC),
-		side:   map[string]int{},
+		Incarnations: incarnation.Registry{Store: s, Prefix: "life/"},
+		Fences:       recovery.Fences{Store: s, Key: "fences"},
+		Now:          time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC),
+		side:         map[string]int{},
 	}
 }
 
-// Book returns an operator's client of the accounts.
-func (f *Fleet) Book() account.AdminClient {
+// Accounts returns an operator's client of the accounts.
+func (f *Fleet) Accounts() account.AdminClient {
 	return account.AdminClient{Store: f.Store, Layout: f.Layout}
 }
 
@@ -98,8 +98,8 @@
 	}
 }
 
-// Cut partitions data centres from the store.
-func (f *Fleet) Cut(dcs ...string) {
+// Partition partitions data centres from the store.
+func (f *Fleet) Partition(dcs ...string) {
 	f.Quiesce()
 	for _, dc := range dcs {
 		f.side[dc] = 1
@@ -154,11 +154,11 @@
 
 // AddAgent starts an incarnation of an agent.
 func (f *Fleet) AddAgent(ctx context.Context, vm, dc string) (*Agent, error) {
-	incarnationID, err := f.Lives.Begin(ctx, vm, recovery.AgentRole)
+	incarnationID, err := f.Incarnations.Begin(ctx, vm, recovery.AgentRole)
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{VM: vm, DC: dc, Life: incarnationID, Witness: witness.New(witnessRuns), Served: map[string]int64{}}
+	a := &Agent{VM: vm, DC: dc, Incarnation: incarnationID, Witness: witness.New(witnessRuns), Served: map[string]int64{}}
 	upTo, err := f.Fences.Load(ctx)
 	if err != nil {
 		return nil, err
@@ -170,12 +170,12 @@
 
 // AddNode starts an incarnation of a router.
 func (f *Fleet) AddNode(ctx context.Context, vm, dc string) (*Node, error) {
-	incarnationID, err := f.Lives.Begin(ctx, vm, "router")
+	incarnationID, err := f.Incarnations.Begin(ctx, vm, "router")
 	if err != nil {
 		return nil, err
 	}
 	n := &Node{VM: vm, DC: dc, fleet: f, Holder: grant.NewHolder(incarnationID, f.Layout, f.Opt.Policy())}
-	n.Holder.SetExpectedHolders(f.Opt.Expect)
+	n.Holder.SetExpectedHolders(f.Opt.ExpectedHolders)
 	now := func() time.Time { return f.Now }
 	n.Pages = &grant.StoreGranter{Holder: n.Holder, Store: f.storeFrom(dc), Layout: f.Layout, Timing: f.Opt.Timing,
 		Timeout: CallTimeout / 2, Now: now}
@@ -183,7 +183,7 @@
 	if f.Opt.Transfers {
 		chain = append(chain, &grant.PeerGranter{Holder: n.Holder, Lender: n, Peers: n.peers, Timeout: CallTimeout, Now: now})
 	}
-	n.Acq = &grant.Acquirer{Holder: n.Holder, Chain: chain, Now: now}
+	n.Acquirer = &grant.Acquirer{Holder: n.Holder, Chain: chain, Now: now}
 	f.Nodes = append(f.Nodes, n)
 	return n, nil
 }
@@ -225,12 +225,12 @@
 // Lend implements grant.Lender.
 func (n *Node) Lend(ctx context.Context, peer, budget, id string, need, want int64) (grant.Lot, error) {
 	p := n.fleet.Node(peer)
-	if p == nil || p.Dead || p.Frozen || !n.fleet.connected(n.DC, p.DC) || deadlinePassed(ctx) {
+	if p == nil || p.Dead || p.Paused || !n.fleet.connected(n.DC, p.DC) || deadlinePassed(ctx) {
 		return grant.Lot{}, errUnreachable
 	}
 	l, err := p.Holder.Lend(n.fleet.Now, budget, id, n.Holder.ID(), need, want)
-	if err == nil && n.fleet.DropLots > 0 {
-		n.fleet.DropLots--
+	if err == nil && n.fleet.DropLotReplies > 0 {
+		n.fleet.DropLotReplies--
 		return grant.Lot{}, errUnreachable
 	}
 	return l, err
@@ -248,7 +248,7 @@
 func (n *Node) Serve(ctx context.Context, id, budget string, tokens int64) (*Request, error) {
 	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
-	res, err := n.Acq.Acquire(ctx, budget, tokens)
+	res, err := n.Acquirer.Acquire(ctx, budget, tokens)
 	if err != nil {
 		return nil, err
 	}
@@ -296,7 +296,7 @@
 
 // Sync syncs the node's pages that are due.
 func (n *Node) Sync(ctx context.Context) {
-	if n.Dead || n.Frozen {
+	if n.Dead || n.Paused {
 		return
 	}
 	for _, key := range n.Holder.Due(n.fleet.Now) {
@@ -315,8 +315,8 @@
 
 func (f *Fleet) reachesStore(dc string) bool { return f.side[dc] == 0 }
 
-// Place syncs all pages once.
-func (n *Node) Place(ctx context.Context) {
+// SyncAllPages syncs all pages once.
+func (n *Node) SyncAllPages(ctx context.Context) {
 	for p := range n.fleet.Layout.Pages {
 		n.SyncPage(ctx, n.fleet.Layout.PageKey(p))
 	}
@@ -324,12 +324,12 @@
 
 // ReturnLots returns the lots that have been idle for the given time to their lenders.
 func (n *Node) ReturnLots(idle time.Duration) {
-	if n.Dead || n.Frozen {
+	if n.Dead || n.Paused {
 		return
 	}
 	for _, r := range n.Holder.CloseLots(n.fleet.Now.Add(-idle)) {
 		p := n.fleet.Node(r.Lender)
-		if p == nil || p.Dead || p.Frozen || !n.fleet.connected(n.DC, p.DC) {
+		if p == nil || p.Dead || p.Paused || !n.fleet.connected(n.DC, p.DC) {
 			continue
 		}
 		p.Holder.TakeBack(n.fleet.Now, r)
@@ -337,11 +337,11 @@
 	}
 }
 
-// Audit takes back lots whose replies to the borrower were lost.
-func (n *Node) Audit() {
+// ReclaimLostLots takes back lots whose replies to the borrower were lost.
+func (n *Node) ReclaimLostLots() {
 	for borrower, parts := range n.Holder.LentLots() {
 		b := n.fleet.Node(borrower)
-		if b == nil || b.Dead || b.Frozen || !n.fleet.connected(n.DC, b.DC) {
+		if b == nil || b.Dead || b.Paused || !n.fleet.connected(n.DC, b.DC) {
 			continue
 		}
 		for _, p := range b.Holder.Disown(parts) {
@@ -355,7 +355,7 @@
 	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
 	r := &recovery.Recoverer{Store: f.storeFrom(dc), Layout: f.Layout,
-		Incarnations: incarnation.Registry{Store: f.storeFrom(dc), Prefix: f.Lives.Prefix},
+		Incarnations: incarnation.Registry{Store: f.storeFrom(dc), Prefix: f.Incarnations.Prefix},
 		Fences:       recovery.Fences{Store: f.storeFrom(dc), Key: f.Fences.Key}, Fleet: recoveryView{f, dc, holder}}
 	return r.Recover(ctx, holder, forfeit)
 }
@@ -400,7 +400,7 @@
 
 func (x recoveryView) peer(id string) (*Node, error) {
 	n := x.f.Node(id)
-	if n == nil || n.Dead || n.Frozen || !x.f.connected(x.dc, n.DC) {
+	if n == nil || n.Dead || n.Paused || !x.f.connected(x.dc, n.DC) {
 		return nil, errUnreachable
 	}
 	return n, nil
--- a/coord/recovery/recovery_test.go
+++ b/coord/recovery/recovery_test.go
@@ -29,10 +29,10 @@
 func newFleet(t *testing.T) *fleet {
 	f := &fleet{t: t, ctx: t.Context(), Fleet: lab.New(lab.Options{
 		Pages: 1, Policy: func() grant.Policy { return grant.FavourAvailability() },
-		Timing: grant.DefaultTiming(), Transfers: true, Expect: 2,
+		Timing: grant.DefaultTiming(), Transfers: true, ExpectedHolders: 2,
 	})}
-	require.NoError(t, f.Book().Create(f.ctx, budget, "pilots"))
-	require.NoError(t, f.Book().TopUp(f.ctx, budget, "first", 1000))
+	require.NoError(t, f.Accounts().Create(f.ctx, budget, "pilots"))
+	require.NoError(t, f.Accounts().TopUp(f.ctx, budget, "first", 1000))
 	for i, dc := range []string{"bergen", "floro"} {
 		a, err := f.AddAgent(f.ctx, dc+"-engine", dc)
 		require.NoError(t, err)
@@ -45,7 +45,7 @@
 func (f *fleet) node(dc string) *lab.Node {
 	n, err := f.AddNode(f.ctx, dc+"-router", dc)
 	require.NoError(f.t, err)
-	n.Place(f.ctx)
+	n.SyncAllPages(f.ctx)
 	return n
 }
 
@@ -58,7 +58,7 @@
 }
 
 func (f *fleet) account() *account.Account {
-	a, err := f.Book().Get(f.ctx, budget)
+	a, err := f.Accounts().Get(f.ctx, budget)
 	require.NoError(f.t, err)
 	require.NoError(f.t, a.Check())
 	return a
@@ -111,12 +111,12 @@
 	virtualtime.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		f.begin(f.bergen).Finish(10)
-		f.bergen.Frozen = true
+		f.bergen.Paused = true
 		_, err := f.Recover(f.ctx, "floro", f.bergen.Holder.ID(), false)
 		require.NoError(t, err)
 		f.Now = f.Now.Add(6 * time.Minute)
 		f.spendAll(f.floro)
-		f.bergen.Frozen = false
+		f.bergen.Paused = false
 		_, err = f.bergen.Serve(f.ctx, "late", budget, 100)
 		require.Error(t, err, "its tokens were granted to others")
 		f.bergen.SyncPage(f.ctx, f.Layout.PageKey(0))
@@ -166,10 +166,10 @@
 		f.Now = f.Now.Add(6 * time.Minute)
 		f.spendAll(f.floro)
 		require.LessOrEqual(t, f.Served(budget), int64(1000))
-		given, err := f.Book().Release(f.ctx, budget, "ticket-7", holds-70)
+		given, err := f.Accounts().Release(f.ctx, budget, "ticket-7", holds-70)
 		require.NoError(t, err)
 		require.Equal(t, holds-70, given)
-		again, err := f.Book().Release(f.ctx, budget, "ticket-7", holds-70)
+		again, err := f.Accounts().Release(f.ctx, budget, "ticket-7", holds-70)
 		require.NoError(t, err)
 		require.Equal(t, given, again, "a repeated order has no effect")
 		f.Now = f.Now.Add(6 * time.Minute)
@@ -211,7 +211,7 @@
 		late, err := f.AddAgent(f.ctx, "late-engine", "bergen")
 		require.NoError(t, err)
 		f.Agents = f.Agents[:2] // not in the list yet
-		f.bergen.Frozen = true
+		f.bergen.Paused = true
 		_, err = f.Recover(f.ctx, "floro", f.bergen.Holder.ID(), false)
 		require.ErrorIs(t, err, recovery.ErrIncomplete)
 		f.Agents = append(f.Agents, late)
@@ -226,7 +226,7 @@
 	virtualtime.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		f.spendAllOwn(f.bergen)
-		f.Cut("bergen", "floro") // the store is unreachable, so only peers can lend
+		f.Partition("bergen", "floro") // the store is unreachable, so only peers can lend
 		r := f.begin(f.bergen)
 		require.Equal(t, f.floro.Holder.ID(), r.Res.Parts[0].Holder, "served from a lot")
 		r.Finish(40)
--- a/datacentre/datacentre.go
+++ b/datacentre/datacentre.go
@@ -9,10 +9,10 @@
 	"github.com/arbutusmill/arbutusmill/vm"
 )
 
-// Map groups data centres into regions. Data centres of one region are near each other.
-type Map struct {
-	// Here is this process's data centre.
-	Here string
+// Topology groups data centres into regions. Data centres of one region are near each other.
+type Topology struct {
+	// Local is this process's data centre.
+	Local string
 	// Regions maps a data centre to its region; a data centre that is missing
 	// forms its own region.
 	Regions map[string]string
@@ -26,26 +26,26 @@
 )
 
 // Distance returns the distance of a data centre from Here; lower is nearer.
-func (m Map) Distance(dc string) int {
+func (m Topology) Distance(dc string) int {
 	switch {
-	case dc == m.Here:
+	case dc == m.Local:
 		return sameDatacentre
-	case m.region(dc) == m.region(m.Here):
+	case m.region(dc) == m.region(m.Local):
 		return sameRegion
 	}
 	return otherRegion
 }
 
-func (m Map) region(dc string) string {
+func (m Topology) region(dc string) string {
 	if r := m.Regions[dc]; r != "" {
 		return r
 	}
 	return dc
 }
 
-// Nearest returns the VMs ordered by distance, and at equal distance by rendezvous hashing
+// SortByDistance returns the VMs ordered by distance, and at equal distance by rendezvous hashing
 // of key, so that all processes of a data centre use the same VM for a key.
-func (m Map) Nearest(key string, vms []vm.VM) []vm.VM {
+func (m Topology) SortByDistance(key string, vms []vm.VM) []vm.VM {
 	ids := make([]string, len(vms))
 	for i, v := range vms {
 		ids[i] = v.ID
--- a/demo/configured_test.go
+++ b/demo/configured_test.go
@@ -36,7 +36,7 @@
 // routers have loaded it.
 func (d *demo) configure(ctx context.Context) error {
 	d.keys = map[string]string{pilots: team.NewKey(), conventions: team.NewKey()}
-	accounts := d.f.Book()
+	accounts := d.f.Accounts()
 	for budget, owner := range map[string]string{pilotsBudget: pilots, badgeBudget: conventions} {
 		if err := accounts.Create(ctx, budget, owner); err != nil {
 			return err
@@ -68,9 +68,9 @@
 func (d *demo) waitConfigured(ctx context.Context, generation int64) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	for id := range d.f.Callers {
+	for id := range d.f.CallerAddresses {
 		for {
-			state, err := Dump(ctx, d.f.Admins[id])
+			state, err := FetchDump(ctx, d.f.AdminAddresses[id])
 			if err == nil && state.Generation >= generation {
 				break
 			}
@@ -84,14 +84,14 @@
 	return nil
 }
 
-// Dumped holds the fields of a process's debug dump that the tests read.
-type Dumped struct {
+// ProcessDump holds the fields of a process's debug dump that the tests read.
+type ProcessDump struct {
 	Generation int64 `json:"configuration_generation"`
 }
 
-// Dump fetches a process's debug dump from its admin address.
-func Dump(ctx context.Context, admin string) (Dumped, error) {
-	var out Dumped
+// FetchDump fetches a process's debug dump from its admin address.
+func FetchDump(ctx context.Context, admin string) (ProcessDump, error) {
+	var out ProcessDump
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+admin+"/debug/dump", nil)
 	if err != nil {
 		return out, err
@@ -105,7 +105,7 @@
 }
 
 func (d *demo) call(ctx context.Context, routerID, teamName, key, path, body string) (*http.Response, error) {
-	url := "http://" + d.f.Callers[routerID] + path
+	url := "http://" + d.f.CallerAddresses[routerID] + path
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
 		return nil, err
--- a/demo/fleet.go
+++ b/demo/fleet.go
@@ -55,10 +55,10 @@
 	Platform *standin.Platform
 	Engines  []*standin.Engine
 	Service  *standin.Service
-	// Callers maps a router's VM to its address for callers, Admins the VM of each
+	// CallerAddresses maps a router's VM to its address for callers, Admins the VM of each
 	// process to its admin address.
-	Callers map[string]string
-	Admins  map[string]string
+	CallerAddresses map[string]string
+	AdminAddresses  map[string]string
 	// StoreURL is the address of the platform's stand-in.
 	StoreURL string
 	// VMs is the platform's VM list.
@@ -88,7 +88,7 @@
 // Start starts the stand-ins and all processes and waits until all are ready.
 func Start(ctx context.Context, opt Options) (*Fleet, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	f := &Fleet{opt: opt, ctx: ctx, stop: cancel, Callers: map[string]string{}, Admins: map[string]string{}, procs: map[string]*proc{}, reservedPorts: map[string]net.Listener{}}
+	f := &Fleet{opt: opt, ctx: ctx, stop: cancel, CallerAddresses: map[string]string{}, AdminAddresses: map[string]string{}, procs: map[string]*proc{}, reservedPorts: map[string]net.Listener{}}
 	f.Platform = standin.NewPlatform(nil)
 	var err error
 	if f.StoreURL, err = f.startServer(f.Platform.Handler()); err != nil {
@@ -248,9 +248,9 @@
 	ctx, cancel := context.WithCancel(f.ctx)
 	p := &proc{settings: s, stop: cancel, done: make(chan struct{})}
 	f.procs[s.VM] = p
-	f.Admins[s.VM] = s.Listen.Admin
+	f.AdminAddresses[s.VM] = s.Listen.Admin
 	if s.Role == settings.RoleRouter {
-		f.Callers[s.VM] = s.Listen.Callers
+		f.CallerAddresses[s.VM] = s.Listen.Callers
 	}
 	f.wg.Go(func() {
 		defer close(p.done)
@@ -280,7 +280,7 @@
 func (f *Fleet) waitReady() error {
 	ctx, cancel := context.WithTimeout(f.ctx, readyTimeout)
 	defer cancel()
-	for id, addr := range f.Admins {
+	for id, addr := range f.AdminAddresses {
 		for !isReady(ctx, addr) {
 			select {
 			case <-ctx.Done():
@@ -329,8 +329,8 @@
 	return &etcd.Store{URL: f.StoreURL, Client: http.DefaultClient, Timeout: 5 * time.Second}
 }
 
-// Book returns an operator's client of the accounts.
-func (f *Fleet) Book() account.AdminClient {
+// Accounts returns an operator's client of the accounts.
+func (f *Fleet) Accounts() account.AdminClient {
 	return account.AdminClient{Store: f.Store(), Layout: account.Layout{Prefix: process.PagePrefix, Pages: settings.Default().Budgets.Pages}}
 }
 
--- a/demo/fleet_test.go
+++ b/demo/fleet_test.go
@@ -53,7 +53,7 @@
 }
 
 func (d *testFleet) post(router, teamName, key, path, body string, client *http.Client) response {
-	req, err := http.NewRequest(http.MethodPost, "http://"+d.f.Callers[router]+path, strings.NewReader(body))
+	req, err := http.NewRequest(http.MethodPost, "http://"+d.f.CallerAddresses[router]+path, strings.NewReader(body))
 	require.NoError(d.t, err)
 	req.Header.Set("Authorization", "Bearer "+d.keys[teamName])
 	req.Header.Set("Idempotency-Key", key)
@@ -85,7 +85,7 @@
 	require.NoError(t, err)
 	require.Positive(t, total[pilotsBudget])
 	require.Less(t, total[pilotsBudget], int64(1000))
-	a, err := d.f.Book().Get(t.Context(), pilotsBudget)
+	a, err := d.f.Accounts().Get(t.Context(), pilotsBudget)
 	require.NoError(t, err)
 	require.LessOrEqual(t, total[pilotsBudget], a.Settled()+a.Outstanding())
 }
@@ -220,7 +220,7 @@
 	_ = resp.Body.Close()
 	d.f.StopOne("bergen-engine-1") // waits until the router has received the outcome
 	d.f.StopOne("bergen-router-1")
-	a, err := d.f.Book().Get(context.Background(), pilotsBudget)
+	a, err := d.f.Accounts().Get(context.Background(), pilotsBudget)
 	require.NoError(t, err)
 	require.Zero(t, a.Outstanding())
 	require.Equal(t, d.ledgerTotals()[pilotsBudget], a.Settled())
--- a/demo/path_bench_test.go
+++ b/demo/path_bench_test.go
@@ -44,9 +44,9 @@
 		require.NoError(b, err)
 		d := &demo{f: f}
 		require.NoError(b, d.configure(context.Background()))
-		require.NoError(b, f.Book().TopUp(context.Background(), pilotsBudget, "much", 1<<50))
+		require.NoError(b, f.Accounts().TopUp(context.Background(), pilotsBudget, "much", 1<<50))
 		b.Run(fmt.Sprintf("path/tokens=%d", tokens), func(b *testing.B) {
-			benchmarkRequests(b, "http://"+f.Callers["bergen-router-1"], d.keys[pilots], tokens)
+			benchmarkRequests(b, "http://"+f.CallerAddresses["bergen-router-1"], d.keys[pilots], tokens)
 		})
 		require.NoError(b, f.Stop())
 	}
--- a/demo/tls_test.go
+++ b/demo/tls_test.go
@@ -100,7 +100,7 @@
 	require.True(t, pool.AppendCertsFromPEM(ca))
 	client := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}}}
 	for scheme, want := range map[string]int{"https": http.StatusOK, "http": http.StatusBadRequest} {
-		req, err := http.NewRequest(http.MethodGet, scheme+"://"+d.f.Callers["bergen-router-1"]+"/v1/models", nil)
+		req, err := http.NewRequest(http.MethodGet, scheme+"://"+d.f.CallerAddresses["bergen-router-1"]+"/v1/models", nil)
 		require.NoError(t, err)
 		req.Header.Set("Authorization", "Bearer "+d.keys[pilots])
 		resp, err := client.Do(req)
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -22,9 +22,9 @@
 // process must not go back to the older one.
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	var c fleet.Current
-	require.True(t, c.Raise(fleet.NewSnapshot(2, document("peak"))))
-	require.False(t, c.Raise(fleet.NewSnapshot(1, document("ordinary"))))
-	require.False(t, c.Raise(fleet.NewSnapshot(2, document("ordinary"))), "the document of a generation never changes")
+	require.True(t, c.UpdateIfNewer(fleet.NewSnapshot(2, document("peak"))))
+	require.False(t, c.UpdateIfNewer(fleet.NewSnapshot(1, document("ordinary"))))
+	require.False(t, c.UpdateIfNewer(fleet.NewSnapshot(2, document("ordinary"))), "the document of a generation never changes")
 	require.Equal(t, "peak", c.Load().Preset.Name)
 }
 
@@ -46,7 +46,7 @@
 		if one == nil {
 			one, two = two, one
 		}
-		require.ErrorIs(t, one, fleet.ErrGeneration)
+		require.ErrorIs(t, one, fleet.ErrGenerationMismatch)
 		require.NoError(t, two)
 		stored, err := r.Get(t.Context())
 		require.NoError(t, err)
--- a/fleet/registry.go
+++ b/fleet/registry.go
@@ -13,8 +13,8 @@
 // DocumentKey is the store key of the configuration.
 const DocumentKey = "arbutusmill/config"
 
-// ErrGeneration means that the document changed since the operator read it.
-var ErrGeneration = errs.New("changed by another writer")
+// ErrGenerationMismatch means that the document changed since the operator read it.
+var ErrGenerationMismatch = errs.New("changed by another writer")
 
 // Stored is the value under DocumentKey.
 type Stored struct {
@@ -70,7 +70,7 @@
 			return old.Value, nil
 		}
 		if have.Generation != expect {
-			return nil, Error.New("generation is %d, not %d: %w", have.Generation, expect, ErrGeneration)
+			return nil, Error.New("generation is %d, not %d: %w", have.Generation, expect, ErrGenerationMismatch)
 		}
 		generation = expect + 1
 		b, err := json.Marshal(Stored{Generation: generation, Op: op, Document: doc})
@@ -132,6 +132,6 @@
 	if err != nil || s.Generation == 0 {
 		return err
 	}
-	current.Raise(NewSnapshot(s.Generation, s.Document))
+	current.UpdateIfNewer(NewSnapshot(s.Generation, s.Document))
 	return nil
 }
--- a/fleet/snapshot.go
+++ b/fleet/snapshot.go
@@ -52,10 +52,10 @@
 // Load returns the active snapshot, or nil before the first one.
 func (c *Current) Load() *Snapshot { return c.p.Load() }
 
-// Raise activates a snapshot if its generation is higher than the active one's, and
+// UpdateIfNewer activates a snapshot if its generation is higher than the active one's, and
 // reports whether it did. A slow or restored source may return an older document after
 // a newer one; configuration must never go back.
-func (c *Current) Raise(s *Snapshot) bool {
+func (c *Current) UpdateIfNewer(s *Snapshot) bool {
 	for {
 		have := c.p.Load()
 		if have != nil && have.Generation >= s.Generation {
--- a/gateway/announce.go
+++ b/gateway/announce.go
@@ -69,7 +69,7 @@
 
 // withdraw implements pool.Pool's Withdraw. It does not wait for the lender.
 func (c *lenderClient) withdraw(address string, announcement prefill.Announcement, reply prefill.AnnounceReply) {
-	c.enqueue(lenderMessage{address: address, method: link.MethodWithdraw, body: link.Withdrawal{Announcement: announcement, Told: reply}})
+	c.enqueue(lenderMessage{address: address, method: link.MethodWithdraw, body: link.Withdrawal{Announcement: announcement, Reply: reply}})
 }
 
 // reportRemotePrefill implements pool.Pool's ReportRemotePrefill. It does not wait for the lender.
--- a/gateway/callerconn_test.go
+++ b/gateway/callerconn_test.go
@@ -50,8 +50,8 @@
 				time.Sleep(100 * time.Millisecond)
 				require.NoError(t, conn.Close())
 				time.Sleep(300 * time.Millisecond)
-				require.True(t, u.Seen()[0].Left)
-				require.Len(t, u.Seen(), 1, "the further request must not start")
+				require.True(t, u.Requests()[0].CallerGone)
+				require.Len(t, u.Requests(), 1, "the further request must not start")
 			})
 		})
 	}
@@ -81,7 +81,7 @@
 			require.NoError(t, err)
 			require.Equal(t, standin.PlainAnswer(id), string(body))
 		}
-		for _, s := range u.Seen() {
+		for _, s := range u.Requests() {
 			require.Equal(t, bodies[s.ID], s.Body, s.ID)
 		}
 	})
@@ -136,7 +136,7 @@
 		req := alert("r1")
 		req.header = map[string]string{"X-Long": strings.Repeat("x", 17_000)}
 		require.Equal(t, 431, f.send(req).status)
-		require.Empty(t, u.Seen())
+		require.Empty(t, u.Requests())
 		req.header = map[string]string{"X-Long": strings.Repeat("x", 15_000)}
 		require.Equal(t, 200, f.send(req).status)
 	})
--- a/gateway/cold_test.go
+++ b/gateway/cold_test.go
@@ -68,9 +68,9 @@
 		for range 3 {
 			require.Equal(t, 60, f.flood(4, 60))
 		}
-		require.LessOrEqual(t, cold.MostInASecond(), coldMaxPerSecond)
-		require.NotEmpty(t, cold.Seen())
-		require.NotEmpty(t, warm.Seen())
+		require.LessOrEqual(t, cold.MaxPerSecond(), coldMaxPerSecond)
+		require.NotEmpty(t, cold.Requests())
+		require.NotEmpty(t, warm.Requests())
 	})
 }
 
@@ -94,8 +94,8 @@
 		f.settle()
 		require.NotZero(t, f.flood(6, 200))
 		for _, u := range cold {
-			require.LessOrEqual(t, u.MostInASecond(), coldMaxPerSecond)
-			require.NotEmpty(t, u.Seen())
+			require.LessOrEqual(t, u.MaxPerSecond(), coldMaxPerSecond)
+			require.NotEmpty(t, u.Requests())
 		}
 	})
 }
@@ -115,11 +115,11 @@
 		f.registerCold("i-2", "model", 3*time.Second)
 		f.settle()
 		require.Equal(t, 20, f.flood(1, 20))
-		require.Empty(t, cold.Seen())
+		require.Empty(t, cold.Requests())
 		f.register("i-2", "model", "ready")
 		f.settle()
 		require.Equal(t, 20, f.flood(1, 20))
-		require.NotEmpty(t, cold.Seen())
+		require.NotEmpty(t, cold.Requests())
 	})
 }
 
@@ -134,19 +134,19 @@
 		for vm := 1; vm <= 4; vm++ {
 			f.startVM(vm)
 		}
-		require.NoError(t, f.store.Empty("bergen"))
+		require.NoError(t, f.store.OrderDrain("bergen"))
 		time.Sleep(3 * time.Second)
 		f.flood(4, 60)
-		require.Empty(t, back.Seen())
-		require.NoError(t, f.store.EndEmptying("bergen"))
+		require.Empty(t, back.Requests())
+		require.NoError(t, f.store.EndDrain("bergen"))
 		time.Sleep(400 * time.Millisecond)
 		for range 3 {
 			require.Equal(t, 60, f.flood(4, 60))
 		}
-		require.NotEmpty(t, back.Seen())
-		require.LessOrEqual(t, back.MostInASecond(), coldMaxPerSecond)
+		require.NotEmpty(t, back.Requests())
+		require.LessOrEqual(t, back.MaxPerSecond(), coldMaxPerSecond)
 		time.Sleep(3 * time.Second)
 		f.flood(4, 200)
-		require.Greater(t, back.MostInASecond(), coldMaxPerSecond, "it is warm by now")
+		require.Greater(t, back.MaxPerSecond(), coldMaxPerSecond, "it is warm by now")
 	})
 }
--- a/gateway/emptied_test.go
+++ b/gateway/emptied_test.go
@@ -30,27 +30,27 @@
 			}
 		}
 		sendAll()
-		require.NotEmpty(t, plain.Seen())
-		require.NotEmpty(t, engine.Seen())
+		require.NotEmpty(t, plain.Requests())
+		require.NotEmpty(t, engine.Requests())
 
-		require.NoError(t, f.store.Empty("bergen"))
+		require.NoError(t, f.store.OrderDrain("bergen"))
 		f.settle()
-		before, beforeEngine, beforeOther := len(plain.Seen()), len(engine.Seen()), len(otherEngine.Seen())
+		before, beforeEngine, beforeOther := len(plain.Requests()), len(engine.Requests()), len(otherEngine.Requests())
 		sendAll()
 		otherPlain.SetMode(standin.LoseAnswer)
 		otherEngine.SetMode(standin.LoseAnswer)
 		sendAll()
-		require.Len(t, plain.Seen(), before)
-		require.Len(t, engine.Seen(), beforeEngine)
-		for _, s := range otherEngine.Seen()[beforeOther:] {
+		require.Len(t, plain.Requests(), before)
+		require.Len(t, engine.Requests(), beforeEngine)
+		for _, s := range otherEngine.Requests()[beforeOther:] {
 			require.Empty(t, s.Header.Get(standin.HeaderFetch), "nothing is fetched from the drained data centre")
 		}
 
-		require.NoError(t, f.store.EndEmptying("bergen"))
+		require.NoError(t, f.store.EndDrain("bergen"))
 		f.settle()
 		sendAll()
-		require.Greater(t, len(plain.Seen()), before)
-		require.Greater(t, len(engine.Seen()), beforeEngine)
+		require.Greater(t, len(plain.Requests()), before)
+		require.Greater(t, len(engine.Requests()), beforeEngine)
 	})
 }
 
@@ -64,7 +64,7 @@
 		done := make(chan response, 1)
 		go func() { done <- f.send(chat("long")) }()
 		f.settle()
-		require.NoError(t, f.store.Empty("oslo"))
+		require.NoError(t, f.store.OrderDrain("oslo"))
 		resp := <-done
 		require.False(t, resp.truncated)
 		require.Equal(t, events(200), resp.body)
@@ -81,9 +81,9 @@
 		f.upstreamIn("oslo", "i-2", "plain", 0)
 		f.upstreamIn("oslo", "i-3", "model", 5)
 		f.start()
-		require.NoError(t, f.store.Empty("oslo"))
-		require.NoError(t, f.store.Empty("bergen"))
-		require.NoError(t, f.store.Empty("oslo")) // a repeated order
+		require.NoError(t, f.store.OrderDrain("oslo"))
+		require.NoError(t, f.store.OrderDrain("bergen"))
+		require.NoError(t, f.store.OrderDrain("oslo")) // a repeated order
 		f.settle()
 		for _, req := range []request{level("r"), alert("a"), chat("c")} {
 			resp := f.send(req)
@@ -91,7 +91,7 @@
 			require.NotEmpty(t, resp.header.Get("Retry-After"))
 			require.Less(t, resp.elapsed, 100*time.Millisecond)
 		}
-		require.NoError(t, f.store.EndEmptying("bergen"))
+		require.NoError(t, f.store.EndDrain("bergen"))
 		f.settle()
 		require.Equal(t, 200, f.send(level("r")).status)
 		require.Equal(t, 503, f.send(chat("c")).status, "the other data centre is still drained")
@@ -106,23 +106,23 @@
 		f.putConfig(0, "k1")
 		bergen := f.upstreamIn("bergen", "i-1", "plain", 0)
 		oslo := f.upstreamIn("oslo", "i-2", "plain", 0)
-		require.NoError(t, f.store.Empty("oslo"))
+		require.NoError(t, f.store.OrderDrain("oslo"))
 		f.start()
 		require.Equal(t, 200, f.send(level("r")).status)
-		require.Empty(t, oslo.Seen())
+		require.Empty(t, oslo.Requests())
 		f.disconnect(1)
 		time.Sleep(3 * time.Second)
-		require.NoError(t, f.store.EndEmptying("oslo"))
-		require.NoError(t, f.store.Empty("bergen"))
+		require.NoError(t, f.store.EndDrain("oslo"))
+		require.NoError(t, f.store.OrderDrain("bergen"))
 		time.Sleep(4 * time.Second)
 		f.reconnect(1)
 		time.Sleep(1500 * time.Millisecond)
-		before := len(bergen.Seen())
+		before := len(bergen.Requests())
 		for range 10 {
 			require.Equal(t, 200, f.send(level("r")).status)
 		}
-		require.Len(t, bergen.Seen(), before)
-		require.NotEmpty(t, oslo.Seen())
+		require.Len(t, bergen.Requests(), before)
+		require.NotEmpty(t, oslo.Requests())
 	})
 }
 
@@ -135,13 +135,13 @@
 		drained := f.upstreamIn("bergen", "i-1", "plain", 0)
 		f.upstreamIn("oslo", "i-2", "plain", 0)
 		f.start()
-		require.NoError(t, f.store.Empty("atlantis"))
-		require.NoError(t, f.store.SpoilEmptying("bergen", []byte("\xff")))
+		require.NoError(t, f.store.OrderDrain("atlantis"))
+		require.NoError(t, f.store.CorruptDrainOrder("bergen", []byte("\xff")))
 		f.settle()
 		for range 10 {
 			require.Equal(t, 200, f.send(level("r")).status)
 		}
-		require.Empty(t, drained.Seen())
+		require.Empty(t, drained.Requests())
 		require.Equal(t, 1, strings.Count(f.log.String(), `op/evacuate/atlantis: field zone`))
 		require.Equal(t, 1, strings.Count(f.log.String(), `op/evacuate/bergen: `))
 	})
--- a/gateway/fleet_test.go
+++ b/gateway/fleet_test.go
@@ -20,13 +20,13 @@
 		f.upstream("i-1", "plain", 0)
 		f.upstream("i-2", "plain", 0)
 		f.start()
-		f.store.SetDeaf(true)
+		f.store.SetWatchesStalled(true)
 		f.settle()
 		f.putConfig(0, "k1")
 		f.register("i-1", "plain", "draining")
 		f.store.Compact()
 		time.Sleep(time.Second)
-		f.store.SetDeaf(false)
+		f.store.SetWatchesStalled(false)
 		time.Sleep(3 * time.Second)
 		req := level("r")
 		req.key = "k2"
@@ -51,7 +51,7 @@
 			require.Equal(t, 200, f.send(chat("usual")).status)
 			time.Sleep(400 * time.Millisecond)
 		}
-		f.store.SetSilent(true)
+		f.store.SetUnresponsive(true)
 		for range 20 {
 			time.Sleep(400 * time.Millisecond)
 			require.Equal(t, 200, f.send(level("r")).status)
@@ -127,7 +127,7 @@
 			spend(6)
 			time.Sleep(time.Second)
 		}
-		runs := len(u.Seen())
+		runs := len(u.Requests())
 		require.LessOrEqual(t, runs*(prompt+output), prepaid)
 		require.Greater(t, (runs+1)*(prompt+60), prepaid)
 		resp := f.send(chat("last"))
@@ -224,7 +224,7 @@
 		req.ctx, req.body = ctx, strings.Repeat("x", 5000)
 		f.send(req)
 		time.Sleep(100 * time.Millisecond)
-		require.True(t, u.Seen()[0].Left)
+		require.True(t, u.Requests()[0].CallerGone)
 	})
 }
 
@@ -249,11 +249,11 @@
 		time.Sleep(7 * time.Second)
 		f.reconnect(1)
 		time.Sleep(1500 * time.Millisecond) // more than the longest backoff between two attempts to reach the store
-		before := len(left.Seen())
+		before := len(left.Requests())
 		for range 40 {
 			require.Equal(t, 200, f.send(level("r")).status)
 		}
-		require.Len(t, left.Seen(), before)
+		require.Len(t, left.Requests(), before)
 	})
 }
 
@@ -267,11 +267,11 @@
 			f.upstream("i-1", "plain", 0)
 			f.upstream("i-2", "plain", 0)
 			f.start()
-			f.store.SetSilent(true)
+			f.store.SetUnresponsive(true)
 			time.Sleep(5*time.Second + time.Duration(n)*330*time.Millisecond)
 			f.putConfig(0, "k1")
 			f.register("i-1", "plain", "draining")
-			f.store.SetSilent(false)
+			f.store.SetUnresponsive(false)
 			time.Sleep(2600 * time.Millisecond)
 			req := level("r")
 			req.key = "k2"
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -103,10 +103,10 @@
 	g.Base = hosted.New(hosted.Parts{
 		Methods: g.promptMethods(),
 		Role:    prepaid.RoleRouter, VM: s.VM, Datacentre: s.Datacentre, Link: s.Listen.Link,
-		Store: s.Store, Budgets: s.Budgets, Limits: prepaid.Configured{Catalog: &g.catalog},
-		Readers: map[string]mirror.Reader{platform.OperatorPrefix: g.operatorReader, platform.UpstreamPrefix: g.directory},
-		Relays:  s.Limits.LinkMbps == 0 || s.Limits.LinkMbps >= minRelayMbps,
-		Network: meteredNetwork(network, meter), Log: observe.NewJSONLogger(log, s.Log.Level, s.VM), LogDropped: dropped,
+		Store: s.Store, Budgets: s.Budgets, Limits: prepaid.ConfiguredLimits{Catalog: &g.catalog},
+		Readers:  map[string]mirror.Reader{platform.OperatorPrefix: g.operatorReader, platform.UpstreamPrefix: g.directory},
+		CanRelay: s.Limits.LinkMbps == 0 || s.Limits.LinkMbps >= minRelayMbps,
+		Network:  meteredNetwork(network, meter), Log: observe.NewJSONLogger(log, s.Log.Level, s.VM), LogDropped: dropped,
 	})
 	g.metrics = newMetrics(g)
 	g.prompts = newPromptGuard(g)
@@ -174,7 +174,7 @@
 
 // retryRule returns the limit on retries from the current settings.
 func (g *Gateway) retryRule() retrybudget.Rule {
-	s := g.current.Load().Repeats
+	s := g.current.Load().Retries
 	return retrybudget.Rule{Ratio: s.Ratio, Extra: s.Extra, Window: time.Duration(s.Window)}
 }
 
@@ -224,7 +224,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.WithoutCancel(stop))
 	defer cancel()
-	duties := process.NewDuties(ctx)
+	duties := process.NewTaskGroup(ctx)
 	g.Log.Info().Str("datacentre", g.settings.Datacentre).Str("callers", g.settings.Listen.Callers).Msg("started")
 	callers := g.callerServer()
 	g.startServers(duties, listeners, callers)
@@ -242,17 +242,17 @@
 
 func (g *Gateway) listen() (l listeners, err error) {
 	s := g.settings.Listen
-	err = g.Network.ListenAll([]hosted.Listening{
-		{Field: "listen.callers", Address: s.Callers, Into: &l.callers},
-		{Field: "listen.ready", Address: s.Ready, Into: &l.ready},
-		{Field: "listen.admin", Address: s.Admin, Into: &l.admin},
-		{Field: "listen.link", Address: s.Link, Into: &l.link},
+	err = g.Network.ListenAll([]hosted.ListenAddress{
+		{Setting: "listen.callers", Address: s.Callers, Listener: &l.callers},
+		{Setting: "listen.ready", Address: s.Ready, Listener: &l.ready},
+		{Setting: "listen.admin", Address: s.Admin, Listener: &l.admin},
+		{Setting: "listen.link", Address: s.Link, Listener: &l.link},
 	})
 	return l, err
 }
 
 // startServers starts the servers on the listeners.
-func (g *Gateway) startServers(d *process.Duties, l listeners, callers *http.Server) {
+func (g *Gateway) startServers(d *process.TaskGroup, l listeners, callers *http.Server) {
 	d.Serve(callers, callerListener{l.callers, g.callerLimits}, nil)
 	ready := http.NewServeMux()
 	ready.HandleFunc("GET "+platform.ReadyPath, g.serveReady)
@@ -269,7 +269,7 @@
 }
 
 // startTasks starts the background tasks.
-func (g *Gateway) startTasks(d *process.Duties) {
+func (g *Gateway) startTasks(d *process.TaskGroup) {
 	d.Go(g.lenders.run)
 	g.prompts.start(d)
 	g.Start(d)
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -216,7 +216,7 @@
 // retries: an incarnation that is younger than their window may not.
 func (f *fleet) start() {
 	f.startVM(1)
-	time.Sleep(time.Duration(f.settings(1).Repeats.Window) + time.Second)
+	time.Sleep(time.Duration(f.settings(1).Retries.Window) + time.Second)
 	f.settle()
 }
 
@@ -267,7 +267,7 @@
 	for _, stop := range f.stopFuncs {
 		stop()
 	}
-	f.store.SetSilent(false)
+	f.store.SetUnresponsive(false)
 	f.store.Compact() // ends pending calls
 }
 
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -26,7 +26,7 @@
 // ServeHTTP serves callers. It uses no http.ServeMux: operators configure the routes, and a
 // ServeMux would answer unclean paths with its own redirects.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	headers := platform.ReadCall(req.Header)
+	headers := platform.ReadCallerHeaders(req.Header)
 	h := requestHandler{gateway: g, headers: headers, arrived: time.Now()}
 	if g.stopping.Load() || g.linkOverloaded() {
 		w.Header().Set("Connection", "close")
@@ -53,7 +53,7 @@
 // requestHandler serves one request of a caller.
 type requestHandler struct {
 	gateway *Gateway
-	headers platform.Call
+	headers platform.CallerHeaders
 	arrived time.Time
 	request *serving.Request
 }
@@ -67,7 +67,7 @@
 	if size, limit := headerSize(req), h.gateway.callerLimits().HeaderBytes; size > limit {
 		return contract.Refuse(contract.HeadersTooLarge, "the headers take %d bytes of %d", size, limit)
 	}
-	if err := platform.CheckCall(req.Header); err != nil {
+	if err := platform.CheckCallerHeaders(req.Header); err != nil {
 		return contract.Refuse(contract.BadRequest, "%v", err)
 	}
 	path, _, _ := strings.Cut(req.RequestURI, "?")
@@ -127,7 +127,7 @@
 		return nil
 	}
 	return contract.Refuse(contract.Overloaded, "this router is behind: link %d ms, processor %d ms",
-		link.Milliseconds(), cpu.Milliseconds()).After(backoff.Jitter(delay))
+		link.Milliseconds(), cpu.Milliseconds()).WithRetryAfter(backoff.Jitter(delay))
 }
 
 func hostname(host string) string {
@@ -148,8 +148,8 @@
 // deadline returns when the timeout of the caller or of the route ends, whichever is first.
 func (h *requestHandler) deadline(route *catalog.Route) time.Time {
 	timeout := defaultTimeout
-	if h.headers.Wait > 0 {
-		timeout = h.headers.Wait
+	if h.headers.Timeout > 0 {
+		timeout = h.headers.Timeout
 	}
 	if route.Timeout > 0 {
 		timeout = min(timeout, route.Timeout)
--- a/gateway/lender_test.go
+++ b/gateway/lender_test.go
@@ -77,7 +77,7 @@
 	f.stopFuncs = append(f.stopFuncs, stop)
 	kill = func() {
 		p.disconnected.Store(true)
-		f.network.SetDark(s.Listen.Link, true)
+		f.network.SetBlackholed(s.Listen.Link, true)
 		p.conns.Range(func(conn, _ any) bool {
 			_ = conn.(net.Conn).Close() // the peer may have closed it
 			return true
@@ -151,8 +151,8 @@
 			f.send(req)
 			time.Sleep(200 * time.Millisecond)
 		}
-		require.LessOrEqual(t, len(u.Seen())*1015, prepaid)
-		require.Greater(t, (len(u.Seen())+5)*each, prepaid, "the tokens of at most a few requests are lost")
+		require.LessOrEqual(t, len(u.Requests())*1015, prepaid)
+		require.Greater(t, (len(u.Requests())+5)*each, prepaid, "the tokens of at most a few requests are lost")
 	})
 }
 
@@ -208,8 +208,8 @@
 			f.send(chat("after"))
 			time.Sleep(300 * time.Millisecond)
 		}
-		require.LessOrEqual(t, len(u.Seen())*1015, prepaid)
-		require.Greater(t, (len(u.Seen())+3)*1060, prepaid)
+		require.LessOrEqual(t, len(u.Requests())*1015, prepaid)
+		require.Greater(t, (len(u.Requests())+3)*1060, prepaid)
 	})
 }
 
@@ -229,12 +229,12 @@
 		}
 		f.startVM(2)
 		time.Sleep(5 * time.Second)
-		f.store.SetSilent(true)
+		f.store.SetUnresponsive(true)
 		time.Sleep(time.Second)
 		req := chat("in the outage")
 		req.vm = 2
 		status := f.send(req).status
-		f.store.SetSilent(false)
+		f.store.SetUnresponsive(false)
 		require.Equal(t, 200, status)
 	})
 }
@@ -253,7 +253,7 @@
 		time.Sleep(8 * time.Second)
 		require.Equal(t, 200, f.send(chat("before")).status)
 		time.Sleep(11 * time.Second) // the store no longer counts as degraded, and no tokens are held for demand
-		f.store.SetSilent(true)
+		f.store.SetUnresponsive(true)
 		largeRequest := func(id string) response {
 			req := chat(id)
 			req.usage = "1000,90000"
@@ -268,7 +268,7 @@
 			require.Less(t, resp.elapsed, 50*time.Millisecond)
 			time.Sleep(30 * time.Millisecond)
 		}
-		f.store.SetSilent(false)
+		f.store.SetUnresponsive(false)
 	})
 }
 
@@ -333,8 +333,8 @@
 		time.Sleep(20 * time.Millisecond)
 		require.Equal(t, 200, send(2).status)
 		wg.Wait()
-		require.Len(t, ups[0].Seen(), 1)
-		require.Len(t, ups[1].Seen(), 1)
+		require.Len(t, ups[0].Requests(), 1)
+		require.Len(t, ups[1].Requests(), 1)
 	})
 }
 
--- a/gateway/lenderends_test.go
+++ b/gateway/lenderends_test.go
@@ -67,7 +67,7 @@
 		e.runStream(fmt.Sprint("after-", n))
 	}
 	used := e.otherTokens
-	for _, s := range e.engine.Seen() {
+	for _, s := range e.engine.Requests() {
 		if s.Ran && s.ID != "now and then" {
 			used += streamUsedTokens
 		}
@@ -130,7 +130,7 @@
 	withFleet(t, func(f *fleet) {
 		const router, nextIncarnation = 2, 3
 		f.startVM(router)
-		f.network.SetDark(address(router, linkPort), true) // it can borrow, and its link address is unreachable
+		f.network.SetBlackholed(address(router, linkPort), true) // it can borrow, and its link address is unreachable
 		e := startLenderFailure(f)
 		e.streams.Go(func() { e.runStreamAt(router, "of the router that dies") })
 		time.Sleep(time.Second)
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -27,8 +27,8 @@
 // requireWithinLimit checks that an upstream got no more requests than its limit allows, but some.
 func requireWithinLimit(t *testing.T, u *standin.Upstream, perSecond float64) {
 	t.Helper()
-	require.False(t, u.Limited().IsZero())
-	got := u.MostWithin(limitWindow, u.Limited().Add(limitPropagation))
+	require.False(t, u.LimitSince().IsZero())
+	got := u.MaxWithin(limitWindow, u.LimitSince().Add(limitPropagation))
 	require.LessOrEqual(t, got, maxWithinLimit(perSecond), u.ID)
 	require.NotZero(t, got, u.ID)
 }
@@ -226,10 +226,10 @@
 				engine.SetLimit(fmt.Sprint(limit))
 				f.sendLoad(6, 40, 9*time.Second, uniquePrompt)
 				kill()
-				before := len(engine.Seen())
+				before := len(engine.Requests())
 				f.sendLoad(6, 20, max(14*time.Second, time.Duration(12/limit)*time.Second), uniquePrompt)
 				requireWithinLimit(t, engine, limit)
-				require.Greater(t, len(engine.Seen()), before)
+				require.Greater(t, len(engine.Requests()), before)
 			})
 		})
 	}
@@ -248,9 +248,9 @@
 				requireWithinLimit(t, engines[0], 1)
 				engines[0].SetLimit("")
 				f.sendLoad(3, 40, 4*time.Second, uniquePrompt)
-				before := len(engines[0].Seen())
+				before := len(engines[0].Requests())
 				f.sendLoad(3, 40, 3*time.Second, uniquePrompt)
-				require.Greater(t, len(engines[0].Seen())-before, 40, "a fair share of 120")
+				require.Greater(t, len(engines[0].Requests())-before, 40, "a fair share of 120")
 			})
 		})
 	}
--- a/gateway/operators.go
+++ b/gateway/operators.go
@@ -21,10 +21,10 @@
 
 // Reset implements mirror.Reader.
 func (o *operatorReader) Reset(items []store.Item) {
-	o.g.configWatch.Answers(o.g.Log, "configuration")
+	o.g.configWatch.RecordSuccess(o.g.Log, "configuration")
 	drained := map[string]store.Revision{}
 	for _, it := range items {
-		if _, ok := platform.EmptiedBy(it.Key); ok {
+		if _, ok := platform.DrainedDatacentre(it.Key); ok {
 			drained[o.decodeDrain(it)] = it.Revision
 		}
 	}
@@ -36,7 +36,7 @@
 
 // Changed implements mirror.Reader. The configuration is never removed.
 func (o *operatorReader) Changed(e store.Event) {
-	if datacentre, ok := platform.EmptiedBy(e.Key); ok {
+	if datacentre, ok := platform.DrainedDatacentre(e.Key); ok {
 		o.applyDrain(datacentre, e)
 		return
 	}
@@ -46,7 +46,9 @@
 }
 
 // Lost implements mirror.Reader. The last known state stays active.
-func (o *operatorReader) Lost(err error) { o.g.configWatch.Fails(o.g.Log, "configuration", err) }
+func (o *operatorReader) Lost(err error) {
+	o.g.configWatch.RecordFailure(o.g.Log, "configuration", err)
+}
 
 // applyDrain applies an order to drain a data centre, or the removal of one.
 func (o *operatorReader) applyDrain(datacentre string, e store.Event) {
@@ -66,9 +68,9 @@
 // decodeDrain returns the data centre of an order. An order that cannot be decoded is logged, and
 // applies nevertheless.
 func (o *operatorReader) decodeDrain(it store.Item) string {
-	datacentre, err := platform.DecodeEmptying(it, o.g.settings.Regions)
+	datacentre, err := platform.DecodeDrainOrder(it, o.g.settings.Regions)
 	if have, known := o.drained[datacentre]; err != nil && !(known && have == it.Revision) {
-		o.g.Unreadable("orders")
+		o.g.RecordUnreadable("orders")
 		o.g.Log.Error().Err(err).Int64("revision", int64(it.Revision)).Msg("order_unreadable")
 	}
 	return datacentre
@@ -105,12 +107,12 @@
 	}
 	config, err := platform.DecodeConfig(it.Value)
 	if err != nil {
-		o.g.Unreadable("configuration")
+		o.g.RecordUnreadable("configuration")
 		o.g.Log.Error().Err(err).Msg("configuration_unreadable")
 		return
 	}
 	for _, problem := range platform.CheckRegions(config, o.g.settings.Regions) {
-		o.g.Unreadable("regions")
+		o.g.RecordUnreadable("regions")
 		o.g.Log.Error().Err(problem).Int64("version", config.Version).Msg("region_unknown")
 	}
 	activated := o.g.catalog.UpdateIfNewer(catalog.NewTable(config))
--- a/gateway/prompts.go
+++ b/gateway/prompts.go
@@ -61,7 +61,7 @@
 		vm:            g.settings.VM,
 		members:       g.Members,
 		links:         g.Links,
-		dial:          g.Network.Within(time.Duration(g.settings.Upstreams.DialTimeout)),
+		dial:          g.Network.DialTimeout(time.Duration(g.settings.Upstreams.DialTimeout)),
 		metrics:       g.metrics,
 		log:           g.Log,
 		breaks:        make(chan brokenAttempt, maxQueuedBreaks),
@@ -71,7 +71,7 @@
 }
 
 // start starts the guard's background tasks.
-func (p *promptGuard) start(d *process.Duties) {
+func (p *promptGuard) start(d *process.TaskGroup) {
 	for range probeWorkers {
 		d.Go(p.probeUpstreams)
 	}
--- a/gateway/regions_test.go
+++ b/gateway/regions_test.go
@@ -51,7 +51,7 @@
 				}
 				var served []string
 				for id, u := range upstreams {
-					if len(u.Seen()) > 0 {
+					if len(u.Requests()) > 0 {
 						served = append(served, id)
 					}
 				}
--- a/gateway/reload.go
+++ b/gateway/reload.go
@@ -15,13 +15,13 @@
 func (g *Gateway) Reload(s *settings.Gateway) {
 	changed, restart := settings.Differences(g.current.Load(), s, reloadableFields)
 	g.current.Store(s)
-	g.Reloaded("taken")
+	g.RecordReload("taken")
 	g.Log.Info().Str("changed", strings.Join(changed, ",")).
 		Str("needs_restart", strings.Join(restart, ",")).Msg("reloaded")
 }
 
 // ReloadRefused logs and counts that new settings are invalid; the current ones stay.
 func (g *Gateway) ReloadRefused(err error) {
-	g.Reloaded("refused")
+	g.RecordReload("refused")
 	g.Log.Error().Err(err).Msg("reload_refused")
 }
--- a/gateway/repeats_test.go
+++ b/gateway/repeats_test.go
@@ -36,7 +36,7 @@
 			req.vm = 1 + i%2
 			require.Equal(t, 500, f.send(req).status)
 		}
-		retries := len(ups[0].Seen()) + len(ups[1].Seen()) - requests
+		retries := len(ups[0].Requests()) + len(ups[1].Requests()) - requests
 		require.LessOrEqual(t, float64(retries), 0.2*requests+50)
 	})
 }
--- a/gateway/report.go
+++ b/gateway/report.go
@@ -26,17 +26,17 @@
 }
 
 // DirectoryLost implements directory.Reporter.
-func (g *Gateway) DirectoryLost(err error) { g.upstreamWatch.Fails(g.Log, "upstreams", err) }
+func (g *Gateway) DirectoryLost(err error) { g.upstreamWatch.RecordFailure(g.Log, "upstreams", err) }
 
 // DirectoryRead implements directory.Reporter.
 func (g *Gateway) DirectoryRead(count int) {
-	g.upstreamWatch.Answers(g.Log, "upstreams")
+	g.upstreamWatch.RecordSuccess(g.Log, "upstreams")
 	g.Log.Info().Int("count", count).Msg("upstreams_read")
 }
 
 // UpstreamUnreadable implements directory.Reporter.
 func (g *Gateway) UpstreamUnreadable(err error) {
-	g.Unreadable("upstreams")
+	g.RecordUnreadable("upstreams")
 	g.Log.Error().Err(err).Msg("upstream_unreadable")
 }
 
@@ -61,7 +61,7 @@
 
 func (g *Gateway) dump() any {
 	return dumpState{
-		Incarnation: g.Life, Ready: g.ready(), Stopping: g.stopping.Load(), Active: g.activeRequests.Load(),
+		Incarnation: g.Incarnation, Ready: g.ready(), Stopping: g.stopping.Load(), Active: g.activeRequests.Load(),
 		Version: g.configVersion(), Budgets: g.Budgets.State(), Upstreams: g.directory.All(), Drained: g.directory.Drained(),
 		Pool: g.pool.States(), Members: g.Members.Members(), Followed: g.Follower.State(), Relay: g.Hub.State(),
 		Prompts: g.prompts.registry.Restricted(time.Now()),
--- a/gateway/request_test.go
+++ b/gateway/request_test.go
@@ -29,7 +29,7 @@
 		require.Equal(t, standin.PlainAnswer("r1"), resp.body)
 		require.Equal(t, "signature-of-i-1", resp.header.Get(standin.HeaderSignature))
 		require.Equal(t, "r1", resp.header.Get(standin.HeaderID))
-		seen := u.Seen()
+		seen := u.Requests()
 		require.Len(t, seen, 1)
 		require.Equal(t, "POST", seen[0].Method)
 		require.Equal(t, "/alert/x?y=1", seen[0].URI)
@@ -67,11 +67,11 @@
 // configuration: callers would not retry a request that is allowed.
 func TestNoConfigurationYet(t *testing.T) {
 	withFleet(t, func(f *fleet) {
-		f.store.SetSilent(true)
+		f.store.SetUnresponsive(true)
 		f.start()
 		require.Equal(t, 503, f.send(level("r1")).status)
 		require.Equal(t, 503, f.readyStatus())
-		f.store.SetSilent(false)
+		f.store.SetUnresponsive(false)
 		f.putConfig(0, "k1")
 		f.upstream("i-1", "plain", 0)
 		time.Sleep(4 * time.Second)
@@ -90,7 +90,7 @@
 		require.Equal(t, 200, resp.status)
 		require.False(t, resp.truncated)
 		require.Equal(t, events(10), resp.body)
-		require.Equal(t, "6000", u.Seen()[0].Header.Get(standin.HeaderDeadline))
+		require.Equal(t, "6000", u.Requests()[0].Header.Get(standin.HeaderDeadline))
 	})
 }
 
@@ -104,16 +104,16 @@
 		f.start()
 		f.send(review("r0")) // finds the preferred upstream
 		preferred := 0
-		if len(ups[1].Seen()) > 0 {
+		if len(ups[1].Requests()) > 0 {
 			preferred = 1
 		}
-		ups[preferred].SetMode(standin.BreakOff)
+		ups[preferred].SetMode(standin.Truncate)
 		resp := f.send(review("r1"))
 		require.Equal(t, 200, resp.status)
 		require.False(t, resp.truncated)
 		require.Equal(t, events(10), resp.body)
 		require.Equal(t, "signature-of-"+ups[preferred].ID, resp.header.Get(standin.HeaderSignature))
-		require.Equal(t, "4", ups[1-preferred].Seen()[0].LastEvent)
+		require.Equal(t, "4", ups[1-preferred].Requests()[0].LastEvent)
 	})
 }
 
@@ -125,7 +125,7 @@
 		ups := []*standin.Upstream{f.upstream("i-1", "model", 10), f.upstream("i-2", "model", 10)}
 		f.start()
 		for _, u := range ups {
-			u.SetMode(standin.BreakOff)
+			u.SetMode(standin.Truncate)
 		}
 		resp := f.send(chat("r1"))
 		require.True(t, resp.truncated)
@@ -145,14 +145,14 @@
 		arrived int
 	}{
 		{"unsafe, answer lost", standin.LoseAnswer, alert("r"), 502, 1, 1},
-		{"unsafe, cut answer", standin.BreakOff, alert("r"), 502, 1, 1},
-		{"unsafe, answer of another", standin.Crossed, alert("r"), 502, 1, 1},
+		{"unsafe, cut answer", standin.Truncate, alert("r"), 502, 1, 1},
+		{"unsafe, answer of another", standin.WrongID, alert("r"), 502, 1, 1},
 		{"unsafe, no signature", standin.Unsigned, alert("r"), 502, 1, 1},
 		{"unsafe, failed", standin.Fail, alert("r"), 500, 1, 1},
 		{"unsafe, 503 without proof", standin.Full, alert("r"), 502, 1, 1},
 		{"unsafe, declined by both", standin.Decline, alert("r"), 429, 0, 2},
 		{"safe, answer lost by both", standin.LoseAnswer, level("r"), 502, 2, 2},
-		{"safe, answers of another", standin.Crossed, level("r"), 502, 2, 2},
+		{"safe, answers of another", standin.WrongID, level("r"), 502, 2, 2},
 		{"safe, failed by both", standin.Fail, level("r"), 500, 2, 2},
 	}
 	for _, c := range cases {
@@ -167,7 +167,7 @@
 				resp := f.send(c.req)
 				require.Equal(t, c.status, resp.status, resp.body)
 				require.Equal(t, c.runs, ups[0].Runs("r")+ups[1].Runs("r"))
-				require.Equal(t, c.arrived, len(ups[0].Seen())+len(ups[1].Seen()))
+				require.Equal(t, c.arrived, len(ups[0].Requests())+len(ups[1].Requests()))
 			})
 		})
 	}
@@ -194,7 +194,7 @@
 				for range 6 {
 					require.Equal(t, 200, f.send(c.req).status)
 				}
-				require.NotEmpty(t, good.Seen())
+				require.NotEmpty(t, good.Requests())
 			})
 		})
 	}
@@ -215,7 +215,7 @@
 			require.Equal(t, 200, f.send(alert("r")).status)
 		}
 		require.Empty(t, other.IDs())
-		require.LessOrEqual(t, len(other.Seen()), 1, "it receives one attempt")
+		require.LessOrEqual(t, len(other.Requests()), 1, "it receives one attempt")
 	})
 }
 
@@ -232,7 +232,7 @@
 		req.ctx = ctx
 		f.send(req)
 		time.Sleep(100 * time.Millisecond)
-		require.True(t, u.Seen()[0].Left)
+		require.True(t, u.Requests()[0].CallerGone)
 	})
 }
 
@@ -275,7 +275,7 @@
 		req := chat("r")
 		req.usage = ""
 		require.Equal(t, 400, f.send(req).status)
-		require.Empty(t, u.Seen())
+		require.Empty(t, u.Requests())
 	})
 }
 
@@ -297,7 +297,7 @@
 		require.NoError(t, err)
 		defer func() { _ = resp.Body.Close() }()
 		require.Equal(t, 429, resp.StatusCode)
-		require.Empty(t, u.Seen())
+		require.Empty(t, u.Requests())
 	})
 }
 
@@ -312,7 +312,7 @@
 			u.SetMode(standin.Hang)
 		}
 		f.send(level("r"))
-		seen := append(ups[0].Seen(), ups[1].Seen()...)
+		seen := append(ups[0].Requests(), ups[1].Requests()...)
 		require.Len(t, seen, 2)
 		var deadlines []int
 		for _, s := range seen {
@@ -336,10 +336,10 @@
 		req := alert("r1")
 		req.body = strings.Repeat("x", 65_537)
 		require.Equal(t, 413, f.send(req).status)
-		require.Empty(t, u.Seen())
+		require.Empty(t, u.Requests())
 		req.body = req.body[1:]
 		require.Equal(t, 200, f.send(req).status)
-		require.Equal(t, req.body, u.Seen()[0].Body)
+		require.Equal(t, req.body, u.Requests()[0].Body)
 	})
 }
 
--- a/gateway/restart_test.go
+++ b/gateway/restart_test.go
@@ -33,18 +33,18 @@
 func TestUpstreamRestartsUnderItsID(t *testing.T) {
 	withFleet(t, func(f *fleet) {
 		f.putConfig(0, "k1")
-		first := &standin.Upstream{ID: "i-1", Born: 1}
+		first := &standin.Upstream{ID: "i-1", StartUnixMS: 1}
 		at := newReplaceableUpstream(first)
 		f.serve(upstreamAddress("i-1"), at)
 		register := func(born int64) {
-			require.NoError(t, f.store.RegisterBorn("i-1", "plain", upstreamAddress("i-1"), "bergen", "ready", 6, born))
+			require.NoError(t, f.store.RegisterWithStart("i-1", "plain", upstreamAddress("i-1"), "bergen", "ready", 6, born))
 		}
 		register(1)
 		f.start()
 		require.Equal(t, 200, f.send(alert("before")).status)
 		at.current.Store(&standin.Upstream{ID: "i-9"})
 		require.NotEqual(t, 200, f.send(alert("meanwhile")).status)
-		restarted := &standin.Upstream{ID: "i-1", Born: 2}
+		restarted := &standin.Upstream{ID: "i-1", StartUnixMS: 2}
 		at.current.Store(restarted)
 		register(2)
 		time.Sleep(time.Second)
@@ -61,18 +61,18 @@
 func TestUnsafeRequestOfThePreviousIncarnation(t *testing.T) {
 	withFleet(t, func(f *fleet) {
 		f.putConfig(0, "k1")
-		first := &standin.Upstream{ID: "i-1", Born: 1}
+		first := &standin.Upstream{ID: "i-1", StartUnixMS: 1}
 		first.SetMode(standin.LoseAnswer)
 		at := newReplaceableUpstream(first)
 		f.serve(upstreamAddress("i-1"), at)
-		require.NoError(t, f.store.RegisterBorn("i-1", "plain", upstreamAddress("i-1"), "bergen", "ready", 6, 1))
+		require.NoError(t, f.store.RegisterWithStart("i-1", "plain", upstreamAddress("i-1"), "bergen", "ready", 6, 1))
 		f.start()
-		restarted := &standin.Upstream{ID: "i-1", Born: 2}
+		restarted := &standin.Upstream{ID: "i-1", StartUnixMS: 2}
 		done := make(chan int)
 		go func() { done <- f.send(alert("once")).status }()
 		time.Sleep(time.Millisecond)
 		at.current.Store(restarted)
-		require.NoError(t, f.store.RegisterBorn("i-1", "plain", upstreamAddress("i-1"), "bergen", "ready", 6, 2))
+		require.NoError(t, f.store.RegisterWithStart("i-1", "plain", upstreamAddress("i-1"), "bergen", "ready", 6, 2))
 		require.Equal(t, http.StatusBadGateway, <-done)
 		require.Equal(t, 1, first.Runs("once")+restarted.Runs("once"))
 	})
@@ -87,19 +87,19 @@
 		corrupted := f.upstream("i-1", "plain", 0)
 		other := f.upstream("i-2", "plain", 0)
 		f.start()
-		require.NoError(t, f.store.Spoil("i-1", []byte("\xff not a document")))
+		require.NoError(t, f.store.CorruptEntry("i-1", []byte("\xff not a document")))
 		time.Sleep(time.Second)
-		seen := len(corrupted.Seen())
+		seen := len(corrupted.Requests())
 		for range 20 {
 			require.Equal(t, 200, f.send(alert("r")).status)
 		}
-		require.Len(t, corrupted.Seen(), seen)
-		require.Len(t, other.Seen(), 20)
+		require.Len(t, corrupted.Requests(), seen)
+		require.Len(t, other.Requests(), 20)
 		f.register("i-1", "plain", "ready")
 		time.Sleep(time.Second)
 		for range 20 {
 			require.Equal(t, 200, f.send(alert("r")).status)
 		}
-		require.Greater(t, len(corrupted.Seen()), seen)
+		require.Greater(t, len(corrupted.Requests()), seen)
 	})
 }
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -30,7 +30,7 @@
 
 func newTransport(n hosted.Network, s settings.Upstreams) *http.Transport {
 	return &http.Transport{
-		DialContext:         n.Within(time.Duration(s.DialTimeout)),
+		DialContext:         n.DialTimeout(time.Duration(s.DialTimeout)),
 		DisableCompression:  true, // callers get the upstream's bytes unchanged
 		MaxIdleConnsPerHost: idleConnsPerUpstream,
 		IdleConnTimeout:     time.Duration(s.IdleTimeout),
@@ -46,7 +46,7 @@
 	x := exchange{request: r, target: t, out: out, callerContext: ctx, now: u.Now}
 	ctx, cancel := context.WithDeadline(ctx, t.Deadline)
 	defer cancel()
-	tracker := &hop.Sent{}
+	tracker := &hop.ConnTracker{}
 	req := u.upstreamRequest(tracker.Trace(ctx), r, t, out)
 	resp, err := u.transport.RoundTrip(req)
 	if err != nil {
@@ -181,7 +181,7 @@
 
 // handleResponse forwards a valid response, or returns why it is invalid.
 func (x *exchange) handleResponse(resp *http.Response) serving.Attempt {
-	m := platform.ReadMarks(resp.StatusCode, resp.Header)
+	m := platform.ReadResponseInfo(resp.StatusCode, resp.Header)
 	if m.ID != x.request.ID && (m.ID != "" || !m.NotRun) {
 		// The response to another request: an upstream may send a second one on
 		// a keep-alive connection, where the next response is expected. The
@@ -217,7 +217,7 @@
 
 // handleFailure reads an error response. A status that implies "not run" without proof of it is
 // not forwarded.
-func (x *exchange) handleFailure(resp *http.Response, m platform.Marks) serving.Attempt {
+func (x *exchange) handleFailure(resp *http.Response, m platform.ResponseInfo) serving.Attempt {
 	body, err := readResponse(resp)
 	if err != nil {
 		return x.failedAttempt(true, err)
--- a/hosted/base.go
+++ b/hosted/base.go
@@ -44,7 +44,7 @@
 
 // internalSecurity is the security of control messages: only the system's own VMs can reach
 // the platform's internal ports.
-var internalSecurity = link.Security{Private: true}
+var internalSecurity = link.Security{TrustedNetwork: true}
 
 // Parts are the settings and dependencies of a Base.
 type Parts struct {
@@ -54,34 +54,34 @@
 	Datacentre string
 	// Link is the address (host:port) for control messages of other members.
 	Link string
-	// Beside is the address of the upstream on the same VM, "" if there is none.
-	Beside string
+	// UpstreamAddress is the address of the upstream on the same VM, "" if there is none.
+	UpstreamAddress string
 	// Methods are the handlers of messages of other members in addition to those of the
 	// budgets; it may be nil.
 	Methods map[string]link.Handler
 	// Readers receive the store's keys under their prefixes.
 	Readers map[string]mirror.Reader
-	// Relays is set if the VM has the resources to relay the store's changes.
-	Relays  bool
-	Store   settings.HostedStore
-	Budgets settings.HostedBudgets
-	Limits  prepaid.Limits
-	Network Network
-	Log     zerolog.Logger
+	// CanRelay is set if the VM has the resources to relay the store's changes.
+	CanRelay bool
+	Store    settings.HostedStore
+	Budgets  settings.HostedBudgets
+	Limits   prepaid.Limits
+	Network  Network
+	Log      zerolog.Logger
 	// LogDropped returns the number of lines that the log writer dropped.
 	LogDropped func() uint64
 }
 
 // Base is the common part of a process.
 type Base struct {
-	// Life names this incarnation of the process.
-	Life    string
-	Log     zerolog.Logger
-	Network Network
-	Store   *platform.Store
-	Members *member.Group
-	Links   *link.Pool
-	Budgets *prepaid.Budgets
+	// Incarnation names this incarnation of the process.
+	Incarnation string
+	Log         zerolog.Logger
+	Network     Network
+	Store       *platform.Store
+	Members     *member.Group
+	Links       *link.Pool
+	Budgets     *prepaid.Budgets
 	// Hub relays the store's changes to other processes; Follower follows relays.
 	Hub      *relay.Hub
 	Follower *relay.Follower
@@ -99,29 +99,29 @@
 // New returns the common part of a process; it makes no calls to other processes.
 func New(p Parts) *Base {
 	b := &Base{
-		Life:    p.VM + "/" + rand.Text()[:incarnationSuffixLen],
-		Network: p.Network,
-		Admin:   &observe.Admin{},
-		methods: p.Methods,
+		Incarnation: p.VM + "/" + rand.Text()[:incarnationSuffixLen],
+		Network:     p.Network,
+		Admin:       &observe.Admin{},
+		methods:     p.Methods,
 	}
 	b.Metrics = b.newMetrics(p.LogDropped)
 	b.Admin.Metrics = b.Metrics
-	b.Log = p.Log.With().Str("life", b.Life).Logger()
+	b.Log = p.Log.With().Str("life", b.Incarnation).Logger()
 	b.Store = newStore(p.Store, p.Network)
-	b.Store.Ended = b.recordStoreCall
+	b.Store.OnCallEnd = b.recordStoreCall
 	b.Members = &member.Group{
 		Store:    b.Store,
 		Prefix:   memberPrefix,
 		TTL:      time.Duration(p.Store.MemberTTL),
 		Interval: time.Duration(p.Store.MemberInterval),
 		Report:   b,
-		Self:     member.Member{ID: b.Life, Role: p.Role, VM: p.VM, Datacentre: p.Datacentre, Address: p.Link, UpstreamAddress: p.Beside, CanRelay: p.Relays},
+		Self:     member.Member{ID: b.Incarnation, Role: p.Role, VM: p.VM, Datacentre: p.Datacentre, Address: p.Link, UpstreamAddress: p.UpstreamAddress, CanRelay: p.CanRelay},
 	}
 	b.Hub = b.newHub(p.Store)
 	b.Follower = b.newFollower(p.Store.Address, p.Readers)
-	b.Links = &link.Pool{From: b.Life, Security: internalSecurity, Heartbeat: linkHeartbeat, DialTimeout: linkDialTimeout,
+	b.Links = &link.Pool{From: b.Incarnation, Security: internalSecurity, Heartbeat: linkHeartbeat, DialTimeout: linkDialTimeout,
 		Log: b.Log.Printf, Dial: p.Network.Dial}
-	b.Budgets = prepaid.New(prepaid.Parts{Life: b.Life, Settings: p.Budgets, Store: b.Store, Members: b.Members,
+	b.Budgets = prepaid.New(prepaid.Parts{Incarnation: b.Incarnation, Settings: p.Budgets, Store: b.Store, Members: b.Members,
 		Links: b.Links, Limits: p.Limits, LendsOnly: p.Role == prepaid.RoleLender, Log: b.Log})
 	return b
 }
@@ -130,7 +130,7 @@
 	return &platform.Store{
 		Address: s.Address,
 		Client: &http.Client{Transport: &http.Transport{
-			DialContext: n.Within(storeDialTimeout), MaxIdleConnsPerHost: storeIdleConns}},
+			DialContext: n.DialTimeout(storeDialTimeout), MaxIdleConnsPerHost: storeIdleConns}},
 		Timeout:    time.Duration(s.Timeout),
 		WatchWait:  time.Duration(s.WatchWait),
 		WatchPause: time.Duration(s.WatchPause),
@@ -139,7 +139,7 @@
 
 // Serve starts the servers for operators (health, metrics, dumps) and for control messages
 // of other members.
-func (b *Base) Serve(d *process.Duties, admin, links net.Listener) {
+func (b *Base) Serve(d *process.TaskGroup, admin, links net.Listener) {
 	d.Serve(&http.Server{Handler: b.Admin.Handler(), ReadHeaderTimeout: adminHeaderTimeout}, admin, nil)
 	methods := b.Budgets.Methods()
 	maps.Copy(methods, b.methods)
@@ -152,7 +152,7 @@
 }
 
 // Start starts a goroutine for each background task of the common part.
-func (b *Base) Start(d *process.Duties) {
+func (b *Base) Start(d *process.TaskGroup) {
 	d.Go(b.Members.KeepAlive)
 	d.Go(b.Hub.Run)
 	d.Go(b.follow)
@@ -171,7 +171,7 @@
 		returnCtx, cancel = context.WithDeadline(ctx, deadline.Add(-leaveReserve))
 	}
 	defer cancel()
-	if err := b.Budgets.GiveBack(returnCtx); err != nil {
+	if err := b.Budgets.ReturnTokens(returnCtx); err != nil {
 		b.Log.Warn().Err(err).Msg("tokens_not_given_back")
 	}
 	if err := b.Members.Leave(ctx); err != nil {
@@ -185,24 +185,24 @@
 }
 
 // MembersLost implements member.Reporter.
-func (b *Base) MembersLost(err error) { b.memberEntries.Fails(b.Log, "members", err) }
+func (b *Base) MembersLost(err error) { b.memberEntries.RecordFailure(b.Log, "members", err) }
 
 // MembersRead implements member.Reporter.
-func (b *Base) MembersRead() { b.memberEntries.Answers(b.Log, "members") }
+func (b *Base) MembersRead() { b.memberEntries.RecordSuccess(b.Log, "members") }
 
 // NotRegistered implements member.Reporter.
-func (b *Base) NotRegistered(err error) { b.ownEntry.Fails(b.Log, "own_entry", err) }
+func (b *Base) NotRegistered(err error) { b.ownEntry.RecordFailure(b.Log, "own_entry", err) }
 
 // Registered implements member.Reporter.
-func (b *Base) Registered() { b.ownEntry.Answers(b.Log, "own_entry") }
+func (b *Base) Registered() { b.ownEntry.RecordSuccess(b.Log, "own_entry") }
 
 // MemberUnreadable implements member.Reporter.
 func (b *Base) MemberUnreadable(err error) {
-	b.Unreadable("members")
+	b.RecordUnreadable("members")
 	b.Log.Error().Err(err).Msg("member_unreadable")
 }
 
-// Unreadable counts an entry of the store that cannot be decoded.
-func (b *Base) Unreadable(of string) {
+// RecordUnreadable counts an entry of the store that cannot be decoded.
+func (b *Base) RecordUnreadable(of string) {
 	b.Metrics.GetOrCreateCounter(fmt.Sprintf("arbutusmill_unreadable_entries_total{of=%q}", of)).Inc()
 }
--- a/hosted/metrics.go
+++ b/hosted/metrics.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// Reloaded counts a reload of the settings file.
-func (b *Base) Reloaded(result string) {
+// RecordReload counts a reload of the settings file.
+func (b *Base) RecordReload(result string) {
 	b.Metrics.GetOrCreateCounter(fmt.Sprintf("arbutusmill_reloads_total{result=%q}", result)).Inc()
 }
 
--- a/hosted/network.go
+++ b/hosted/network.go
@@ -26,8 +26,8 @@
 	return Network{Listen: net.Listen, Dial: d.DialContext}
 }
 
-// Within returns a dial function that fails if connecting takes longer than the timeout.
-func (n Network) Within(timeout time.Duration) func(ctx context.Context, network, address string) (net.Conn, error) {
+// DialTimeout returns a dial function that fails if connecting takes longer than the timeout.
+func (n Network) DialTimeout(timeout time.Duration) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
@@ -35,21 +35,21 @@
 	}
 }
 
-// Listening is one address to listen on.
-type Listening struct {
-	// Field is the name of the setting that has the address.
-	Field   string
+// ListenAddress is one address to listen on.
+type ListenAddress struct {
+	// Setting is the name of the setting that has the address.
+	Setting string
 	Address string
-	// Into receives the listener.
-	Into *net.Listener
+	// Listener receives the listener.
+	Listener *net.Listener
 }
 
 // ListenAll opens all addresses; an error names the setting.
-func (n Network) ListenAll(all []Listening) error {
+func (n Network) ListenAll(all []ListenAddress) error {
 	var err error
 	for _, l := range all {
-		if *l.Into, err = n.Listen("tcp", l.Address); err != nil {
-			return process.Error.New("%s: %w", l.Field, err)
+		if *l.Listener, err = n.Listen("tcp", l.Address); err != nil {
+			return process.Error.New("%s: %w", l.Setting, err)
 		}
 	}
 	return nil
--- a/lender/lender.go
+++ b/lender/lender.go
@@ -64,12 +64,12 @@
 		link.MethodLimit:         link.Handle(l.observeLimit),
 	})
 	l.Base = hosted.New(hosted.Parts{
-		Role: prepaid.RoleLender, VM: s.VM, Datacentre: s.Datacentre, Link: s.Listen.Link, Beside: s.Upstream.Address, Relays: true,
+		Role: prepaid.RoleLender, VM: s.VM, Datacentre: s.Datacentre, Link: s.Listen.Link, UpstreamAddress: s.Upstream.Address, CanRelay: true,
 		Methods: methods,
-		Store:   s.Store, Budgets: s.Budgets, Limits: &prepaid.Told{},
+		Store:   s.Store, Budgets: s.Budgets, Limits: &prepaid.ReportedLimits{},
 		Network: network, Log: observe.NewJSONLogger(log, s.Log.Level, s.VM), LogDropped: dropped,
 	})
-	l.prompts.store, l.prompts.recordUnreadable, l.prompts.log = l.Store, l.Unreadable, l.Log
+	l.prompts.store, l.prompts.recordUnreadable, l.prompts.log = l.Store, l.RecordUnreadable, l.Log
 	l.current.Store(s)
 	l.upstream = upstreamMonitor{
 		address: s.Upstream.Address,
@@ -86,16 +86,16 @@
 // therefore writes them to the store.
 func (l *Lender) isPromptWriter() bool {
 	ranked := l.Members.Rank(poison.KeepersKey, prepaid.RoleLender)
-	return len(ranked) > 0 && ranked[0].ID == l.Life
+	return len(ranked) > 0 && ranked[0].ID == l.Incarnation
 }
 
 // state is the part of a lender that dumps contain.
 type state struct {
-	Life    string `json:"life"`
-	Aside   bool   `json:"aside"`
-	Budgets any    `json:"budgets"`
-	Engine  any    `json:"engine"`
-	Members any    `json:"members"`
+	Incarnation string `json:"life"`
+	Withdrawn   bool   `json:"aside"`
+	Budgets     any    `json:"budgets"`
+	Engine      any    `json:"engine"`
+	Members     any    `json:"members"`
 	// Followed is the relay that the process follows, Relay what it relays to others.
 	Followed any `json:"followed"`
 	Relay    any `json:"relay"`
@@ -104,7 +104,7 @@
 }
 
 func (l *Lender) dump() any {
-	return state{Life: l.Life, Aside: l.Members.Withdrawn(), Engine: l.engine.State(time.Now()), Budgets: l.Budgets.State(), Members: l.Members.Members(),
+	return state{Incarnation: l.Incarnation, Withdrawn: l.Members.Withdrawn(), Engine: l.engine.State(time.Now()), Budgets: l.Budgets.State(), Members: l.Members.Members(),
 		Followed: l.Follower.State(), Relay: l.Hub.State(), Prompts: l.prompts.registry.List(time.Now())}
 }
 
@@ -113,16 +113,16 @@
 func (l *Lender) Run(stop context.Context) error {
 	hosted.LimitMemory(l.settings.Limits.MemoryMB)
 	var admin, links net.Listener
-	err := l.Network.ListenAll([]hosted.Listening{
-		{Field: "listen.admin", Address: l.settings.Listen.Admin, Into: &admin},
-		{Field: "listen.link", Address: l.settings.Listen.Link, Into: &links},
+	err := l.Network.ListenAll([]hosted.ListenAddress{
+		{Setting: "listen.admin", Address: l.settings.Listen.Admin, Listener: &admin},
+		{Setting: "listen.link", Address: l.settings.Listen.Link, Listener: &links},
 	})
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(context.WithoutCancel(stop))
 	defer cancel()
-	duties := process.NewDuties(ctx)
+	duties := process.NewTaskGroup(ctx)
 	l.Log.Info().Str("datacentre", l.settings.Datacentre).Str("link", l.settings.Listen.Link).Msg("started")
 	l.Serve(duties, admin, links)
 	if l.upstream.address != "" {
@@ -163,8 +163,8 @@
 }
 
 // observeLimit records the request limit that a response of the upstream on this VM named.
-func (l *Lender) observeLimit(_ context.Context, in link.LimitNamed) (ratelimit.State, error) {
-	limit := l.engine.ObserveLimit(time.Now(), in.Born, in.Word)
+func (l *Lender) observeLimit(_ context.Context, in link.LimitReport) (ratelimit.State, error) {
+	limit := l.engine.ObserveLimit(time.Now(), in.StartUnixMS, in.Word)
 	l.logLimit(limit)
 	return limit, nil
 }
@@ -179,7 +179,7 @@
 
 // withdraw revokes the announcement of a prompt that went to another upstream.
 func (l *Lender) withdraw(_ context.Context, in link.Withdrawal) (link.Empty, error) {
-	l.engine.Withdraw(time.Now(), in.Announcement, in.Told)
+	l.engine.Withdraw(time.Now(), in.Announcement, in.Reply)
 	return link.Empty{}, nil
 }
 
@@ -211,12 +211,12 @@
 func (l *Lender) Reload(s *settings.Lender) {
 	changed, restart := settings.Differences(l.current.Load(), s, reloadableFields)
 	l.current.Store(s)
-	l.Reloaded("taken")
+	l.RecordReload("taken")
 	l.Log.Info().Str("changed", strings.Join(changed, ",")).Str("needs_restart", strings.Join(restart, ",")).Msg("reloaded")
 }
 
 // ReloadRefused records a reload with invalid settings; the active settings stay.
 func (l *Lender) ReloadRefused(err error) {
-	l.Reloaded("refused")
+	l.RecordReload("refused")
 	l.Log.Error().Err(err).Msg("reload_refused")
 }
--- a/lender/upstream.go
+++ b/lender/upstream.go
@@ -60,8 +60,8 @@
 	out := observation{report: r, eligible: eligible, changed: eligible != m.eligible, reason: reason}
 	m.eligible = eligible
 	if err == nil {
-		out.restarted = m.answered && r.Born != m.startedAt
-		m.answered, m.startedAt = true, r.Born
+		out.restarted = m.answered && r.StartUnixMS != m.startedAt
+		m.answered, m.startedAt = true, r.StartUnixMS
 	}
 	return out
 }
@@ -119,7 +119,7 @@
 	ctx, cancel := context.WithTimeout(ctx, l.upstream.timeout)
 	defer cancel()
 	list, err := platform.ReadCache(ctx, l.upstream.client, l.upstream.address)
-	if err == nil && list.Born != l.upstream.startedAt {
+	if err == nil && list.StartUnixMS != l.upstream.startedAt {
 		err = errRestarted
 	}
 	if err != nil {
--- a/lender/upstream_test.go
+++ b/lender/upstream_test.go
@@ -46,9 +46,9 @@
 func TestRestartBetweenTwoPolls(t *testing.T) {
 	m := &upstreamMonitor{}
 	serves := func(startedAt int64) observation {
-		return m.observe(platform.Report{State: "ready", Born: startedAt}, nil)
+		return m.observe(platform.Report{State: "ready", StartUnixMS: startedAt}, nil)
 	}
-	require.Equal(t, observation{report: platform.Report{State: "ready", Born: 1}, eligible: true, changed: true, reason: "state ready"}, serves(1))
+	require.Equal(t, observation{report: platform.Report{State: "ready", StartUnixMS: 1}, eligible: true, changed: true, reason: "state ready"}, serves(1))
 	require.False(t, serves(1).restarted)
 	again := serves(2)
 	require.True(t, again.restarted)
--- a/lending/lending.go
+++ b/lending/lending.go
@@ -17,16 +17,16 @@
 	Call(ctx context.Context, addr, method string, params, result any) error
 }
 
-// Desk sends and handles the lending messages of one process, as lender and as borrower.
-type Desk struct {
+// Endpoint sends and handles the lending messages of one process, as lender and as borrower.
+type Endpoint struct {
 	Holder *grant.Holder
 	Links  Caller
 	// Address returns the address of a process by the name of its VM or of one of its
 	// incarnations; false if it is unknown.
 	Address func(name string) (string, bool)
-	// Fill acquires tokens of a budget for a peer that requests more than are spendable.
+	// Acquirer acquires tokens of a budget for a peer that requests more than are spendable.
 	// It may be nil: then a peer gets only spendable tokens.
-	Fill *grant.Acquirer
+	Acquirer *grant.Acquirer
 	// Limit returns the operators' limit on a budget and the version of the
 	// configuration that sets it, which are sent with each request for tokens. It may
 	// be nil if the lenders read the configuration themselves.
@@ -38,7 +38,7 @@
 }
 
 // Methods returns the handlers of messages from other processes.
-func (d *Desk) Methods() map[string]link.Handler {
+func (d *Endpoint) Methods() map[string]link.Handler {
 	return map[string]link.Handler{
 		link.MethodLend:     link.Handle(d.lend),
 		link.MethodReturn:   link.Handle(d.takeBack),
@@ -47,18 +47,18 @@
 	}
 }
 
-func (d *Desk) lend(ctx context.Context, in link.LendRequest) (grant.Lot, error) {
-	if d.Fill != nil {
+func (d *Endpoint) lend(ctx context.Context, in link.LendRequest) (grant.Lot, error) {
+	if d.Acquirer != nil {
 		ctx, cancel := context.WithTimeout(ctx, d.Timeout)
 		defer cancel()
-		return d.Fill.Lend(ctx, in.Budget, in.ID, in.Borrower, in.Need, in.Want)
+		return d.Acquirer.Lend(ctx, in.Budget, in.ID, in.Borrower, in.Need, in.Want)
 	}
 	return d.Holder.Lend(d.Now(), in.Budget, in.ID, in.Borrower, in.Need, in.Want)
 }
 
 // takeBack settles lots. Those of an earlier incarnation are ignored: the recovery of
 // its row settles them.
-func (d *Desk) takeBack(_ context.Context, in link.ReturnRequest) (link.Empty, error) {
+func (d *Endpoint) takeBack(_ context.Context, in link.ReturnRequest) (link.Empty, error) {
 	for _, r := range in.Lots {
 		if r.Lender == d.Holder.ID() {
 			d.Holder.TakeBack(d.Now(), r)
@@ -69,7 +69,7 @@
 
 // disown answers only for this incarnation: recovery determines what an earlier one did
 // with its lots.
-func (d *Desk) disown(_ context.Context, in link.DisownRequest) (link.DisownReply, error) {
+func (d *Endpoint) disown(_ context.Context, in link.DisownRequest) (link.DisownReply, error) {
 	if in.Borrower != d.Holder.ID() {
 		return link.DisownReply{}, nil
 	}
@@ -77,7 +77,7 @@
 }
 
 // borrowed answers only for this incarnation: the usage of an earlier one is unknown.
-func (d *Desk) borrowed(_ context.Context, in link.BorrowedRequest) (grant.Borrowed, error) {
+func (d *Endpoint) borrowed(_ context.Context, in link.BorrowedRequest) (grant.Borrowed, error) {
 	if in.Borrower != d.Holder.ID() {
 		return grant.Borrowed{}, nil
 	}
@@ -85,26 +85,26 @@
 }
 
 // AskBorrowed requests a borrower's final usage report on a dead lender.
-func (d *Desk) AskBorrowed(ctx context.Context, borrower, lender string) (grant.Borrowed, error) {
+func (d *Endpoint) AskBorrowed(ctx context.Context, borrower, lender string) (grant.Borrowed, error) {
 	var out grant.Borrowed
 	err := d.call(ctx, borrower, link.MethodBorrowed, link.BorrowedRequest{Borrower: borrower, Lender: lender}, &out)
 	return out, err
 }
 
-// Tell sends this lender's exposure limits to a witness.
-func (d *Desk) Tell(ctx context.Context, witness string, notice settlement.Notice) error {
+// SendLimits sends this lender's exposure limits to a witness.
+func (d *Endpoint) SendLimits(ctx context.Context, witness string, notice settlement.Notice) error {
 	return d.call(ctx, witness, link.MethodLimits, notice, nil)
 }
 
 // AskLimits requests the exposure limits of a lender that is gone from a witness.
-func (d *Desk) AskLimits(ctx context.Context, witness string, in link.LimitsRequest) (settlement.WitnessAnswer, error) {
+func (d *Endpoint) AskLimits(ctx context.Context, witness string, in link.LimitsRequest) (settlement.WitnessAnswer, error) {
 	var out settlement.WitnessAnswer
 	err := d.call(ctx, witness, link.MethodTestify, in, &out)
 	return out, err
 }
 
 // Lend implements grant.Lender: it requests a lot from a peer.
-func (d *Desk) Lend(ctx context.Context, peer, budget, id string, need, want int64) (grant.Lot, error) {
+func (d *Endpoint) Lend(ctx context.Context, peer, budget, id string, need, want int64) (grant.Lot, error) {
 	addr, ok := d.Address(peer)
 	if !ok {
 		return grant.Lot{}, link.Error.Wrap(link.ErrDown)
@@ -119,7 +119,7 @@
 }
 
 // Probe checks whether a peer answers before the context ends, with a disown request for no lots.
-func (d *Desk) Probe(ctx context.Context, peer string) error {
+func (d *Endpoint) Probe(ctx context.Context, peer string) error {
 	addr, ok := d.Address(peer)
 	if !ok {
 		return link.Error.Wrap(link.ErrDown)
@@ -130,7 +130,7 @@
 
 // ReturnLots settles the lots that were not used for the idle time with their lenders, with
 // one message to each lender. Lots whose message fails are sent again by the next call.
-func (d *Desk) ReturnLots(ctx context.Context, idle time.Duration) {
+func (d *Endpoint) ReturnLots(ctx context.Context, idle time.Duration) {
 	byLender := map[string][]grant.LotReturn{}
 	for _, r := range d.Holder.CloseLots(d.Now().Add(-idle)) {
 		byLender[r.Lender] = append(byLender[r.Lender], r)
@@ -147,7 +147,7 @@
 
 // AuditLots queries borrowers about the lots lent to them, and takes back those whose
 // reply was lost: without it such a lot would stay open forever.
-func (d *Desk) AuditLots(ctx context.Context) {
+func (d *Endpoint) AuditLots(ctx context.Context) {
 	for borrower, parts := range d.Holder.LentLots() {
 		var out link.DisownReply
 		in := link.DisownRequest{Borrower: borrower, Parts: parts}
@@ -160,7 +160,7 @@
 	}
 }
 
-func (d *Desk) call(ctx context.Context, peer, method string, in, out any) error {
+func (d *Endpoint) call(ctx context.Context, peer, method string, in, out any) error {
 	addr, ok := d.Address(peer)
 	if !ok {
 		return link.Error.Wrap(link.ErrDown)
--- a/link/link.go
+++ b/link/link.go
@@ -74,11 +74,11 @@
 // addresses, or a network that only the system's own VMs can reach.
 type Security struct {
 	Secret string
-	// Private means that only the system's own VMs can reach the address; then no
+	// TrustedNetwork means that only the system's own VMs can reach the address; then no
 	// secret is required.
-	Private bool
-	Server  *tls.Config
-	Client  *tls.Config
+	TrustedNetwork bool
+	Server         *tls.Config
+	Client         *tls.Config
 }
 
 // hello is the first message of each connection.
@@ -185,7 +185,7 @@
 		return ErrUnauthorized
 	}
 	want := s.server.Security.Secret
-	ok := s.server.Security.Server != nil || s.server.Security.Private ||
+	ok := s.server.Security.Server != nil || s.server.Security.TrustedNetwork ||
 		(want != "" && subtle.ConstantTimeCompare([]byte(h.Secret), []byte(want)) == 1)
 	if !ok {
 		return ErrUnauthorized
--- a/link/messages.go
+++ b/link/messages.go
@@ -92,11 +92,11 @@
 	Service string        `json:"service"`
 }
 
-// LimitNamed is the rate limit in an answer of one incarnation of an engine.
-type LimitNamed struct {
-	// Born is the start time of that incarnation; see directory.Incarnation.
-	Born int64                `json:"born,omitempty"`
-	Word ratelimit.NamedLimit `json:"word"`
+// LimitReport is the rate limit in an answer of one incarnation of an engine.
+type LimitReport struct {
+	// StartUnixMS is the start time of that incarnation; see directory.Incarnation.
+	StartUnixMS int64                `json:"born,omitempty"`
+	Word        ratelimit.NamedLimit `json:"word"`
 }
 
 // MethodFollow requests the store's changes from a relay: relay.Request, relay.Reply.
@@ -105,7 +105,7 @@
 // Withdrawal withdraws an announcement; it holds the announcement and the reply to it.
 type Withdrawal struct {
 	Announcement prefill.Announcement  `json:"announcement"`
-	Told         prefill.AnnounceReply `json:"told"`
+	Reply        prefill.AnnounceReply `json:"told"`
 }
 
 // Methods of routers and agents.
--- a/localfleet/fleet.go
+++ b/localfleet/fleet.go
@@ -175,7 +175,7 @@
 	return &vm{name: s.VM, callers: s.Listen.Callers, ready: s.Listen.Ready, admin: s.Listen.Admin,
 		start: func(n hosted.Network) (process, string) {
 			g := gateway.New(&s, n, f.log, noDroppedLines)
-			return g, g.Life
+			return g, g.Incarnation
 		}}
 }
 
@@ -188,7 +188,7 @@
 	return &vm{name: s.VM, admin: s.Listen.Admin,
 		start: func(n hosted.Network) (process, string) {
 			l := lender.New(&s, n, f.log, noDroppedLines)
-			return l, l.Life
+			return l, l.Incarnation
 		}}
 }
 
@@ -311,8 +311,8 @@
 	return failures.Err()
 }
 
-// Book returns an operator's client for the accounts.
-func (f *Fleet) Book() account.AdminClient {
+// Accounts returns an operator's client for the accounts.
+func (f *Fleet) Accounts() account.AdminClient {
 	s := &platform.Store{Address: f.StoreAddress, Client: http.DefaultClient, Timeout: storeTimeout}
 	return account.AdminClient{Store: s, Layout: account.Layout{Prefix: prepaid.PagePrefix, Pages: settings.DefaultGateway().Budgets.Pages}}
 }
--- a/localfleet/scenes.go
+++ b/localfleet/scenes.go
@@ -84,17 +84,17 @@
 // sendTopics sends prompts on different topics through all routers, and returns how many ran on the
 // engine of the first data centre. prefix begins the names of the topics.
 func (d *demo) sendTopics(ctx context.Context, prefix string) (atFirst int, err error) {
-	before := len(d.f.Engines[0].Seen())
+	before := len(d.f.Engines[0].Requests())
 	for n := range topicCount {
 		if _, err := d.sendPrompt(ctx, d.f.routers()[n%len(datacentres)], fmt.Sprint(prefix, "-", n)); err != nil {
 			return 0, err
 		}
 	}
-	return len(d.f.Engines[0].Seen()) - before, nil
+	return len(d.f.Engines[0].Requests()) - before, nil
 }
 
 func (d *demo) emptyDatacentre(ctx context.Context) (string, error) {
-	if err := d.f.Store.Empty(datacentres[0]); err != nil {
+	if err := d.f.Store.OrderDrain(datacentres[0]); err != nil {
 		return "", err
 	}
 	time.Sleep(propagationTime)
@@ -102,7 +102,7 @@
 	if err != nil {
 		return "", err
 	}
-	if err := d.f.Store.EndEmptying(datacentres[0]); err != nil {
+	if err := d.f.Store.EndDrain(datacentres[0]); err != nil {
 		return "", err
 	}
 	time.Sleep(propagationTime)
@@ -152,7 +152,7 @@
 func (d *demo) checkBill(ctx context.Context) (string, error) {
 	deadline := time.Now().Add(billTimeout)
 	for {
-		a, err := d.f.Book().Get(ctx, pilots)
+		a, err := d.f.Accounts().Get(ctx, pilots)
 		if err == nil {
 			err = a.Check()
 		}
--- a/localfleet/show.go
+++ b/localfleet/show.go
@@ -59,10 +59,10 @@
 	sent int
 }
 
-// Show starts a local fleet and demonstrates its main functions: prompts that are streamed and
+// RunDemo starts a local fleet and demonstrates its main functions: prompts that are streamed and
 // billed, calls that run at most once, exhausted budgets, operator actions and failures. It returns
 // an error if any step fails.
-func Show(ctx context.Context, o Options) error {
+func RunDemo(ctx context.Context, o Options) error {
 	start := time.Now()
 	f, err := Start(ctx, datacentres, o.Log)
 	if err != nil {
@@ -119,9 +119,9 @@
 	return standin.Configuration{
 		Version: 1,
 		Routes: []standin.Route{
-			{Name: "chat", Host: host, Prefix: "/chat/", Kind: standin.Streaming, Service: Assistant, Resumable: true, MostUpstreams: 2,
+			{Name: "chat", Host: host, Prefix: "/chat/", Kind: standin.Streaming, Service: Assistant, Resumable: true, MaxUpstreams: 2,
 				Timeout: 6 * time.Second, Goal: 800 * time.Millisecond, Rank: 1},
-			{Name: "alert", Host: host, Prefix: "/alert/", Kind: standin.Unsafe, Service: Alerts, MostUpstreams: 1,
+			{Name: "alert", Host: host, Prefix: "/alert/", Kind: standin.Unsafe, Service: Alerts, MaxUpstreams: 1,
 				Timeout: 2 * time.Second, Goal: 200 * time.Millisecond},
 		},
 		Models: []standin.Model{{Name: Assistant, Slots: engineSlots, MemoryTokens: 400_000, TokensPerEvent: tokensPerEvent}},
--- a/memnet/memnet.go
+++ b/memnet/memnet.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// SetDark makes new dials to an address block until their context ends, or connect again.
+// SetBlackholed makes new dials to an address block until their context ends, or connect again.
 // Open connections are not affected.
-func (n *Network) SetDark(address string, blackholed bool) {
+func (n *Network) SetBlackholed(address string, blackholed bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.blackholed == nil {
--- a/openai/answer.go
+++ b/openai/answer.go
@@ -52,8 +52,8 @@
 	Done bool
 }
 
-// Line records one line of a stream.
-func (m *Meter) Line(line []byte) {
+// RecordLine records one line of a stream.
+func (m *Meter) RecordLine(line []byte) {
 	data, ok := bytes.CutPrefix(bytes.TrimSpace(line), bytes.TrimSpace(DataPrefix))
 	if !ok {
 		return
@@ -70,8 +70,8 @@
 	m.chunk(c)
 }
 
-// Whole records the body of an answer that is not streamed.
-func (m *Meter) Whole(body []byte) {
+// RecordBody records the body of an answer that is not streamed.
+func (m *Meter) RecordBody(body []byte) {
 	var c Chunk
 	if json.Unmarshal(body, &c) == nil {
 		m.Done = true
--- a/openai/openai_test.go
+++ b/openai/openai_test.go
@@ -11,12 +11,12 @@
 func TestBindSetsLimits(t *testing.T) {
 	r, refusal := Parse(ChatPath, []byte(`{"model":"m","stream":true,"n":2,"max_completion_tokens":9,"seed":4,"messages":[{"role":"user","content":"hi"}]}`))
 	require.Nil(t, refusal)
-	require.NoError(t, r.Bind(64, contract.Urgent))
+	require.NoError(t, r.SetLimits(64, contract.Urgent))
 	require.Equal(t, int64(18), r.OutputLimit, "of both choices")
 	require.JSONEq(t, `{"model":"m","stream":true,"n":2,"max_tokens":9,"seed":4,"priority":0,
 		"stream_options":{"include_usage":true},"messages":[{"role":"user","content":"hi"}]}`, string(r.Body))
 	r, _ = Parse(ChatPath, []byte(`{"model":"m","max_tokens":1000000,"messages":[{"role":"user","content":"hi"}]}`))
-	require.NoError(t, r.Bind(64, contract.Normal))
+	require.NoError(t, r.SetLimits(64, contract.Normal))
 	require.Equal(t, int64(64), r.OutputLimit)
 }
 
@@ -26,12 +26,12 @@
 	var m Meter
 	for _, line := range []string{": comment", "", `data: {"choices":[{"delta":{"role":"assistant","content":""}}]}`,
 		`data: {"choices":[{"delta":{"content":"a"}}]}`, `data:{"choices":[{"text":"b"}]}`} {
-		m.Line([]byte(line))
+		m.RecordLine([]byte(line))
 	}
 	require.False(t, m.Done)
 	require.Equal(t, int64(2), m.Billed())
-	m.Line([]byte(`data: {"choices":[],"usage":{"prompt_tokens":5,"completion_tokens":2,"total_tokens":7}}`))
-	m.Line([]byte("data: [DONE]"))
+	m.RecordLine([]byte(`data: {"choices":[],"usage":{"prompt_tokens":5,"completion_tokens":2,"total_tokens":7}}`))
+	m.RecordLine([]byte("data: [DONE]"))
 	require.True(t, m.Done)
 	require.Equal(t, int64(7), m.Billed())
 }
@@ -46,7 +46,7 @@
 		if refusal != nil {
 			return
 		}
-		if err := r.Bind(64, contract.Normal); err != nil {
+		if err := r.SetLimits(64, contract.Normal); err != nil {
 			return
 		}
 		require.True(t, json.Valid(r.Body))
--- a/openai/request.go
+++ b/openai/request.go
@@ -162,10 +162,10 @@
 	return nil
 }
 
-// Bind sets the output limit, at most maxOutput tokens, and the priority in the body,
+// SetLimits sets the output limit, at most maxOutput tokens, and the priority in the body,
 // and requests a usage report. The limit in the body is for one choice; OutputLimit
 // becomes the sum over all choices.
-func (r *Request) Bind(maxOutput int64, class contract.Class) error {
+func (r *Request) SetLimits(maxOutput int64, class contract.Class) error {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(r.Body, &fields); err != nil {
 		return err
--- a/operator/explain.go
+++ b/operator/explain.go
@@ -68,11 +68,11 @@
 
 // logLine is one line of a gateway's log.
 type logLine struct {
-	Time  time.Time `json:"time"`
-	Event string    `json:"event"`
-	ID    string    `json:"id"`
-	Life  string    `json:"life"`
-	text  string
+	Time        time.Time `json:"time"`
+	Event       string    `json:"event"`
+	ID          string    `json:"id"`
+	Incarnation string    `json:"life"`
+	text        string
 }
 
 // requestEvents are the events of single requests. All others may explain a request: a process
@@ -109,10 +109,10 @@
 	times := map[string][]time.Time{}
 	for _, l := range lines {
 		if l.ID == id {
-			if times[l.Life] == nil {
-				incarnations = append(incarnations, l.Life)
+			if times[l.Incarnation] == nil {
+				incarnations = append(incarnations, l.Incarnation)
 			}
-			times[l.Life] = append(times[l.Life], l.Time)
+			times[l.Incarnation] = append(times[l.Incarnation], l.Time)
 		}
 	}
 	for _, incarnation := range incarnations {
@@ -129,7 +129,7 @@
 func relatedLines(lines []logLine, id, incarnation string, times []time.Time, around time.Duration) []logLine {
 	var out []logLine
 	for _, l := range lines {
-		if l.Life != incarnation {
+		if l.Incarnation != incarnation {
 			continue
 		}
 		near := slices.ContainsFunc(times, func(t time.Time) bool { return l.Time.Sub(t).Abs() <= around })
--- a/operator/load.go
+++ b/operator/load.go
@@ -157,7 +157,7 @@
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
 		before := m.Outputs
-		m.Line(lines.Bytes())
+		m.RecordLine(lines.Bytes())
 		if m.Outputs > before {
 			now := time.Now()
 			r.recordToken(before == 0, now.Sub(last))
--- a/operator/local.go
+++ b/operator/local.go
@@ -53,7 +53,7 @@
 		defer file.Close()
 		log = file
 	}
-	return localfleet.Show(ctx, localfleet.Options{Out: os.Stdout, Log: log, Colour: isTerminal(os.Stdout), Keep: d.keep})
+	return localfleet.RunDemo(ctx, localfleet.Options{Out: os.Stdout, Log: log, Colour: isTerminal(os.Stdout), Keep: d.keep})
 }
 
 // isTerminal reports whether a file is a terminal.
--- a/pool/limit.go
+++ b/pool/limit.go
@@ -186,7 +186,7 @@
 	}
 	refusal := contract.Refuse(contract.UpstreamLimit, "the upstreams of %s take no more requests now: %d of %d say so", r.Service.Name, held.Limited, held.Eligible)
 	if held.RetryAfter > 0 {
-		refusal = refusal.After(max(minRetryAfter, held.RetryAfter+backoff.Jitter(held.RetryAfter)/2))
+		refusal = refusal.WithRetryAfter(max(minRetryAfter, held.RetryAfter+backoff.Jitter(held.RetryAfter)/2))
 	}
 	return refusal
 }
--- a/prepaid/budgets.go
+++ b/prepaid/budgets.go
@@ -94,10 +94,10 @@
 	// Each calls f with each budget that has a limit, its tokens, and the version of
 	// the configuration that sets it.
 	Each(f func(budget string, version, tokens int64))
-	// Of returns the limit of one budget; version is 0 if it is unknown.
-	Of(budget string) (version, tokens int64)
-	// Note records a limit that came with another process's request for tokens.
-	Note(budget string, version, tokens int64)
+	// Get returns the limit of one budget; version is 0 if it is unknown.
+	Get(budget string) (version, tokens int64)
+	// Record records a limit that came with another process's request for tokens.
+	Record(budget string, version, tokens int64)
 }
 
 // Roles of members.
@@ -120,7 +120,7 @@
 	holder   *grant.Holder
 	pages    *grant.StoreGranter
 	acquirer *grant.Acquirer
-	endpoint *lending.Desk
+	endpoint *lending.Endpoint
 	members  *member.Group
 	layout   account.Layout
 	limits   Limits
@@ -161,13 +161,13 @@
 
 // Parts are the dependencies and settings of Budgets.
 type Parts struct {
-	// Life names this incarnation of the process.
-	Life     string
-	Settings settings.HostedBudgets
-	Store    store.Store
-	Members  *member.Group
-	Links    lending.Caller
-	Limits   Limits
+	// Incarnation names this incarnation of the process.
+	Incarnation string
+	Settings    settings.HostedBudgets
+	Store       store.Store
+	Members     *member.Group
+	Links       lending.Caller
+	Limits      Limits
 	// LendsOnly is set if the process spends no tokens itself, so that it can be settled
 	// from its borrowers' reports when it dies.
 	LendsOnly bool
@@ -185,9 +185,9 @@
 		wait:    time.Duration(s.Wait),
 		log:     p.Log,
 	}
-	b.holder = grant.NewHolder(p.Life, b.layout, grant.HorizonPolicy{
+	b.holder = grant.NewHolder(p.Incarnation, b.layout, grant.HorizonPolicy{
 		Horizon: time.Duration(s.Horizon), LargestRequests: largestRequests, Share: maxHeldShare, Slack: heldSlack,
-		MaxLoss: s.MostLost, StoreDegraded: b.storeDegraded, Refill: refillStep, Recovering: b.recovering, Role: b.role, StandbyHorizon: standbyHorizon, UsingStore: b.storeRequests.has,
+		MaxLoss: s.MaxLoss, StoreDegraded: b.storeDegraded, Refill: refillStep, Recovering: b.recovering, Role: b.role, StandbyHorizon: standbyHorizon, UsingStore: b.storeRequests.has,
 	})
 	b.holder.SetDemandWindow(time.Duration(s.DemandWindow))
 	b.holder.UseMinimalRows(b.isDead)
@@ -199,13 +199,13 @@
 			RemoveIdleAfter: removeIdleAfter, ExhaustedBackoff: exhaustedBackoff, LowBackoff: lowBackoff},
 	}
 	if p.LendsOnly {
-		b.registry = &settlement.BorrowerRegistry{Store: p.Store, Key: lendsPrefix + p.Life}
+		b.registry = &settlement.BorrowerRegistry{Store: p.Store, Key: lendsPrefix + p.Incarnation}
 		b.exposure = b.newExposure()
 	}
-	b.endpoint = &lending.Desk{
+	b.endpoint = &lending.Endpoint{
 		Holder: b.holder, Links: p.Links, Address: b.addressOf, Timeout: time.Duration(s.PeerWait), Now: time.Now,
-		Limit: p.Limits.Of,
-		Fill:  &grant.Acquirer{Holder: b.holder, Now: time.Now, Chain: []grant.Granter{b}, Exposer: b.exposure},
+		Limit:    p.Limits.Get,
+		Acquirer: &grant.Acquirer{Holder: b.holder, Now: time.Now, Chain: []grant.Granter{b}, Exposer: b.exposure},
 	}
 	peers := &grant.PeerGranter{Holder: b.holder, Lender: b, Peers: b.lendersFor, Timeout: time.Duration(s.PeerWait), Now: time.Now}
 	b.acquirer = &grant.Acquirer{Holder: b.holder, Now: time.Now, Chain: []grant.Granter{peers, b}}
@@ -213,7 +213,7 @@
 }
 
 // Start starts a goroutine for each periodic task.
-func (b *Budgets) Start(d *process.Duties) {
+func (b *Budgets) Start(d *process.TaskGroup) {
 	d.Every(syncInterval, b.syncOrProbe)
 	d.Every(lotReturnInterval, b.returnLots)
 	d.Every(auditInterval, b.endpoint.AuditLots)
--- a/prepaid/budgets_test.go
+++ b/prepaid/budgets_test.go
@@ -64,8 +64,8 @@
 	members.FindPeers(ctx)
 	cancel()
 	synctest.Wait()
-	return New(Parts{Life: "router/1", Settings: settings.DefaultGateway().Budgets, Store: s, Members: members,
-		Links: n, Limits: &Told{}, Log: zerolog.New(io.Discard)})
+	return New(Parts{Incarnation: "router/1", Settings: settings.DefaultGateway().Budgets, Store: s, Members: members,
+		Links: n, Limits: &ReportedLimits{}, Log: zerolog.New(io.Discard)})
 }
 
 // A busy team saturates the link of a small VM, and every reply takes 0.7 s. Requests time out
@@ -106,15 +106,15 @@
 // A router with an outdated configuration sends an older limit than the recorded one: it must not
 // revert the newer limit.
 func TestOlderReportedLimitsAreIgnored(t *testing.T) {
-	var l Told
-	l.Note("team", 5, 1000)
-	l.Note("team", 4, 9000)
-	l.Note("team", 0, 0) // a router that has no configuration yet
-	version, tokens := l.Of("team")
+	var l ReportedLimits
+	l.Record("team", 5, 1000)
+	l.Record("team", 4, 9000)
+	l.Record("team", 0, 0) // a router that has no configuration yet
+	version, tokens := l.Get("team")
 	require.EqualValues(t, 5, version)
 	require.EqualValues(t, 1000, tokens)
-	l.Note("team", 6, 500)
-	_, tokens = l.Of("team")
+	l.Record("team", 6, 500)
+	_, tokens = l.Get("team")
 	require.EqualValues(t, 500, tokens)
 }
 
--- a/prepaid/exposure.go
+++ b/prepaid/exposure.go
@@ -57,7 +57,7 @@
 	if o.ongoing() {
 		return link.Error.Wrap(link.ErrDown)
 	}
-	err := b.endpoint.Tell(ctx, witness, notice)
+	err := b.endpoint.SendLimits(ctx, witness, notice)
 	b.recordOutage(o, "witness", witness, err, link.ErrDown)
 	return err
 }
--- a/prepaid/limits.go
+++ b/prepaid/limits.go
@@ -6,11 +6,11 @@
 	"github.com/arbutusmill/arbutusmill/catalog"
 )
 
-// Configured implements Limits with the limits of the active configuration.
-type Configured struct{ Catalog *catalog.Current }
+// ConfiguredLimits implements Limits with the limits of the active configuration.
+type ConfiguredLimits struct{ Catalog *catalog.Current }
 
 // Each implements Limits.
-func (c Configured) Each(f func(budget string, version, tokens int64)) {
+func (c ConfiguredLimits) Each(f func(budget string, version, tokens int64)) {
 	t := c.Catalog.Load()
 	if t == nil {
 		return
@@ -22,8 +22,8 @@
 	}
 }
 
-// Of implements Limits.
-func (c Configured) Of(budget string) (version, tokens int64) {
+// Get implements Limits.
+func (c ConfiguredLimits) Get(budget string) (version, tokens int64) {
 	t := c.Catalog.Load()
 	if t == nil {
 		return 0, 0
@@ -35,22 +35,22 @@
 	return t.Version, team.Prepaid
 }
 
-// Note implements Limits and does nothing: this process reads the configuration itself.
-func (Configured) Note(string, int64, int64) {}
+// Record implements Limits and does nothing: this process reads the configuration itself.
+func (ConfiguredLimits) Record(string, int64, int64) {}
 
-// Told implements Limits with limits that came with the requests of other processes. A process
+// ReportedLimits implements Limits with limits that came with the requests of other processes. A process
 // that only lends needs no copy of the configuration: each request for tokens includes the limit
 // and the version that sets it. It is safe for concurrent use; the zero value is empty.
-type Told struct {
+type ReportedLimits struct {
 	mu      sync.Mutex
 	budgets map[string]limit
 }
 
 type limit struct{ version, tokens int64 }
 
-// Note implements Limits. It ignores a limit that is not newer than the recorded one: a router
+// Record implements Limits. It ignores a limit that is not newer than the recorded one: a router
 // with an outdated configuration would otherwise revert a newer limit.
-func (t *Told) Note(budget string, version, tokens int64) {
+func (t *ReportedLimits) Record(budget string, version, tokens int64) {
 	if version <= 0 || tokens <= 0 {
 		return
 	}
@@ -65,7 +65,7 @@
 }
 
 // Each implements Limits.
-func (t *Told) Each(f func(budget string, version, tokens int64)) {
+func (t *ReportedLimits) Each(f func(budget string, version, tokens int64)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for budget, l := range t.budgets {
@@ -73,8 +73,8 @@
 	}
 }
 
-// Of implements Limits.
-func (t *Told) Of(budget string) (version, tokens int64) {
+// Get implements Limits.
+func (t *ReportedLimits) Get(budget string) (version, tokens int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	l := t.budgets[budget]
--- a/prepaid/pages.go
+++ b/prepaid/pages.go
@@ -138,10 +138,10 @@
 // writes each page.
 const returnInterval = 500 * time.Millisecond
 
-// GiveBack returns all tokens that are not reserved, and the rest as it becomes free, until
+// ReturnTokens returns all tokens that are not reserved, and the rest as it becomes free, until
 // nothing is left or the context ends. It ends a planned stop: tokens that are still lent
 // afterwards count as used, so it waits for the borrowers' requests to end.
-func (b *Budgets) GiveBack(ctx context.Context) error {
+func (b *Budgets) ReturnTokens(ctx context.Context) error {
 	for {
 		if err := b.returnOnce(ctx); err != nil {
 			return err
--- a/prepaid/peers.go
+++ b/prepaid/peers.go
@@ -69,7 +69,7 @@
 		var in link.LendRequest
 		if json.Unmarshal(params, &in) == nil { // otherwise lend returns the error
 			b.lendRequests.record(b.layout.Key(in.Budget))
-			b.limits.Note(in.Budget, in.Version, in.Limit)
+			b.limits.Record(in.Budget, in.Version, in.Limit)
 			if err := b.ensureAdmitted(ctx, in.Borrower); err != nil {
 				return nil, err
 			}
--- a/process/process.go
+++ b/process/process.go
@@ -32,26 +32,26 @@
 
 // Keys in the platform's store; other VMs use the same.
 const (
-	Prefix       = "arbutusmill/"
-	PagePrefix   = Prefix + "budget/"
-	LedgerPrefix = Prefix + "ledger/"
-	ClaimPrefix  = Prefix + "claim/"
-	LifePrefix   = Prefix + "incarnation/"
-	FenceKey     = Prefix + "fences"
+	Prefix            = "arbutusmill/"
+	PagePrefix        = Prefix + "budget/"
+	LedgerPrefix      = Prefix + "ledger/"
+	ClaimPrefix       = Prefix + "claim/"
+	IncarnationPrefix = Prefix + "incarnation/"
+	FenceKey          = Prefix + "fences"
 )
 
 // Base is the common part of a process.
 type Base struct {
-	Settings *settings.Settings
-	Log      zerolog.Logger
-	Store    store.Store
-	Lister   vm.Lister
-	View     *vm.View
-	Links    *link.Pool
-	Security link.Security
-	Lives    incarnation.Registry
-	Fences   recovery.Fences
-	Admin    *observe.Admin
+	Settings     *settings.Settings
+	Log          zerolog.Logger
+	Store        store.Store
+	Lister       vm.Lister
+	View         *vm.View
+	Links        *link.Pool
+	Security     link.Security
+	Incarnations incarnation.Registry
+	Fences       recovery.Fences
+	Admin        *observe.Admin
 	// Incarnation is the name of this incarnation of the process.
 	Incarnation string
 	// Open opens a listening address; net.Listen except in local fleets.
@@ -82,16 +82,16 @@
 		Security: security,
 		Links: &link.Pool{From: s.VM, Security: security, Heartbeat: time.Duration(s.Links.Heartbeat),
 			DialTimeout: time.Duration(s.Links.DialTimeout)},
-		Lives:  incarnation.Registry{Store: st, Prefix: LifePrefix},
-		Fences: recovery.Fences{Store: st, Key: FenceKey},
-		Admin:  &observe.Admin{},
+		Incarnations: incarnation.Registry{Store: st, Prefix: IncarnationPrefix},
+		Fences:       recovery.Fences{Store: st, Key: FenceKey},
+		Admin:        &observe.Admin{},
 	}, nil
 }
 
-// Begin starts a new incarnation of the process. It needs the store: without a new
+// StartIncarnation starts a new incarnation of the process. It needs the store: without a new
 // number a restarted process could be mistaken for its previous incarnation.
-func (b *Base) Begin(ctx context.Context) error {
-	name, err := b.Lives.Begin(ctx, b.Settings.VM, b.Settings.Role)
+func (b *Base) StartIncarnation(ctx context.Context) error {
+	name, err := b.Incarnations.Begin(ctx, b.Settings.VM, b.Settings.Role)
 	if err != nil {
 		return Error.Wrap(err)
 	}
@@ -100,8 +100,8 @@
 	return nil
 }
 
-// Follow keeps the list of VMs up to date until the context ends.
-func (b *Base) Follow(ctx context.Context) {
+// FollowVMs keeps the list of VMs up to date until the context ends.
+func (b *Base) FollowVMs(ctx context.Context) {
 	b.View.Follow(ctx, b.Lister, time.Duration(b.Settings.Platform.ListInterval), func(err error) {
 		b.Log.Warn().Err(err).Msg("vm_list_failed")
 	})
@@ -116,7 +116,7 @@
 }
 
 func processSecurity(s settings.Security) (link.Security, error) {
-	if !s.Processes.Set() {
+	if !s.Processes.Configured() {
 		return link.Security{Secret: s.SharedSecret}, nil
 	}
 	cert, err := tls.LoadX509KeyPair(s.Processes.Cert, s.Processes.Key)
@@ -147,20 +147,20 @@
 	return ln, nil
 }
 
-// Duties runs background tasks of a process, a goroutine for each, and waits for them.
-type Duties struct {
+// TaskGroup runs background tasks of a process, a goroutine for each, and waits for them.
+type TaskGroup struct {
 	ctx context.Context
 	wg  sync.WaitGroup
 }
 
-// NewDuties returns an empty group; its tasks run until the context ends.
-func NewDuties(ctx context.Context) *Duties { return &Duties{ctx: ctx} }
+// NewTaskGroup returns an empty group; its tasks run until the context ends.
+func NewTaskGroup(ctx context.Context) *TaskGroup { return &TaskGroup{ctx: ctx} }
 
 // Go starts one task.
-func (d *Duties) Go(task func(context.Context)) { d.wg.Go(func() { task(d.ctx) }) }
+func (d *TaskGroup) Go(task func(context.Context)) { d.wg.Go(func() { task(d.ctx) }) }
 
 // Every starts a task that calls do at each interval.
-func (d *Duties) Every(interval time.Duration, do func(context.Context)) {
+func (d *TaskGroup) Every(interval time.Duration, do func(context.Context)) {
 	d.Go(func(ctx context.Context) {
 		t := time.NewTicker(interval)
 		defer t.Stop()
@@ -177,7 +177,7 @@
 
 // Serve starts an HTTP server that is closed when the context ends. It uses TLS if tlsConfig
 // isn't nil.
-func (d *Duties) Serve(s *http.Server, ln net.Listener, tlsConfig *tls.Config) {
+func (d *TaskGroup) Serve(s *http.Server, ln net.Listener, tlsConfig *tls.Config) {
 	if tlsConfig != nil {
 		ln = tls.NewListener(ln, tlsConfig)
 	}
@@ -194,10 +194,10 @@
 // busy VM to write a few kilobytes. Callers that don't read are not waited for any longer.
 const shutdownTimeout = time.Second
 
-// Finish shuts a server down once its last responses are written, or after shutdownTimeout. When
+// ShutdownServer shuts a server down once its last responses are written, or after shutdownTimeout. When
 // a handler returns, the end of its response may still be buffered or wait for a slow connection;
 // closing the server at that point truncates it, and the caller sees "unexpected EOF".
-func Finish(s *http.Server) {
+func ShutdownServer(s *http.Server) {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if s.Shutdown(ctx) != nil {
@@ -206,4 +206,4 @@
 }
 
 // Wait waits for all tasks to end.
-func (d *Duties) Wait() { d.wg.Wait() }
+func (d *TaskGroup) Wait() { d.wg.Wait() }
--- a/process/process_test.go
+++ b/process/process_test.go
@@ -23,7 +23,7 @@
 		l, err := network.Listen("tcp", "10.1.0.1:80")
 		require.NoError(t, err)
 		ctx, cancel := context.WithCancel(t.Context())
-		duties := NewDuties(ctx)
+		duties := NewTaskGroup(ctx)
 		returned := make(chan struct{})
 		s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			defer close(returned)
@@ -43,7 +43,7 @@
 			synctest.Wait() // the process is stopping
 			rest <- readBody(io.MultiReader(strings.NewReader(received), conn))
 		}()
-		Finish(s)
+		ShutdownServer(s)
 		cancel()
 		duties.Wait()
 		require.Equal(t, "first,last", <-rest)
--- a/router/budgets.go
+++ b/router/budgets.go
@@ -21,7 +21,7 @@
 func (r *Router) makeHolder() {
 	b := r.base.Settings.Budgets
 	r.holder = grant.NewHolder(r.base.Incarnation, r.layout, policyOf(b))
-	r.desk = &lending.Desk{Holder: r.holder, Links: r.base.Links, Address: r.addressOf, Timeout: linkTimeout, Now: time.Now}
+	r.desk = &lending.Endpoint{Holder: r.holder, Links: r.base.Links, Address: r.addressOf, Timeout: linkTimeout, Now: time.Now}
 	timing := grant.DefaultTiming()
 	timing.Rebalance, timing.Report = time.Duration(b.Rebalance), time.Duration(b.Report)
 	r.storeGranter = &grant.StoreGranter{Holder: r.holder, Store: r.base.Store, Layout: r.layout, Timing: timing,
@@ -52,7 +52,7 @@
 			here = append(here, m)
 		}
 	}
-	ranked := r.topology.Nearest(page, here)
+	ranked := r.topology.SortByDistance(page, here)
 	return ranked[:min(len(ranked), r.base.Settings.Budgets.HoldersPerDatacentre)]
 }
 
@@ -87,7 +87,7 @@
 		asked[id] = true
 	}
 	var out []string
-	for _, m := range r.topology.Nearest(budget, r.base.View.Routers()) {
+	for _, m := range r.topology.SortByDistance(budget, r.base.View.Routers()) {
 		if !asked[m.ID] && len(out) < maxOtherLenders {
 			out = append(out, m.ID)
 		}
--- a/router/dispatch.go
+++ b/router/dispatch.go
@@ -114,7 +114,7 @@
 	if err != nil {
 		return serving.Attempt{Result: serving.Refused, Refusal: contract.Refuse(contract.Internal, "%v", err)}
 	}
-	tracker := &hop.Sent{}
+	tracker := &hop.ConnTracker{}
 	resp, err := a.agentClient.Do(req.WithContext(tracker.Trace(ctx)))
 	switch {
 	case err != nil && !tracker.Connected():
@@ -230,7 +230,7 @@
 		return lostAttempt(ctx, errors.Join(err, errors.New("response without a valid outcome trailer")), serving.Broken)
 	}
 	a.outcome, a.conclusive = o, true
-	if !o.Whole {
+	if !o.Complete {
 		return serving.Attempt{Result: serving.Refused, Detail: string(o.Kind)}
 	}
 	return serving.Attempt{Result: serving.Complete}
--- a/router/job.go
+++ b/router/job.go
@@ -104,7 +104,7 @@
 	if refusal != nil {
 		return refusal
 	}
-	if !j.team.May(j.service.Name) {
+	if !j.team.MayUse(j.service.Name) {
 		return contract.Refuse(contract.NotAllowed, "team %s may not use %s", j.team.Name, j.service.Name)
 	}
 	return nil
@@ -130,7 +130,7 @@
 		return contract.Refuse(contract.UnknownModel, "there is no model %q", parsed.Model)
 	}
 	j.setService(sv, req)
-	if err := parsed.Bind(sv.MaxOutputTokens, j.class); err != nil {
+	if err := parsed.SetLimits(sv.MaxOutputTokens, j.class); err != nil {
 		return contract.Refuse(contract.BadRequest, "%v", err)
 	}
 	j.engine, j.idempotent = true, true
--- a/router/ledger.go
+++ b/router/ledger.go
@@ -33,7 +33,7 @@
 }
 
 // start starts the group commit of each shard.
-func (s *shards) start(tasks *process.Duties) {
+func (s *shards) start(tasks *process.TaskGroup) {
 	for _, b := range s.batchers {
 		tasks.Go(b.Run)
 	}
--- a/router/lost.go
+++ b/router/lost.go
@@ -96,7 +96,7 @@
 // agentStateLost reports whether an incarnation of the agent may have ended, and lost its
 // state, since the request began.
 func (r *Router) agentStateLost(ctx context.Context, lost lostJob) bool {
-	incarnations, err := r.base.Lives.All(ctx)
+	incarnations, err := r.base.Incarnations.All(ctx)
 	if err != nil {
 		return true
 	}
@@ -113,7 +113,7 @@
 	if _, listed := r.base.View.Get(lost.agent.ID); listed {
 		return false
 	}
-	incarnations, err := r.base.Lives.All(ctx)
+	incarnations, err := r.base.Incarnations.All(ctx)
 	if err != nil {
 		return false
 	}
--- a/router/recover.go
+++ b/router/recover.go
@@ -121,11 +121,11 @@
 
 func (r *Router) recoverHolder(ctx context.Context, holder string, gone bool, age time.Duration) {
 	if gone {
-		if err := r.base.Lives.MarkGone(ctx, vm.IDOf(holder)); err != nil {
+		if err := r.base.Incarnations.MarkGone(ctx, vm.IDOf(holder)); err != nil {
 			return
 		}
 	}
-	rec := &recovery.Recoverer{Store: r.base.Store, Layout: r.layout, Incarnations: r.base.Lives,
+	rec := &recovery.Recoverer{Store: r.base.Store, Layout: r.layout, Incarnations: r.base.Incarnations,
 		Fences: r.base.Fences, Fleet: recoveryFleet{r, holder}}
 	forfeit := age > time.Duration(r.base.Settings.Budgets.ForfeitAfter)
 	res, err := rec.Recover(ctx, holder, forfeit)
@@ -148,7 +148,7 @@
 // markGoneAgents marks agents as gone whose VMs have been absent from the list for longer
 // than platform.list_lag, so that recovery does not wait for them forever.
 func (r *Router) markGoneAgents(ctx context.Context) {
-	incarnations, err := r.base.Lives.All(ctx)
+	incarnations, err := r.base.Incarnations.All(ctx)
 	if err != nil {
 		return
 	}
@@ -161,7 +161,7 @@
 			continue
 		}
 		if r.suspects.record(e.VM, reasonAbsent) > time.Duration(r.base.Settings.Platform.ListLag) {
-			_ = r.base.Lives.MarkGone(ctx, e.VM) // retried with the next recovery
+			_ = r.base.Incarnations.MarkGone(ctx, e.VM) // retried with the next recovery
 		}
 	}
 }
--- a/router/router.go
+++ b/router/router.go
@@ -33,11 +33,11 @@
 	base     *process.Base
 	log      zerolog.Logger
 	current  *fleet.Current
-	topology datacentre.Map
+	topology datacentre.Topology
 	layout   account.Layout
 
 	holder       *grant.Holder
-	desk         *lending.Desk
+	desk         *lending.Endpoint
 	storeGranter *grant.StoreGranter
 	acquirer     *grant.Acquirer
 	outbox       *ledger.Outbox
@@ -84,7 +84,7 @@
 	}
 	r := &Router{
 		base: base, log: base.Log, current: &fleet.Current{}, chooser: upstream.NewChooser(),
-		topology:    datacentre.Map{Here: s.Datacentre, Regions: s.Regions},
+		topology:    datacentre.Topology{Local: s.Datacentre, Regions: s.Regions},
 		layout:      account.Layout{Prefix: process.PagePrefix, Pages: s.Budgets.Pages},
 		agentClient: newAgentClient(base.Security), scheme: "http", idle: make(chan struct{}), fenced: make(chan struct{}),
 	}
@@ -115,7 +115,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.WithoutCancel(stop))
 	defer cancel()
-	tasks := process.NewDuties(ctx)
+	tasks := process.NewTaskGroup(ctx)
 	r.metrics = newMetrics(r)
 	r.base.Admin.Metrics = r.metrics.set
 	tasks.Serve(&http.Server{Handler: r.base.Admin.Handler(), ReadHeaderTimeout: headerTimeout}, l.admin, nil)
@@ -127,7 +127,7 @@
 	callers := r.start(tasks, l, secure)
 	err = r.serveUntil(stop)
 	r.stop(ctx)
-	process.Finish(callers)
+	process.ShutdownServer(callers)
 	cancel()
 	r.base.Links.Close()
 	tasks.Wait()
@@ -191,7 +191,7 @@
 // initialize starts the incarnation, creates the holder and the ledger, and reads the list
 // of VMs.
 func (r *Router) initialize(ctx context.Context) error {
-	if err := r.base.Begin(ctx); err != nil {
+	if err := r.base.StartIncarnation(ctx); err != nil {
 		return err
 	}
 	r.makeHolder()
@@ -211,9 +211,9 @@
 }
 
 // start starts the background tasks and returns the server for callers.
-func (r *Router) start(tasks *process.Duties, l listeners, secure *tls.Config) *http.Server {
+func (r *Router) start(tasks *process.TaskGroup, l listeners, secure *tls.Config) *http.Server {
 	b := r.base.Settings.Budgets
-	tasks.Go(r.base.Follow)
+	tasks.Go(r.base.FollowVMs)
 	tasks.Go(func(ctx context.Context) { r.base.FollowConfig(ctx, r.current) })
 	tasks.Go(r.outbox.Run)
 	r.shards.start(tasks)
@@ -223,7 +223,7 @@
 	tasks.Every(resolveInterval, r.resolveLost)
 	tasks.Every(time.Duration(b.RecoverInterval), r.recoverDead)
 	tasks.Go(r.placeTokens)
-	tasks.Every(time.Duration(b.Place), r.placeTokens)
+	tasks.Every(time.Duration(b.PlacementInterval), r.placeTokens)
 	server := &link.Server{Log: r.base.Log.Printf, Security: r.base.Security, Methods: r.methods()}
 	tasks.Go(func(ctx context.Context) { server.Serve(ctx, l.link) })
 	callers := &http.Server{Handler: r.Handler(), ReadHeaderTimeout: headerTimeout,
@@ -289,7 +289,7 @@
 	if !clean || r.outbox.Waiting() > 0 || r.lost.size() > 0 {
 		return false
 	}
-	return r.base.Lives.MarkClean(ctx, r.base.Incarnation) == nil
+	return r.base.Incarnations.MarkClean(ctx, r.base.Incarnation) == nil
 }
 
 // State is a summary of a router for debug dumps.
--- a/router/serve.go
+++ b/router/serve.go
@@ -139,7 +139,7 @@
 	}
 	out := modelList{Object: "list", Data: []model{}}
 	for _, sv := range j.snapshot.Document.Services {
-		if !j.team.May(sv.Name) {
+		if !j.team.MayUse(sv.Name) {
 			continue
 		}
 		for _, m := range sv.Models {
--- a/settings/check.go
+++ b/settings/check.go
@@ -82,7 +82,7 @@
 		{"platform.config_interval", s.Platform.ConfigInterval},
 		{"budgets.rebalance", s.Budgets.Rebalance},
 		{"budgets.report", s.Budgets.Report},
-		{"budgets.place", s.Budgets.Place},
+		{"budgets.place", s.Budgets.PlacementInterval},
 		{"budgets.peer_timeout", s.Budgets.PeerTimeout},
 		{"budgets.lot_idle", s.Budgets.LotIdle},
 		{"budgets.recover_interval", s.Budgets.RecoverInterval},
--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -20,7 +20,7 @@
 	Store     HostedStore       `yaml:"store"`
 	Log       Log               `yaml:"log"`
 	Budgets   HostedBudgets     `yaml:"budgets"`
-	Repeats   Repeats           `yaml:"repeats"`
+	Retries   Retries           `yaml:"repeats"`
 	Upstreams Upstreams         `yaml:"upstreams"`
 	Cold      Cold              `yaml:"cold"`
 	Limits    GatewayLimits     `yaml:"limits"`
@@ -64,10 +64,10 @@
 	// Horizon is the longest disconnection from the store that a router's tokens
 	// should outlast at recent demand.
 	Horizon fleet.Duration `yaml:"horizon"`
-	// MostLost is the maximum share (0..1) of a budget's remaining tokens that is kept
+	// MaxLoss is the maximum share (0..1) of a budget's remaining tokens that is kept
 	// available while the store responds normally: available tokens are lost when the
 	// process dies. 0 means no bound, for processes that lose the store without warning.
-	MostLost float64 `yaml:"most_lost"`
+	MaxLoss float64 `yaml:"most_lost"`
 	// DemandWindow is the time constant of the average of recent demand.
 	DemandWindow fleet.Duration `yaml:"demand_window"`
 	// Report is the maximum time for which usage stays unreported.
@@ -79,8 +79,8 @@
 	Wait      fleet.Duration `yaml:"wait"`
 }
 
-// Repeats limits the retries of requests, for the whole fleet.
-type Repeats struct {
+// Retries limits the retries of requests, for the whole fleet.
+type Retries struct {
 	// Ratio is the share of a service's requests that may be retried.
 	Ratio float64 `yaml:"ratio"`
 	// Extra is the number of additional retries allowed in each window.
@@ -167,7 +167,7 @@
 			// Two peers and the store, one after the other.
 			Wait: fleet.Duration(1200 * time.Millisecond),
 		},
-		Repeats: Repeats{Ratio: 0.2, Extra: 50, Window: fleet.Duration(10 * time.Second)},
+		Retries: Retries{Ratio: 0.2, Extra: 50, Window: fleet.Duration(10 * time.Second)},
 		Upstreams: Upstreams{
 			DialTimeout:  fleet.Duration(400 * time.Millisecond),
 			IdleTimeout:  fleet.Duration(3 * time.Second),
@@ -215,8 +215,8 @@
 	c.address("listen.admin", s.Listen.Admin)
 	c.address("listen.link", s.Listen.Link)
 	c.hosted(s.Store, s.Budgets, s.Log)
-	c.require(s.Repeats.Ratio >= 0, "repeats.ratio", "must not be negative")
-	c.require(s.Repeats.Extra >= 0, "repeats.extra", "must not be negative")
+	c.require(s.Retries.Ratio >= 0, "repeats.ratio", "must not be negative")
+	c.require(s.Retries.Extra >= 0, "repeats.extra", "must not be negative")
 	c.require(s.Cold.Overshoot >= 1, "cold.overshoot", "must be 1 or more")
 	c.require(s.Cold.Slack >= 0, "cold.slack", "must not be negative")
 	c.require(s.Upstreams.PrefillPerMs > 0, "upstreams.prefill_tokens_per_ms", "must be positive")
@@ -224,7 +224,7 @@
 	c.require(s.Limits.LinkMbps >= 0, "limits.link_mbps", "must not be negative")
 	c.require(s.Limits.MemoryMB > 0, "limits.memory_mb", "must be positive")
 	c.require(s.Stop.Notice < s.Stop.Grace, "stop.notice", "must be shorter than stop.grace")
-	c.positive("repeats.window", s.Repeats.Window)
+	c.positive("repeats.window", s.Retries.Window)
 	c.positive("upstreams.dial_timeout", s.Upstreams.DialTimeout)
 	c.positive("upstreams.idle_timeout", s.Upstreams.IdleTimeout)
 	c.positive("upstreams.announce_timeout", s.Upstreams.AnnounceTimeout)
--- a/settings/lender.go
+++ b/settings/lender.go
@@ -13,15 +13,15 @@
 // Lender holds the settings of a process that holds budgets on the VM of an upstream. The
 // platform fills them in from the template in deploy/.
 type Lender struct {
-	VM         string         `yaml:"vm"`
-	Datacentre string         `yaml:"datacentre"`
-	Listen     LenderListen   `yaml:"listen"`
-	Store      HostedStore    `yaml:"store"`
-	Log        Log            `yaml:"log"`
-	Budgets    HostedBudgets  `yaml:"budgets"`
-	Upstream   BesideUpstream `yaml:"upstream"`
-	Limits     LenderLimits   `yaml:"limits"`
-	Stop       LenderStop     `yaml:"stop"`
+	VM         string        `yaml:"vm"`
+	Datacentre string        `yaml:"datacentre"`
+	Listen     LenderListen  `yaml:"listen"`
+	Store      HostedStore   `yaml:"store"`
+	Log        Log           `yaml:"log"`
+	Budgets    HostedBudgets `yaml:"budgets"`
+	Upstream   LocalUpstream `yaml:"upstream"`
+	Limits     LenderLimits  `yaml:"limits"`
+	Stop       LenderStop    `yaml:"stop"`
 }
 
 // LenderListen holds the addresses (host:port) that a lender listens on.
@@ -32,8 +32,8 @@
 	Link string `yaml:"link"`
 }
 
-// BesideUpstream is the upstream on the lender's VM.
-type BesideUpstream struct {
+// LocalUpstream is the upstream on the lender's VM.
+type LocalUpstream struct {
 	// Address is its host:port; "" means that there is none.
 	Address string `yaml:"address"`
 	// Interval is the interval between status queries, and Timeout the bound on each.
@@ -64,7 +64,7 @@
 		Budgets: g.Budgets,
 		// An upstream that leaves keeps running for two seconds or more after it
 		// reports so. Queries on the same VM cost nothing.
-		Upstream: BesideUpstream{
+		Upstream: LocalUpstream{
 			Interval: fleet.Duration(500 * time.Millisecond),
 			Timeout:  fleet.Duration(300 * time.Millisecond),
 
@@ -78,7 +78,7 @@
 	s.Budgets.Horizon = fleet.Duration(4 * time.Second)
 	// Of 6, 8, 10 and 20 percent, 10 is best across an outage of the whole store and a crash
 	// of all processes: less prolongs refusals in the former, more loses tokens in the latter.
-	s.Budgets.MostLost = 0.1
+	s.Budgets.MaxLoss = 0.1
 	return s
 }
 
@@ -133,7 +133,7 @@
 	c.positive("store.member_interval", s.MemberInterval)
 	c.require(b.Pages > 0, "budgets.pages", "must be positive")
 	c.positive("budgets.horizon", b.Horizon)
-	c.require(b.MostLost >= 0 && b.MostLost <= 1, "budgets.most_lost", "must be between 0 and 1")
+	c.require(b.MaxLoss >= 0 && b.MaxLoss <= 1, "budgets.most_lost", "must be between 0 and 1")
 	c.positive("budgets.demand_window", b.DemandWindow)
 	c.positive("budgets.report", b.Report)
 	c.positive("budgets.store_wait", b.StoreWait)
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -100,8 +100,8 @@
 	CA   string `yaml:"ca_file"`
 }
 
-// Set reports whether mutual TLS is configured.
-func (m MutualTLS) Set() bool { return m.Cert != "" }
+// Configured reports whether mutual TLS is configured.
+func (m MutualTLS) Configured() bool { return m.Cert != "" }
 
 // Log configures the log.
 type Log struct {
@@ -132,9 +132,9 @@
 	AdoptFrom float64        `yaml:"adopt_from_tokens_per_second"`
 	Rebalance fleet.Duration `yaml:"rebalance"`
 	Report    fleet.Duration `yaml:"report"`
-	// Place is the interval between scans of all pages for budgets whose tokens
+	// PlacementInterval is the interval between scans of all pages for budgets whose tokens
 	// this router should hold although it has received no request for them.
-	Place fleet.Duration `yaml:"place"`
+	PlacementInterval fleet.Duration `yaml:"place"`
 	// PeerTimeout bounds one request for a lot.
 	PeerTimeout fleet.Duration `yaml:"peer_timeout"`
 	// LotIdle is the time after which an unused lot is returned.
@@ -203,13 +203,13 @@
 		},
 		Budgets: Budgets{
 			Pages: 4, Favour: FavourAvailability, HoldersPerDatacentre: 3, AdoptFrom: -1,
-			Rebalance:       fleet.Duration(time.Minute),
-			Report:          fleet.Duration(5 * time.Minute),
-			Place:           fleet.Duration(time.Minute),
-			PeerTimeout:     fleet.Duration(500 * time.Millisecond),
-			LotIdle:         fleet.Duration(5 * time.Second),
-			RecoverInterval: fleet.Duration(10 * time.Second),
-			ForfeitAfter:    fleet.Duration(time.Hour),
+			Rebalance:         fleet.Duration(time.Minute),
+			Report:            fleet.Duration(5 * time.Minute),
+			PlacementInterval: fleet.Duration(time.Minute),
+			PeerTimeout:       fleet.Duration(500 * time.Millisecond),
+			LotIdle:           fleet.Duration(5 * time.Second),
+			RecoverInterval:   fleet.Duration(10 * time.Second),
+			ForfeitAfter:      fleet.Duration(time.Hour),
 		},
 		Ledger: Ledger{Shards: 4, Window: 600, Flush: fleet.Duration(time.Second), Backlog: 50_000},
 		Limits: Limits{BodyBytes: 1 << 20, HeaderBytes: 32 << 10, Concurrent: 4096,
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -58,7 +58,7 @@
 	}
 	towards := rng.IntN(2) == 0
 	delay := time.Duration(rng.Int64N(int64(300 * time.Millisecond)))
-	mode := []standin.Mode{standin.LoseAnswer, standin.Fail, standin.BreakOff, standin.Decline, standin.Hang}[rng.IntN(5)]
+	mode := []standin.Mode{standin.LoseAnswer, standin.Fail, standin.Truncate, standin.Decline, standin.Hang}[rng.IntN(5)]
 	peers := tf.sameService(u)
 	candidates := []fault{
 		tf.terminate(p), tf.reload(p), tf.reconfigure(), tf.kill(p), tf.pause(p), tf.killPair(rng), tf.killAll(),
@@ -73,7 +73,7 @@
 		{name: fmt.Sprintf("%s of all %s", mode, u.service), do: func() { setModes(peers, mode) },
 			undo: func() { setModes(peers, standin.Serve) }},
 		{name: "crash " + u.ID, do: u.proxy.crash, undo: func() { _ = u.proxy.listen() }}, // fails if it already listens again
-		{name: "store does not respond", do: func() { tf.store.SetSilent(true) }, undo: func() { tf.store.SetSilent(false) }},
+		{name: "store does not respond", do: func() { tf.store.SetUnresponsive(true) }, undo: func() { tf.store.SetUnresponsive(false) }},
 		{name: "compact store", do: func() { tf.store.Compact() }},
 		{name: "drain " + u.ID, do: func() { tf.register(u, "draining") }, undo: func() { tf.register(u, "ready") }},
 	}
--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -134,7 +134,7 @@
 func (tf *testFleet) configure() {
 	tf.version++
 	route := func(name string, kind standin.Kind, service string, maxUpstreams int, resumable bool) standin.Route {
-		return standin.Route{Name: name, Host: host, Prefix: "/" + name + "/", Kind: kind, Service: service, MostUpstreams: maxUpstreams,
+		return standin.Route{Name: name, Host: host, Prefix: "/" + name + "/", Kind: kind, Service: service, MaxUpstreams: maxUpstreams,
 			Resumable: resumable, Timeout: callerDeadline, Goal: time.Second, Rank: 1}
 	}
 	require.NoError(tf.t, tf.store.Configure(standin.Configuration{
--- a/soak/limits_test.go
+++ b/soak/limits_test.go
@@ -58,10 +58,10 @@
 // state, whatever other faults occurred.
 func (tf *testFleet) checkLimits() {
 	for _, u := range tf.upstreams {
-		if u.limit == 0 || u.Limited().IsZero() {
+		if u.limit == 0 || u.LimitSince().IsZero() {
 			continue
 		}
-		highest := tf.maxReceived(u, u.Limited().Add(limitSettleTime), u.limitEnded)
+		highest := tf.maxReceived(u, u.LimitSince().Add(limitSettleTime), u.limitEnded)
 		require.LessOrEqual(tf.t, float64(highest), 1.5*u.limit*limitWindow.Seconds()+5, "%s, which stated a limit of %v requests/s", u.ID, u.limit)
 		tf.t.Logf("%s: at most %d requests in %s, limit %v requests/s", u.ID, highest, limitWindow, u.limit)
 	}
--- a/team/team.go
+++ b/team/team.go
@@ -33,8 +33,8 @@
 	return t.Budgets[DefaultBudget]
 }
 
-// May reports whether the team may use a service.
-func (t *Team) May(service string) bool {
+// MayUse reports whether the team may use a service.
+func (t *Team) MayUse(service string) bool {
 	if len(t.Services) == 0 {
 		return true
 	}
