--- a/agent/upstream.go
+++ b/agent/upstream.go
@@ -106,7 +106,7 @@
 }
 
 // errOutputLimit means that an engine ignored the output limit.
-var errOutputLimit = errors.New("engine exceeded the output limit")
+var errOutputLimit = errors.New("engine passed the output limit")
 
 func readLine(r *bufio.Reader) ([]byte, error) {
 	line, err := r.ReadSlice('\n')
--- a/coord/witness/witness.go
+++ b/coord/witness/witness.go
@@ -21,7 +21,7 @@
 	// ErrRunning is returned when a run with the same ID has not ended.
 	ErrRunning = errs.New("request is running")
 	// ErrCancelled is returned when the router has cancelled the reservation.
-	ErrCancelled = errs.New("reservation was cancelled")
+	ErrCancelled = errs.New("reservation was given up")
 	// ErrFull is returned when too many runs have outcomes that are not reported yet.
 	ErrFull = errs.New("too many outcomes are not reported")
 )
