--- a/admission/link_test.go
+++ b/admission/link_test.go
@@ -15,7 +15,7 @@
 	now := time.Unix(0, 0)
 	l := Link{BytesPerSecond: 60 * size}
 	taken := map[int]int{}
-	worst := time.Duration(0)
+	longest := time.Duration(0)
 	for i := range 2000 {
 		now = now.Add(5 * time.Millisecond)
 		rank := i % 3
@@ -23,9 +23,9 @@
 			taken[rank]++
 			l.Sent(now, size)
 		}
-		worst = max(worst, l.Delay(now))
+		longest = max(longest, l.Delay(now))
 	}
-	require.Less(t, worst, maxDelay+50*time.Millisecond)
+	require.Less(t, longest, maxDelay+50*time.Millisecond)
 	require.Greater(t, taken[0], taken[1])
 	require.Greater(t, taken[1], taken[2])
 	require.InDelta(t, 10*60, taken[0]+taken[1]+taken[2], 40, "the link is used")
--- a/agent/run.go
+++ b/agent/run.go
@@ -121,12 +121,12 @@
 	a.witness.End(t.work.ID, o.Billed())
 	t.charge(o)
 	a.metrics.recordEnd(t.work, o)
-	why := ""
+	reason := ""
 	if refusal != nil {
-		why = refusal.Message
+		reason = refusal.Message
 	}
 	a.log.Info().Str("id", t.work.ID).Str("service", t.work.Service).Int64("tokens", o.Used).
-		Bool("whole", o.Complete).Str("kind", string(o.Kind)).Str("why", why).Msg("ended")
+		Bool("whole", o.Complete).Str("kind", string(o.Kind)).Str("why", reason).Msg("ended")
 	if refusal != nil && !t.started {
 		return refusal
 	}
@@ -213,19 +213,19 @@
 // routerSink forwards a response to the router as it arrives.
 type routerSink struct{ t *run }
 
-func (p routerSink) start(status int, header http.Header) {
-	h := p.t.w.Header()
+func (s routerSink) start(status int, header http.Header) {
+	h := s.t.w.Header()
 	hop.CopyHeaders(h, header)
 	h.Del("Content-Length")
 	h.Set("Trailer", contract.OutcomeTrailer)
-	p.t.agent.load().set(h)
-	p.t.started = true
-	p.t.w.WriteHeader(status)
+	s.t.agent.load().set(h)
+	s.t.started = true
+	s.t.w.WriteHeader(status)
 }
 
-func (p routerSink) write(chunk []byte) error {
-	if _, err := p.t.w.Write(chunk); err != nil {
+func (s routerSink) write(chunk []byte) error {
+	if _, err := s.t.w.Write(chunk); err != nil {
 		return err
 	}
-	return http.NewResponseController(p.t.w).Flush()
+	return http.NewResponseController(s.t.w).Flush()
 }
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Kind determines whether requests of a route may be repeated.
+// Kind determines whether requests of a route may be retried.
 type Kind int
 
 // The kinds of routes.
--- a/coord/account/account.go
+++ b/coord/account/account.go
@@ -70,8 +70,8 @@
 	// and Version the configuration version that last changed it.
 	Prepaid int64 `json:"prepaid,omitempty"`
 	Version int64 `json:"version,omitempty"`
-	// Folded is the settled total of rows that were removed.
-	Folded int64 `json:"folded,omitempty"`
+	// RemovedSettled is the settled total of rows that were removed.
+	RemovedSettled int64 `json:"folded,omitempty"`
 	// Forfeited is what recovery could not prove unspent; it is never granted.
 	Forfeited int64 `json:"forfeited,omitempty"`
 	// Released maps the ID of each operator's release order to the forfeited
@@ -86,7 +86,7 @@
 
 // Settled is the use that holders have reported.
 func (a *Account) Settled() int64 {
-	n := a.Folded
+	n := a.RemovedSettled
 	for _, r := range a.Rows {
 		n += r.Settled
 	}
@@ -113,7 +113,7 @@
 // Check verifies the invariant: settled + outstanding + forfeited <= credits,
 // and no amount negative or too large.
 func (a *Account) Check() error {
-	amounts := []int64{a.Credit(), a.Prepaid, a.Folded, a.Forfeited, a.Free()}
+	amounts := []int64{a.Credit(), a.Prepaid, a.RemovedSettled, a.Forfeited, a.Free()}
 	for _, r := range a.Rows {
 		amounts = append(amounts, r.Granted, r.Returned, r.Settled, r.Through, r.Balance())
 	}
@@ -188,14 +188,14 @@
 	return nil
 }
 
-// Fold removes the row of a holder with a zero balance and adds its settled
-// total to Folded. It reports whether it removed the row.
-func (a *Account) Fold(holder string) bool {
+// RemoveRow removes the row of a holder with a zero balance and adds its settled
+// total to RemovedSettled. It reports whether it removed the row.
+func (a *Account) RemoveRow(holder string) bool {
 	r := a.Rows[holder]
 	if r == nil || r.Balance() != 0 {
 		return false
 	}
-	a.Folded += r.Settled
+	a.RemovedSettled += r.Settled
 	delete(a.Rows, holder)
 	return true
 }
@@ -214,7 +214,7 @@
 	used = min(used, r.Balance())
 	forfeit = min(forfeit, r.Balance()-used)
 	rest := r.Balance() - used - forfeit
-	a.Folded += r.Settled + used
+	a.RemovedSettled += r.Settled + used
 	a.Forfeited += forfeit
 	delete(a.Rows, holder)
 	return rest, nil
--- a/coord/account/account_test.go
+++ b/coord/account/account_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against overspending and lost tokens: any order of operations, repeats included,
+// Guards against overspending and lost tokens: any order of operations, retries included,
 // keeps settled + outstanding + forfeited within the credits.
 func TestInvariantUnderAnyOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -33,7 +33,7 @@
 			case 4:
 				_, _ = a.Release(fmt.Sprint(n%5), n)
 			case 5:
-				a.Fold(h)
+				a.RemoveRow(h)
 			}
 			require.NoError(t, a.Check())
 			require.Equal(t, a.Credit(), a.Settled()+a.Outstanding()+a.Forfeited+a.Free())
--- a/coord/claim/claim.go
+++ b/coord/claim/claim.go
@@ -63,7 +63,7 @@
 
 // Acquire claims the request. When acquired is true, only the caller may run it. Else
 // the returned claim is the current claim of another attempt. After ErrUnavailable
-// nobody may run the request because of this call.
+// no process may run the request because of this call.
 func (r Registry) Acquire(ctx context.Context, id string, want Claim) (got Claim, acquired bool, err error) {
 	want.State = Started
 	value, err := json.Marshal(want)
--- a/coord/grant/acquirer.go
+++ b/coord/grant/acquirer.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// obtainAndReserve obtains the shortfall and reserves, and repeats it if another request took
+// obtainAndReserve obtains the shortfall and reserves, and retries if another request took
 // the obtained tokens.
 func (q *Acquirer) obtainAndReserve(ctx context.Context, g Granter, budget string, n, shortfall int64) (Reservation, error) {
 	for try := 1; ; try++ {
--- a/coord/grant/book.go
+++ b/coord/grant/book.go
@@ -39,7 +39,7 @@
 }
 
 // lentLot is a lot that this holder lent to a peer. It is stored by the peer's request
-// id so that a repeated request gets the same lot.
+// id so that a retried request gets the same lot.
 type lentLot struct {
 	part          Part
 	borrower      string
--- a/coord/grant/fleet_test.go
+++ b/coord/grant/fleet_test.go
@@ -205,8 +205,8 @@
 	}
 }
 
-// Guards against lot messages that are not idempotent when they are repeated or reordered:
-// a repeated request must get the same lot, a repeated return must count once, and must
+// Guards against lot messages that are not idempotent when they are retried or reordered:
+// a retried request must get the same lot, a retried return must count once, and must
 // not open the lot again.
 func TestLotMessagesRepeatedAndReordered(t *testing.T) {
 	f, near, far := newFleet(t, 1000)
@@ -229,7 +229,7 @@
 }
 
 // Guards against a top-up that is credited twice: its answer is lost after it took effect,
-// the operator repeats it, and a second operator enters the same invoice.
+// the operator retries it, and a second operator enters the same invoice.
 func TestTopUpCountsOnce(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		f, _, _ := newFleet(t, 0)
@@ -249,7 +249,7 @@
 	})
 }
 
-// Guards against overspend after an incomplete recovery of a router that is only frozen. A
+// Guards against overspend after an incomplete recovery of a router that is only paused. A
 // peer had used a lot of it; if the peer dropped the lot, the resumed router would take it
 // back as unused and spend it again.
 func TestExcludedLenderIsStillSettled(t *testing.T) {
--- a/coord/grant/horizon.go
+++ b/coord/grant/horizon.go
@@ -134,11 +134,11 @@
 func (HorizonPolicy) Adopt(float64, int) bool { return false }
 
 // LowWater implements Policy.
-func (p HorizonPolicy) LowWater(budget string, demand float64, worst int64) int64 {
+func (p HorizonPolicy) LowWater(budget string, demand float64, largestRecent int64) int64 {
 	if p.role(budget) != RolePrimary {
 		return 0
 	}
-	return int64(demand*p.Horizon.Seconds()*(1-p.Slack)) + worst
+	return int64(demand*p.Horizon.Seconds()*(1-p.Slack)) + largestRecent
 }
 
 // Spare implements Policy. Each lot is for one request: a larger one would stay open as long
--- a/coord/grant/lean_property_test.go
+++ b/coord/grant/lean_property_test.go
@@ -309,7 +309,7 @@
 // listPrefix begins the keys of lenders' lists of borrowers.
 const listPrefix = "lends/"
 
-// settle settles a lender that is dead, or alive and wrongly taken for dead.
+// settle settles a lender that is dead, or alive and wrongly presumed dead.
 func (f *lenderFleet) settle(ctx context.Context) {
 	var lenders []string
 	for _, l := range f.all {
--- a/coord/grant/lots.go
+++ b/coord/grant/lots.go
@@ -4,7 +4,7 @@
 
 // Lend reserves a lot for a peer in the own row: need tokens, or as many as can be
 // lent if fewer, and up to want if that is at most half of what can be lent. The id
-// identifies the peer's request; a repeated id gets the same lot, so a lost answer
+// identifies the peer's request; a retried id gets the same lot, so a lost answer
 // strands no tokens.
 func (h *Holder) Lend(now time.Time, budget, id, borrower string, need, want int64) (Lot, error) {
 	return h.lend(now, budget, id, borrower, 1, need, want)
--- a/coord/grant/pages_test.go
+++ b/coord/grant/pages_test.go
@@ -254,7 +254,7 @@
 // seconds of demand dies near the budget's end. While the store is healthy it holds a tenth of the
 // rest, or enough for the largest request; when the store is slow, as before an outage, it holds
 // all four seconds.
-func TestMostLostBoundsHeldTokens(t *testing.T) {
+func TestMaxLossBoundsHeldTokens(t *testing.T) {
 	wary := false
 	p := grant.HorizonPolicy{Horizon: 4 * time.Second, LargestRequests: 1, Share: 0.9, MaxLoss: 0.1, StoreDegraded: func() bool { return wary }}
 	v := grant.View{Credit: 2_000_000, Free: 400_000, Unspent: 400_000, Demand: 20_000, LargestRecent: 10_000}
--- a/coord/grant/peergranter.go
+++ b/coord/grant/peergranter.go
@@ -10,7 +10,7 @@
 
 // Lender sends lending requests to peers.
 type Lender interface {
-	// Lend asks the peer for a lot; the id makes a repeat idempotent.
+	// Lend asks the peer for a lot; the id makes a retry idempotent.
 	Lend(ctx context.Context, peer, budget, id string, need, want int64) (Lot, error)
 }
 
--- a/coord/grant/plan.go
+++ b/coord/grant/plan.go
@@ -134,7 +134,7 @@
 // budget anyway.
 func (h *Holder) planBudgetLocked(now time.Time, t Timing, a *account.Account, b *localBudget, written bool) (commit, error) {
 	row := a.Rows[h.id]
-	// Guards against a holder that was taken for dead, had its row recovered and
+	// Guards against a holder that was presumed dead, had its row recovered and
 	// then resumed: its row is gone, and further spending would be overspend. Only
 	// this holder or a recovery removes the row.
 	if row == nil && b.removalPending {
@@ -222,7 +222,7 @@
 	if err := a.Report(h.id, h.reportLocked(b.lastUse, b)); err != nil {
 		return false
 	}
-	return a.Fold(h.id)
+	return a.RemoveRow(h.id)
 }
 
 func (h *Holder) view(now time.Time, a *account.Account, b *localBudget) View {
@@ -287,8 +287,8 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var keys []string
-	for key, books := range h.pages {
-		for _, b := range books {
+	for key, budgets := range h.pages {
+		for _, b := range budgets {
 			if h.dueLocked(now, b) {
 				keys = append(keys, key)
 				break
--- a/coord/grant/policy.go
+++ b/coord/grant/policy.go
@@ -48,10 +48,10 @@
 	Adopt(others float64, holders int) bool
 	// LowWater is the available amount of a budget below which the holder should
 	// sync the page ahead of need.
-	LowWater(budget string, demand float64, worst int64) int64
+	LowWater(budget string, demand float64, largestRecent int64) int64
 	// Spare returns the preferred size of a borrowed lot, given the borrower's
 	// demand. It matters only if it exceeds the request's need.
-	Spare(demand float64, worst int64) int64
+	Spare(demand float64, largestRecent int64) int64
 }
 
 // DemandPolicy spreads all unspent tokens over the holders by recent demand, with
@@ -146,13 +146,13 @@
 func (p DemandPolicy) Adopt(others float64, _ int) bool { return others > p.MinDemand }
 
 // LowWater implements Policy.
-func (p DemandPolicy) LowWater(_ string, demand float64, worst int64) int64 {
-	return max(worst, int64(p.LowSeconds*demand))
+func (p DemandPolicy) LowWater(_ string, demand float64, largestRecent int64) int64 {
+	return max(largestRecent, int64(p.LowSeconds*demand))
 }
 
 // Spare implements Policy.
-func (p DemandPolicy) Spare(demand float64, worst int64) int64 {
-	return max(worst, int64(p.LotSeconds*demand))
+func (p DemandPolicy) Spare(demand float64, largestRecent int64) int64 {
+	return max(largestRecent, int64(p.LotSeconds*demand))
 }
 
 // EvenPolicy is a baseline: each of N holders takes at most 1/N of the credit. It
--- a/coord/grant/property_test.go
+++ b/coord/grant/property_test.go
@@ -127,7 +127,7 @@
 	f.open = append(f.open[:i], f.open[i+1:]...)
 }
 
-// recover recovers a holder that is dead or wrongly taken for dead.
+// recover recovers a holder that is dead or wrongly presumed dead.
 func (f *faultyFleet) recover() {
 	n := f.node()
 	_, _ = f.Recover(f.ctx, rapid.SampledFrom(dcs).Draw(f.t, "seat"), n.Holder.ID(), rapid.Bool().Draw(f.t, "forfeit"))
@@ -163,7 +163,7 @@
 // noDeadline hides the test's deadline, which must not be read in a synctest bubble.
 type noDeadline struct{ testing.TB }
 
-// Guards against overspend under partitions, deaths, freezes, wrong recoveries, lost answers,
+// Guards against overspend under partitions, crashes, pauses, wrong recoveries, lost answers,
 // lost lots, outages and top-ups in any order. No team may be served more than it paid for,
 // and after all failures end the account must have settled what the agents served, or more
 // where a lot's use could not be proved.
--- a/coord/grant/reservation.go
+++ b/coord/grant/reservation.go
@@ -28,7 +28,7 @@
 	// ErrUnreachable says that the budget may have tokens left, but none can be
 	// reached now.
 	ErrUnreachable = errs.New("no tokens reachable")
-	// ErrFenced says that this incarnation was taken for dead and its grants were
+	// ErrFenced says that this incarnation was presumed dead and its grants were
 	// recovered. It must not spend any more and must restart as a new incarnation.
 	ErrFenced = errs.New("holder is fenced")
 	// ErrNoBudget says that the budget does not exist.
--- a/coord/internal/lab/experiment.go
+++ b/coord/internal/lab/experiment.go
@@ -18,7 +18,7 @@
 	DCs  [3]string
 	// Rate is the requests per second over all teams.
 	Rate float64
-	// ReservedMin and WorstMax bound the tokens that a request reserves, UsedMin and
+	// ReservedMin and ReservedMax bound the tokens that a request reserves, UsedMin and
 	// UsedMax the share of them that it uses.
 	ReservedMin, ReservedMax int64
 	UsedMin, UsedMax         float64
@@ -98,7 +98,7 @@
 	// Overspend is the tokens served in excess of the credits.
 	Overspend int64
 	// FalseRefusals counts the refusals although the budget covered the reservation, with
-	// the reservations of running requests counted as spent. Far counts those of them
+	// the reservations of running requests counted as spent. FalseOutOfReach counts those of them
 	// where the caller's side of the partition did not have enough tokens.
 	FalseRefusals, FalseOutOfReach int
 	// LostRequests is an upper bound on the requests that an optimal placement of tokens would
--- a/coord/internal/lab/lab.go
+++ b/coord/internal/lab/lab.go
@@ -67,7 +67,7 @@
 	Holder   *grant.Holder
 	Pages    *grant.StoreGranter
 	Acquirer *grant.Acquirer
-	// Dead nodes do nothing; Frozen ones are paused and may resume.
+	// Dead nodes do nothing; Paused ones do nothing until they resume.
 	Dead, Paused bool
 
 	fleet *Fleet
--- a/coord/lapse/lapse.go
+++ b/coord/lapse/lapse.go
@@ -1,5 +1,5 @@
 // Package lapse decides why entries under leases are missing after the store was unreachable:
-// either their leases ran out because of that while their owners are alive, or the entries
+// either their leases expired because of that while their owners are alive, or the entries
 // were removed. A process cannot distinguish an outage of the store from a loss of its own
 // connections; the entries that still exist show which it was.
 package lapse
@@ -24,7 +24,7 @@
 }
 
 // StartGrace starts a grace period with the first read after a loss of the store. During it,
-// entries may be missing because of the loss, and live owners create theirs again. If the grace
+// entries may be missing because of the loss, and live owners recreate theirs. If the grace
 // period of an earlier loss is not over, the entries missing because of that loss still count.
 func (d *Detector) StartGrace(now time.Time, grace time.Duration) {
 	if !d.InGrace(now) {
@@ -57,7 +57,7 @@
 
 // Lapsed reports whether the missing entries count as lapsed, so that their owners are considered
 // alive. The result may change with each entry that disappears, since a store may remove entries
-// whose leases ran out some time after its return. Entries that were created again still count.
+// whose leases expired some time after its return. Recreated entries still count.
 func (d *Detector) Lapsed(now time.Time) bool {
 	return d.InGrace(now) && float64(d.missing) >= lapsedShare*float64(d.surviving+d.missing)
 }
--- a/coord/lapse/lapse_test.go
+++ b/coord/lapse/lapse_test.go
@@ -10,7 +10,7 @@
 const grace = 2 * time.Second
 
 // Guards against removed entries that count as lapsed, and the reverse: if 4 of 16 entries are
-// missing after a loss, they were removed; if 4 of 5 are, their leases ran out. No entry counts as
+// missing after a loss, they were removed; if 4 of 5 are, their leases expired. No entry counts as
 // lapsed after the grace period.
 func TestLapsedShare(t *testing.T) {
 	now := time.Unix(1000, 0)
--- a/coord/member/member_test.go
+++ b/coord/member/member_test.go
@@ -159,11 +159,11 @@
 	return store.Item{Key: "m/" + vm + "/1", Value: []byte(value), Revision: at, Created: at}
 }
 
-// Guards against a lost connection that is taken for an outage of the store: a router loses the
+// Guards against a lost connection that is treated as an outage of the store: a router loses the
 // store and the other members for some seconds, and a lender's VM is taken away meanwhile. The
 // router must drop that lender after it reconnects: the entries of the other lenders are unchanged,
-// so no leases ran out. Otherwise its requests wait for that lender's tokens for 10 s.
-func TestMemberThatLeftDuringACut(t *testing.T) {
+// so no leases expired. Otherwise its requests wait for that lender's tokens for 10 s.
+func TestMemberThatLeftDuringAPartition(t *testing.T) {
 	g := newTestGroup(memstore.New(), "r1", "router")
 	g.Reset([]store.Item{listedMember("l1", 3), listedMember("l2", 4), listedMember("l3", 5)})
 	g.Lost(store.ErrUnknown)
@@ -174,7 +174,7 @@
 	require.Equal(t, "l1:1", address)
 }
 
-// Guards against lapsed members that are dropped one by one: all leases ran out while the store was
+// Guards against lapsed members that are dropped one by one: all leases expired while the store was
 // unreachable, and the store removes the entries one after the other after the first read. The
 // members must stay in the view.
 func TestMembersThatLapseAfterTheFirstRead(t *testing.T) {
--- a/coord/recovery/recovery_test.go
+++ b/coord/recovery/recovery_test.go
@@ -67,15 +67,15 @@
 // spendAll spends all tokens that the node can obtain and returns how many these were.
 func (f *fleet) spendAll(n *lab.Node) int64 {
 	before := f.Served(budget)
-	for worst := int64(100); worst > 0; {
+	for tokens := int64(100); tokens > 0; {
 		f.requests++
-		r, err := n.Serve(f.ctx, "all"+string(rune(f.requests)), budget, worst)
+		r, err := n.Serve(f.ctx, "all"+string(rune(f.requests)), budget, tokens)
 		if err != nil {
-			worst /= 2
+			tokens /= 2
 			f.Now = f.Now.Add(2 * time.Second)
 			continue
 		}
-		r.Finish(worst)
+		r.Finish(tokens)
 	}
 	return f.Served(budget) - before
 }
--- a/coord/relay/relay_test.go
+++ b/coord/relay/relay_test.go
@@ -38,12 +38,12 @@
 // Guards against followers that stay with a relay which stops answering without a connection
 // reset: they must receive changes from the other relay within 1.5 s, without a reported loss of
 // the store.
-func TestSilentRelayIsAbandoned(t *testing.T) {
+func TestUnresponsiveRelayIsAbandoned(t *testing.T) {
 	withCluster(t, 2, 2, func(tc *testCluster) {
 		time.Sleep(5 * time.Second)
 		tc.put("a", "1")
 		for _, conns := range tc.hubConns {
-			conns[0].silent.Store(true)
+			conns[0].unresponsive.Store(true)
 		}
 		tc.put("a", "2")
 		time.Sleep(1500 * time.Millisecond)
@@ -58,14 +58,14 @@
 // Guards against late changes when both relays of a data centre lose power at once and a key
 // changes in that moment. Followers must receive the change from the store itself within the 2 s in
 // which changes must take effect: only the first relay may take the whole time of a waiting poll.
-func TestTwoSilentRelays(t *testing.T) {
+func TestTwoUnresponsiveRelays(t *testing.T) {
 	withCluster(t, 2, 2, func(tc *testCluster) {
 		time.Sleep(5 * time.Second)
 		tc.put("a", "1")
 		time.Sleep(watchDelay)
 		for _, conns := range tc.hubConns {
-			conns[0].silent.Store(true)
-			conns[1].silent.Store(true)
+			conns[0].unresponsive.Store(true)
+			conns[1].unresponsive.Store(true)
 		}
 		tc.put("a", "2")
 		time.Sleep(1900 * time.Millisecond)
@@ -79,7 +79,7 @@
 func TestRelayThatLostTheStoreSilently(t *testing.T) {
 	withCluster(t, 2, 2, func(tc *testCluster) {
 		time.Sleep(5 * time.Second)
-		tc.storeConns[0].silent.Store(true)
+		tc.storeConns[0].unresponsive.Store(true)
 		tc.put("a", "1")
 		time.Sleep(2 * time.Second)
 		tc.requireConverged()
@@ -91,7 +91,7 @@
 func TestFollowerWithoutTheStore(t *testing.T) {
 	withCluster(t, 1, 1, func(tc *testCluster) {
 		time.Sleep(5 * time.Second)
-		tc.storeConns[1].cut.Store(true)
+		tc.storeConns[1].disconnected.Store(true)
 		tc.put("a", "1")
 		time.Sleep(watchDelay)
 		tc.requireConverged()
@@ -104,13 +104,13 @@
 func TestRelaysWithoutTheStore(t *testing.T) {
 	withCluster(t, 2, 1, func(tc *testCluster) {
 		time.Sleep(5 * time.Second)
-		tc.storeConns[0].cut.Store(true)
-		tc.storeConns[1].cut.Store(true)
+		tc.storeConns[0].disconnected.Store(true)
+		tc.storeConns[1].disconnected.Store(true)
 		tc.put("a", "1")
 		time.Sleep(2 * time.Second)
 		tc.requireConverged()
-		tc.storeConns[0].cut.Store(false)
-		tc.storeConns[1].cut.Store(false)
+		tc.storeConns[0].disconnected.Store(false)
+		tc.storeConns[1].disconnected.Store(false)
 		time.Sleep(20 * time.Second)
 		before := tc.store.Calls().Watches
 		time.Sleep(20 * time.Second)
@@ -130,7 +130,7 @@
 		tc.put("a", "1")
 		time.Sleep(watchDelay)
 		for _, conn := range tc.storeConns {
-			conn.cut.Store(true)
+			conn.disconnected.Store(true)
 		}
 		time.Sleep(8 * time.Second)
 		for i, c := range tc.copies {
@@ -142,7 +142,7 @@
 		tc.put("a", "2")
 		before := tc.store.Calls().Watches
 		for _, conn := range tc.storeConns[:2] {
-			conn.cut.Store(false)
+			conn.disconnected.Store(false)
 		}
 		time.Sleep(1500 * time.Millisecond)
 		tc.requireConverged()
@@ -168,7 +168,7 @@
 	require.Equal(t, 1, c.losses, "a compacted history is not an outage")
 }
 
-// Guards against a compacted history that is taken for an outage: the store compacts changes that
+// Guards against a compacted history that is treated as an outage: the store compacts changes that
 // were not read yet. Followers must get the keys with the relay's next read of the store, without a
 // reported loss: the missing keys were removed.
 func TestCompactedHistory(t *testing.T) {
@@ -238,7 +238,7 @@
 			}}
 		wg.Go(func() { f.Run(ctx) })
 		time.Sleep(5 * time.Second)
-		conn.cut.Store(true)
+		conn.disconnected.Store(true)
 		time.Sleep(5 * time.Second)
 		before := asked.Load()
 		for n := range 5 {
@@ -252,7 +252,7 @@
 		require.Equal(t, 1, losses)
 		_, losses = other.lossState()
 		require.Zero(t, losses)
-		conn.cut.Store(false)
+		conn.disconnected.Store(false)
 		time.Sleep(2 * time.Second)
 		stillLost, _ := lost.lossState()
 		require.False(t, stillLost)
@@ -337,13 +337,13 @@
 			case "compact":
 				step = func(tc *testCluster) { tc.store.Compact() }
 			case "store":
-				step = func(tc *testCluster) { tc.storeConns[i%len(tc.storeConns)].cut.Store(on) }
+				step = func(tc *testCluster) { tc.storeConns[i%len(tc.storeConns)].disconnected.Store(on) }
 			case "silence":
-				step = func(tc *testCluster) { tc.storeConns[i%len(tc.storeConns)].silent.Store(on) }
+				step = func(tc *testCluster) { tc.storeConns[i%len(tc.storeConns)].unresponsive.Store(on) }
 			case "relay":
-				step = func(tc *testCluster) { tc.hubConns[i%followers][i%relays].cut.Store(on) }
+				step = func(tc *testCluster) { tc.hubConns[i%followers][i%relays].disconnected.Store(on) }
 			case "silent relay":
-				step = func(tc *testCluster) { tc.hubConns[i%followers][i%relays].silent.Store(on) }
+				step = func(tc *testCluster) { tc.hubConns[i%followers][i%relays].unresponsive.Store(on) }
 			}
 			steps = append(steps, step, func(*testCluster) { time.Sleep(pause) })
 		}
@@ -352,13 +352,13 @@
 				step(tc)
 			}
 			for _, conn := range tc.storeConns {
-				conn.cut.Store(false)
-				conn.silent.Store(false)
+				conn.disconnected.Store(false)
+				conn.unresponsive.Store(false)
 			}
 			for _, conns := range tc.hubConns {
 				for _, conn := range conns {
-					conn.cut.Store(false)
-					conn.silent.Store(false)
+					conn.disconnected.Store(false)
+					conn.unresponsive.Store(false)
 				}
 			}
 			time.Sleep(15 * time.Second)
--- a/coord/relay/world_test.go
+++ b/coord/relay/world_test.go
@@ -104,22 +104,22 @@
 	watchDelay  = 1100 * time.Millisecond
 )
 
-// connection is a connection to a store or relay that tests can interrupt: cut fails calls at
-// once, silent leaves them without an answer.
+// connection is a connection to a store or relay that tests can interrupt: disconnected fails
+// calls at once, unresponsive leaves them without an answer.
 type connection struct {
 	store.Store
-	cut, silent atomic.Bool
-	reads       atomic.Int64 // snapshots, failed ones included
+	disconnected, unresponsive atomic.Bool
+	reads                      atomic.Int64 // snapshots, failed ones included
 }
 
 func (c *connection) check(ctx context.Context) error {
-	if c.silent.Load() {
+	if c.unresponsive.Load() {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		<-ctx.Done()
 		return store.Error.Wrap(store.ErrUnknown)
 	}
-	if c.cut.Load() {
+	if c.disconnected.Load() {
 		return store.Error.Wrap(store.ErrUnknown)
 	}
 	return nil
@@ -133,7 +133,7 @@
 	return c.Store.Snapshot(ctx, prefix)
 }
 
-// Watch ends when the connection is cut; a silent connection delivers no more events.
+// Watch ends when the connection is disconnected; an unresponsive one delivers no more events.
 func (c *connection) Watch(ctx context.Context, prefix string, after store.Revision) (<-chan store.Event, error) {
 	in, err := c.Store.Watch(ctx, prefix, after)
 	if err != nil {
--- a/coord/settlement/exposure.go
+++ b/coord/settlement/exposure.go
@@ -38,7 +38,7 @@
 	mu        sync.Mutex
 	term      int64
 	witnesses []string
-	// notified are the witnesses that know all limits of this term.
+	// notified are the witnesses that have received all limits of this term.
 	notified map[string]bool
 	// pending are the tokens of lots that wait for a raise, and exposing the raises that they wait
 	// for, by budget and borrower.
--- a/coord/settlement/witness_test.go
+++ b/coord/settlement/witness_test.go
@@ -17,7 +17,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// errNoAnswer is the error of a message to a witness that is cut off.
+// errNoAnswer is the error of a message to a witness that is disconnected.
 var errNoAnswer = errors.New("no answer")
 
 // witnessFixture is a fixture whose lender has witnesses.
@@ -229,8 +229,8 @@
 // Guards against limits that decrease when a notice arrives late, twice, or from an earlier term.
 func TestLateNotices(t *testing.T) {
 	var w settlement.Witness
-	notice := func(term int64, whole bool, limit int64) settlement.Notice {
-		return settlement.Notice{Lender: "lender/1", Term: term, Full: whole,
+	notice := func(term int64, full bool, limit int64) settlement.Notice {
+		return settlement.Notice{Lender: "lender/1", Term: term, Full: full,
 			Limits: grant.ExposureLimits{budget: {"router/1": limit}}}
 	}
 	now := time.Now()
--- a/coord/witness/witness.go
+++ b/coord/witness/witness.go
@@ -219,7 +219,7 @@
 }
 
 // Resolve returns the state of a reservation here. An unknown reservation has not begun and is
-// cancelled: its run may still wait in a queue or on a connection that its router has given up,
+// cancelled: its run may still wait in a queue or on a connection that its router has abandoned,
 // and the router, which gets the reply that nothing ran, spends the tokens again.
 func (w *Witness) Resolve(r grant.Reservation) (used int64, running, known bool) {
 	w.mu.Lock()
@@ -284,7 +284,7 @@
 	return evidence
 }
 
-// RestoreFences sets the fences that were in force before this process started: for each
+// RestoreFences sets the fences that were active before this process started: for each
 // VM its newest fenced incarnation.
 func (w *Witness) RestoreFences(upTo map[string]int64) {
 	w.mu.Lock()
--- a/datacentre/datacentre.go
+++ b/datacentre/datacentre.go
@@ -25,19 +25,19 @@
 	otherRegion
 )
 
-// Distance returns the distance of a data centre from Here; lower is nearer.
-func (m Topology) Distance(dc string) int {
+// Distance returns the distance of a data centre from Local; lower is nearer.
+func (t Topology) Distance(dc string) int {
 	switch {
-	case dc == m.Local:
+	case dc == t.Local:
 		return sameDatacentre
-	case m.region(dc) == m.region(m.Local):
+	case t.region(dc) == t.region(t.Local):
 		return sameRegion
 	}
 	return otherRegion
 }
 
-func (m Topology) region(dc string) string {
-	if r := m.Regions[dc]; r != "" {
+func (t Topology) region(dc string) string {
+	if r := t.Regions[dc]; r != "" {
 		return r
 	}
 	return dc
@@ -45,7 +45,7 @@
 
 // SortByDistance returns the VMs ordered by distance, and at equal distance by rendezvous hashing
 // of key, so that all processes of a data centre use the same VM for a key.
-func (m Topology) SortByDistance(key string, vms []vm.VM) []vm.VM {
+func (t Topology) SortByDistance(key string, vms []vm.VM) []vm.VM {
 	ids := make([]string, len(vms))
 	for i, v := range vms {
 		ids[i] = v.ID
@@ -57,7 +57,7 @@
 	out := slices.Clone(vms)
 	slices.SortFunc(out, func(a, b vm.VM) int {
 		return cmp.Or(
-			cmp.Compare(m.Distance(a.Datacentre), m.Distance(b.Datacentre)),
+			cmp.Compare(t.Distance(a.Datacentre), t.Distance(b.Datacentre)),
 			cmp.Compare(rank[a.ID], rank[b.ID]))
 	})
 	return out
--- a/demo/configured_test.go
+++ b/demo/configured_test.go
@@ -28,15 +28,15 @@
 
 // demo is a local fleet that is configured with two teams.
 type demo struct {
-	f    *Fleet
-	keys map[string]string
+	fleet *Fleet
+	keys  map[string]string
 }
 
 // configure creates the budgets, applies the first configuration and waits until all
 // routers have loaded it.
 func (d *demo) configure(ctx context.Context) error {
 	d.keys = map[string]string{pilots: team.NewKey(), conventions: team.NewKey()}
-	accounts := d.f.Accounts()
+	accounts := d.fleet.Accounts()
 	for budget, owner := range map[string]string{pilotsBudget: pilots, badgeBudget: conventions} {
 		if err := accounts.Create(ctx, budget, owner); err != nil {
 			return err
@@ -57,7 +57,7 @@
 		Presets: []*fleet.Preset{{Name: "ordinary", Default: "normal", Rules: []fleet.Rule{{Team: pilots, Class: "urgent"}}}},
 		Preset:  "ordinary",
 	}
-	generation, err := (fleet.Registry{Store: d.f.Store()}).Apply(ctx, doc, 0, "demo")
+	generation, err := (fleet.Registry{Store: d.fleet.Store()}).Apply(ctx, doc, 0, "demo")
 	if err != nil {
 		return err
 	}
@@ -68,9 +68,9 @@
 func (d *demo) waitConfigured(ctx context.Context, generation int64) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	for id := range d.f.CallerAddresses {
+	for id := range d.fleet.CallerAddresses {
 		for {
-			state, err := FetchDump(ctx, d.f.AdminAddresses[id])
+			state, err := FetchDump(ctx, d.fleet.AdminAddresses[id])
 			if err == nil && state.Generation >= generation {
 				break
 			}
@@ -105,7 +105,7 @@
 }
 
 func (d *demo) call(ctx context.Context, routerID, teamName, key, path, body string) (*http.Response, error) {
-	url := "http://" + d.f.CallerAddresses[routerID] + path
+	url := "http://" + d.fleet.CallerAddresses[routerID] + path
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
 		return nil, err
@@ -132,7 +132,7 @@
 func (d *demo) waitForCharges(ctx context.Context, want map[string]int64) (map[string]int64, error) {
 	deadline := time.Now().Add(ledgerWait)
 	for {
-		got, err := d.f.Ledger().Totals(ctx, "")
+		got, err := d.fleet.Ledger().Totals(ctx, "")
 		if err != nil {
 			return nil, err
 		}
--- a/demo/fleet.go
+++ b/demo/fleet.go
@@ -55,7 +55,7 @@
 	Platform *standin.Platform
 	Engines  []*standin.Engine
 	Service  *standin.Service
-	// CallerAddresses maps a router's VM to its address for callers, Admins the VM of each
+	// CallerAddresses maps a router's VM to its address for callers, AdminAddresses the VM of each
 	// process to its admin address.
 	CallerAddresses map[string]string
 	AdminAddresses  map[string]string
--- a/demo/fleet_test.go
+++ b/demo/fleet_test.go
@@ -29,7 +29,7 @@
 	opt.Log = io.Discard
 	f, err := Start(context.Background(), opt) // t.Context ends before the graceful stop
 	require.NoError(t, err)
-	d := &testFleet{t: t, demo: &demo{f: f}}
+	d := &testFleet{t: t, demo: &demo{fleet: f}}
 	t.Cleanup(func() { require.NoError(t, f.Stop()) })
 	require.NoError(t, d.configure(context.Background()))
 	return d
@@ -43,19 +43,19 @@
 	err    error // the request failed or the body is truncated
 }
 
-func (a response) complete() bool {
-	return a.err == nil && strings.Contains(a.body, "data: [DONE]")
+func (r response) complete() bool {
+	return r.err == nil && strings.Contains(r.body, "data: [DONE]")
 }
 
-func (d *testFleet) chat(router, key string, client *http.Client) response {
+func (f *testFleet) chat(router, key string, client *http.Client) response {
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":30,"messages":[{"role":"user","content":"low water %s?"}]}`, model, key)
-	return d.post(router, pilots, key, openai.ChatPath, body, client)
+	return f.post(router, pilots, key, openai.ChatPath, body, client)
 }
 
-func (d *testFleet) post(router, teamName, key, path, body string, client *http.Client) response {
-	req, err := http.NewRequest(http.MethodPost, "http://"+d.f.CallerAddresses[router]+path, strings.NewReader(body))
-	require.NoError(d.t, err)
-	req.Header.Set("Authorization", "Bearer "+d.keys[teamName])
+func (f *testFleet) post(router, teamName, key, path, body string, client *http.Client) response {
+	req, err := http.NewRequest(http.MethodPost, "http://"+f.fleet.CallerAddresses[router]+path, strings.NewReader(body))
+	require.NoError(f.t, err)
+	req.Header.Set("Authorization", "Bearer "+f.keys[teamName])
 	req.Header.Set("Idempotency-Key", key)
 	resp, err := client.Do(req)
 	if err != nil {
@@ -67,9 +67,9 @@
 }
 
 // ledgerTotals returns the ledger's totals without waiting for charges.
-func (d *testFleet) ledgerTotals() map[string]int64 {
-	totals, err := d.f.Ledger().Totals(context.Background(), "")
-	require.NoError(d.t, err)
+func (f *testFleet) ledgerTotals() map[string]int64 {
+	totals, err := f.fleet.Ledger().Totals(context.Background(), "")
+	require.NoError(f.t, err)
 	return totals
 }
 
@@ -78,14 +78,14 @@
 func TestEngineReportsMoreThanReserved(t *testing.T) {
 	opt := standin.DefaultEngineOptions()
 	opt.Overrun = 1_000_000
-	d := startFleet(t, Options{Routers: 1, Engines: 1, Engine: opt})
-	got := d.chat("bergen-router-1", "over", http.DefaultClient)
+	f := startFleet(t, Options{Routers: 1, Engines: 1, Engine: opt})
+	got := f.chat("bergen-router-1", "over", http.DefaultClient)
 	require.True(t, got.complete(), got.body)
-	total, err := d.waitForCharges(t.Context(), map[string]int64{pilotsBudget: 1})
+	total, err := f.waitForCharges(t.Context(), map[string]int64{pilotsBudget: 1})
 	require.NoError(t, err)
 	require.Positive(t, total[pilotsBudget])
 	require.Less(t, total[pilotsBudget], int64(1000))
-	a, err := d.f.Accounts().Get(t.Context(), pilotsBudget)
+	a, err := f.fleet.Accounts().Get(t.Context(), pilotsBudget)
 	require.NoError(t, err)
 	require.LessOrEqual(t, total[pilotsBudget], a.Settled()+a.Outstanding())
 }
@@ -95,7 +95,7 @@
 func TestPlannedStopInterruptsNoStream(t *testing.T) {
 	opt := standin.DefaultEngineOptions()
 	opt.Step = 2 * time.Millisecond
-	d := startFleet(t, Options{Routers: 1, Engines: 2, Engine: opt})
+	f := startFleet(t, Options{Routers: 1, Engines: 2, Engine: opt})
 	for _, stopped := range []string{"alesund-engine-1", "alesund-router-1"} {
 		var wg sync.WaitGroup
 		responses := make([]response, 24)
@@ -103,18 +103,18 @@
 		for i := range responses {
 			wg.Go(func() {
 				client := &http.Client{Transport: &notifyTransport{started: started}}
-				responses[i] = d.chat([]string{"bergen-router-1", "alesund-router-1"}[i%2], fmt.Sprint(stopped, i), client)
+				responses[i] = f.chat([]string{"bergen-router-1", "alesund-router-1"}[i%2], fmt.Sprint(stopped, i), client)
 			})
 		}
 		for range responses {
 			<-started // the response headers, or a refusal, have arrived
 		}
-		d.f.StopOne(stopped)
+		f.fleet.StopOne(stopped)
 		wg.Wait()
 		for i, a := range responses {
 			require.True(t, a.complete(), "%s: response %d: %d %v %s", stopped, i, a.status, a.err, a.body)
 		}
-		after := d.chat("bergen-router-1", stopped+"after", http.DefaultClient)
+		after := f.chat("bergen-router-1", stopped+"after", http.DefaultClient)
 		require.True(t, after.complete(), "%d %s", after.status, after.body)
 	}
 }
@@ -123,31 +123,31 @@
 type notifyTransport struct{ started chan<- struct{} }
 
 // RoundTrip implements http.RoundTripper.
-func (a *notifyTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+func (t *notifyTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	resp, err := http.DefaultTransport.RoundTrip(r)
-	a.started <- struct{}{}
+	t.started <- struct{}{}
 	return resp, err
 }
 
 // An agent is stopped while the platform's list still shows it as live. It refuses
 // requests itself, and callers must see no errors.
 func TestStoppedAgentGetsNoRequests(t *testing.T) {
-	d := startFleet(t, Options{Datacentres: []string{"bergen"}, Routers: 1, Engines: 2, Engine: standin.DefaultEngineOptions()})
-	d.f.StopOne("bergen-engine-1")
-	before := d.f.Engines[0].Served().Requests
+	f := startFleet(t, Options{Datacentres: []string{"bergen"}, Routers: 1, Engines: 2, Engine: standin.DefaultEngineOptions()})
+	f.fleet.StopOne("bergen-engine-1")
+	before := f.fleet.Engines[0].Served().Requests
 	for i := range 10 {
-		a := d.chat("bergen-router-1", fmt.Sprint(i), http.DefaultClient)
+		a := f.chat("bergen-router-1", fmt.Sprint(i), http.DefaultClient)
 		require.True(t, a.complete(), "%d %s", a.status, a.body)
 	}
-	require.Equal(t, before, d.f.Engines[0].Served().Requests)
+	require.Equal(t, before, f.fleet.Engines[0].Served().Requests)
 }
 
 // The list contains only an agent without a listener. A request that reached no agent was
 // not run, and the response must say so at once.
 func TestUnreachableAgents(t *testing.T) {
-	d := startFleet(t, Options{Datacentres: []string{"bergen"}, Routers: 1, Engines: 1, Engine: standin.DefaultEngineOptions()})
-	d.f.StopOne("bergen-engine-1")
-	a := d.chat("bergen-router-1", "none", http.DefaultClient)
+	f := startFleet(t, Options{Datacentres: []string{"bergen"}, Routers: 1, Engines: 1, Engine: standin.DefaultEngineOptions()})
+	f.fleet.StopOne("bergen-engine-1")
+	a := f.chat("bergen-router-1", "none", http.DefaultClient)
 	require.Equal(t, http.StatusServiceUnavailable, a.status)
 	require.Contains(t, a.body, `"kind":"no_upstream"`)
 	require.Contains(t, a.body, `"not_run":true`)
@@ -158,48 +158,48 @@
 // call. net/http by default retries a request with an idempotency key on such a failure,
 // and the call would be executed twice.
 func TestBrokenKeepAliveConnectionIsNotRetried(t *testing.T) {
-	d := startFleet(t, Options{Datacentres: []string{"bergen"}, Routers: 1, Engines: 1, Engine: standin.DefaultEngineOptions()})
+	f := startFleet(t, Options{Datacentres: []string{"bergen"}, Routers: 1, Engines: 1, Engine: standin.DefaultEngineOptions()})
 	path := "/services/" + Orders + "/refund"
 	for _, body := range []string{"", `{"refund":1}`} {
-		require.Equal(t, http.StatusOK, d.post("bergen-router-1", conventions, "warm"+body[:0]+fmt.Sprint(len(body)), path, body, http.DefaultClient).status)
-		d.f.Service.SetFault(standin.ServiceFault{BreakAfterEffect: 1})
+		require.Equal(t, http.StatusOK, f.post("bergen-router-1", conventions, "warm"+body[:0]+fmt.Sprint(len(body)), path, body, http.DefaultClient).status)
+		f.fleet.Service.SetFault(standin.ServiceFault{BreakAfterEffect: 1})
 		key := fmt.Sprint("refund-", len(body))
-		first := d.post("bergen-router-1", conventions, key, path, body, http.DefaultClient)
+		first := f.post("bergen-router-1", conventions, key, path, body, http.DefaultClient)
 		require.Equal(t, http.StatusBadGateway, first.status)
 		require.Contains(t, first.body, `"not_run":false`)
-		second := d.post("bergen-router-1", conventions, key, path, body, http.DefaultClient)
+		second := f.post("bergen-router-1", conventions, key, path, body, http.DefaultClient)
 		require.Contains(t, second.body, `"kind":"outcome_unknown"`)
-		require.Equal(t, int64(1), d.f.Service.Effects()[key])
+		require.Equal(t, int64(1), f.fleet.Service.Effects()[key])
 	}
 }
 
 // An upstream returns an error after it has executed a call. The retry must get the same
 // error without a second execution.
 func TestErrorAfterEffectIsReplayed(t *testing.T) {
-	d := startFleet(t, Options{Datacentres: []string{"bergen"}, Routers: 1, Engines: 1, Engine: standin.DefaultEngineOptions()})
-	d.f.Service.SetFault(standin.ServiceFault{ErrorAfterEffect: 1})
+	f := startFleet(t, Options{Datacentres: []string{"bergen"}, Routers: 1, Engines: 1, Engine: standin.DefaultEngineOptions()})
+	f.fleet.Service.SetFault(standin.ServiceFault{ErrorAfterEffect: 1})
 	for range 2 {
-		a := d.post("bergen-router-1", conventions, "ruling-1", "/services/"+Orders+"/ruling", "{}", http.DefaultClient)
+		a := f.post("bergen-router-1", conventions, "ruling-1", "/services/"+Orders+"/ruling", "{}", http.DefaultClient)
 		require.Equal(t, http.StatusInternalServerError, a.status)
 		require.Contains(t, a.body, "failed after its effect")
 	}
-	require.Equal(t, int64(1), d.f.Service.Effects()["ruling-1"])
+	require.Equal(t, int64(1), f.fleet.Service.Effects()["ruling-1"])
 }
 
 // Two clients send the same idempotency key concurrently through two routers. The call must
 // run once; the other client is informed that it has already started.
 func TestSameKeyThroughTwoRouters(t *testing.T) {
-	d := startFleet(t, Options{Routers: 1, Engines: 1, Engine: standin.DefaultEngineOptions()})
+	f := startFleet(t, Options{Routers: 1, Engines: 1, Engine: standin.DefaultEngineOptions()})
 	var wg sync.WaitGroup
 	for i := range 10 {
 		for _, router := range []string{"bergen-router-1", "alesund-router-1"} {
 			wg.Go(func() {
-				d.post(router, conventions, fmt.Sprint("key-", i), "/services/"+Orders+"/x", "{}", http.DefaultClient)
+				f.post(router, conventions, fmt.Sprint("key-", i), "/services/"+Orders+"/x", "{}", http.DefaultClient)
 			})
 		}
 	}
 	wg.Wait()
-	for key, n := range d.f.Service.Effects() {
+	for key, n := range f.fleet.Service.Effects() {
 		require.Equal(t, int64(1), n, key)
 	}
 }
@@ -208,20 +208,20 @@
 // once, and the rest of its reservation must be released.
 func TestCallerDisconnects(t *testing.T) {
 	opt := standin.DefaultEngineOptions()
-	d := startFleet(t, Options{Datacentres: []string{"bergen"}, Routers: 1, Engines: 1, Engine: opt,
+	f := startFleet(t, Options{Datacentres: []string{"bergen"}, Routers: 1, Engines: 1, Engine: opt,
 		Tune: func(s *settings.Settings) { s.Log.Level = "error" }})
 	ctx, cancel := context.WithCancel(t.Context())
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"messages":[{"role":"user","content":"gone"}]}`, model)
-	resp, err := d.call(ctx, "bergen-router-1", pilots, "gone", openai.ChatPath, body)
+	resp, err := f.call(ctx, "bergen-router-1", pilots, "gone", openai.ChatPath, body)
 	require.NoError(t, err)
 	_, err = resp.Body.Read(make([]byte, 10))
 	require.NoError(t, err)
 	cancel()
 	_ = resp.Body.Close()
-	d.f.StopOne("bergen-engine-1") // waits until the router has received the outcome
-	d.f.StopOne("bergen-router-1")
-	a, err := d.f.Accounts().Get(context.Background(), pilotsBudget)
+	f.fleet.StopOne("bergen-engine-1") // waits until the router has received the outcome
+	f.fleet.StopOne("bergen-router-1")
+	a, err := f.fleet.Accounts().Get(context.Background(), pilotsBudget)
 	require.NoError(t, err)
 	require.Zero(t, a.Outstanding())
-	require.Equal(t, d.ledgerTotals()[pilotsBudget], a.Settled())
+	require.Equal(t, f.ledgerTotals()[pilotsBudget], a.Settled())
 }
--- a/demo/path_bench_test.go
+++ b/demo/path_bench_test.go
@@ -42,7 +42,7 @@
 		f, err := Start(context.Background(), Options{Datacentres: []string{"bergen"}, Routers: 1, Engines: 1,
 			Engine: standin.DefaultEngineOptions(), Upstream: instantUpstream(tokens), Log: io.Discard, Tune: func(s *settings.Settings) { s.Log.Level = "error" }})
 		require.NoError(b, err)
-		d := &demo{f: f}
+		d := &demo{fleet: f}
 		require.NoError(b, d.configure(context.Background()))
 		require.NoError(b, f.Accounts().TopUp(context.Background(), pilotsBudget, "much", 1<<50))
 		b.Run(fmt.Sprintf("path/tokens=%d", tokens), func(b *testing.B) {
--- a/demo/tls_test.go
+++ b/demo/tls_test.go
@@ -61,15 +61,15 @@
 // client without a certificate must reach neither an agent's upstream nor a link.
 func TestMutualTLS(t *testing.T) {
 	m := writeCertificates(t)
-	d := startFleet(t, Options{Routers: 1, Engines: 1, Engine: standin.DefaultEngineOptions(), Tune: func(s *settings.Settings) {
+	f := startFleet(t, Options{Routers: 1, Engines: 1, Engine: standin.DefaultEngineOptions(), Tune: func(s *settings.Settings) {
 		s.Security = settings.Security{Processes: m}
 	}})
-	a := d.chat("bergen-router-1", "tls", http.DefaultClient)
+	a := f.chat("bergen-router-1", "tls", http.DefaultClient)
 	require.True(t, a.complete(), "%d %s", a.status, a.body)
-	total, err := d.waitForCharges(t.Context(), map[string]int64{pilotsBudget: 1})
+	total, err := f.waitForCharges(t.Context(), map[string]int64{pilotsBudget: 1})
 	require.NoError(t, err)
 	require.Positive(t, total[pilotsBudget])
-	for _, m := range d.f.VMs {
+	for _, m := range f.fleet.VMs {
 		for _, addr := range []string{m.Link, m.Work} {
 			if addr == "" {
 				continue
@@ -88,7 +88,7 @@
 // responses are only sent over TLS.
 func TestCallersTLS(t *testing.T) {
 	m := writeCertificates(t)
-	d := startFleet(t, Options{Datacentres: []string{"bergen"}, Routers: 1, Engines: 1, Engine: standin.DefaultEngineOptions(),
+	f := startFleet(t, Options{Datacentres: []string{"bergen"}, Routers: 1, Engines: 1, Engine: standin.DefaultEngineOptions(),
 		Tune: func(s *settings.Settings) {
 			if s.Role == settings.RoleRouter {
 				s.Security.Callers = settings.KeyPair{Cert: m.Cert, Key: m.Key}
@@ -100,9 +100,9 @@
 	require.True(t, pool.AppendCertsFromPEM(ca))
 	client := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}}}
 	for scheme, want := range map[string]int{"https": http.StatusOK, "http": http.StatusBadRequest} {
-		req, err := http.NewRequest(http.MethodGet, scheme+"://"+d.f.CallerAddresses["bergen-router-1"]+"/v1/models", nil)
+		req, err := http.NewRequest(http.MethodGet, scheme+"://"+f.fleet.CallerAddresses["bergen-router-1"]+"/v1/models", nil)
 		require.NoError(t, err)
-		req.Header.Set("Authorization", "Bearer "+d.keys[pilots])
+		req.Header.Set("Authorization", "Bearer "+f.keys[pilots])
 		resp, err := client.Do(req)
 		require.NoError(t, err)
 		require.NoError(t, resp.Body.Close())
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -48,7 +48,7 @@
 	// the number of entries that are missing and that survived the loss.
 	UpstreamMissing(u Upstream, live bool, missing, kept int)
 	// UpstreamGone is called when an upstream is no longer treated as live.
-	UpstreamGone(u Upstream, why string)
+	UpstreamGone(u Upstream, reason string)
 	// DirectoryLost is called when the watch of the entries fails, DirectoryRead when all of them
 	// were read again.
 	DirectoryLost(err error)
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -32,8 +32,8 @@
 				return Upstream{}, errors.New("cannot be read")
 			}
 			u := Upstream{Incarnation: Incarnation{ID: it.Key[2:]}, Address: it.Key, Service: "s", Leaving: strings.HasPrefix(string(it.Value), "draining")}
-			_, born, _ := strings.Cut(string(it.Value), "@")
-			u.StartUnixMS, _ = strconv.ParseInt(born, 10, 64) // 0 is unknown
+			_, startUnixMS, _ := strings.Cut(string(it.Value), "@")
+			u.StartUnixMS, _ = strconv.ParseInt(startUnixMS, 10, 64) // 0 is unknown
 			return u, nil
 		}}
 }
@@ -218,10 +218,10 @@
 	require.ElementsMatch(t, []string{"a", "b", "made-up"}, ids(d))
 }
 
-// Guards against treating a partition of one router as an outage of the store. The router is cut
-// off from the store for 12 s while an upstream starts to drain and removes its entry. The router
-// took its partition for an outage in which leases expire, kept the upstream for 2200 ms and sent
-// it requests until 3.1 s after the partition. But the entries of all other upstreams were
+// Guards against treating a partition of one router as an outage of the store. The router is
+// disconnected from the store for 12 s while an upstream starts to drain and removes its entry. The
+// router took its partition for an outage in which leases expire, kept the upstream for 2200 ms and
+// sent it requests until 3.1 s after the partition. But the entries of all other upstreams were
 // unchanged, so no lease had expired.
 func TestUpstreamRemovedDuringAPartition(t *testing.T) {
 	now := time.Unix(1000, 0)
--- a/fleet/document.go
+++ b/fleet/document.go
@@ -46,7 +46,7 @@
 	// MaxOutputTokens is the maximum and the default of a request's output tokens.
 	MaxOutputTokens int64 `yaml:"max_output_tokens,omitempty" json:"max_output_tokens,omitempty"`
 	// IdempotentMethods are the methods of a plain service whose calls may be
-	// repeated; all others run at most once.
+	// retried; all others run at most once.
 	IdempotentMethods []string `yaml:"idempotent_methods,omitempty" json:"idempotent_methods,omitempty"`
 	// Timeout bounds a request from its arrival to its end.
 	Timeout Duration `yaml:"timeout,omitempty" json:"timeout,omitempty"`
--- a/fleet/registry.go
+++ b/fleet/registry.go
@@ -53,7 +53,7 @@
 }
 
 // Apply replaces the document if the stored generation is still expect, and
-// returns the new generation; otherwise the error wraps ErrGeneration. op
+// returns the new generation; otherwise the error wraps ErrGenerationMismatch. op
 // identifies this apply, so that a retry after a lost answer is not another change.
 func (r Registry) Apply(ctx context.Context, doc *Document, expect int64, op string) (int64, error) {
 	if err := doc.Check(); err != nil {
--- a/gateway/announce.go
+++ b/gateway/announce.go
@@ -74,7 +74,7 @@
 
 // reportRemotePrefill implements pool.Pool's ReportRemotePrefill. It does not wait for the lender.
 func (c *lenderClient) reportRemotePrefill(address string, remote prefill.RemotePrefill) {
-	c.enqueue(lenderMessage{address: address, method: link.MethodReadElsewhere, body: remote})
+	c.enqueue(lenderMessage{address: address, method: link.MethodRemotePrefill, body: remote})
 }
 
 func (c *lenderClient) enqueue(m lenderMessage) {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -224,16 +224,16 @@
 	}
 	ctx, cancel := context.WithCancel(context.WithoutCancel(stop))
 	defer cancel()
-	duties := process.NewTaskGroup(ctx)
+	tasks := process.NewTaskGroup(ctx)
 	g.Log.Info().Str("datacentre", g.settings.Datacentre).Str("callers", g.settings.Listen.Callers).Msg("started")
 	callers := g.callerServer()
-	g.startServers(duties, listeners, callers)
-	g.startTasks(duties)
+	g.startServers(tasks, listeners, callers)
+	g.startTasks(tasks)
 	<-stop.Done()
 	g.shutdown(ctx, callers)
 	cancel()
 	g.Links.Close()
-	duties.Wait()
+	tasks.Wait()
 	g.Budgets.Wait()
 	return nil
 }
@@ -252,12 +252,12 @@
 }
 
 // startServers starts the servers on the listeners.
-func (g *Gateway) startServers(d *process.TaskGroup, l listeners, callers *http.Server) {
-	d.Serve(callers, callerListener{l.callers, g.callerLimits}, nil)
+func (g *Gateway) startServers(tasks *process.TaskGroup, l listeners, callers *http.Server) {
+	tasks.Serve(callers, callerListener{l.callers, g.callerLimits}, nil)
 	ready := http.NewServeMux()
 	ready.HandleFunc("GET "+platform.ReadyPath, g.serveReady)
-	d.Serve(&http.Server{Handler: ready, ReadHeaderTimeout: headerTimeout}, l.ready, nil)
-	g.Serve(d, l.admin, l.link)
+	tasks.Serve(&http.Server{Handler: ready, ReadHeaderTimeout: headerTimeout}, l.ready, nil)
+	g.Serve(tasks, l.admin, l.link)
 }
 
 func (g *Gateway) serveReady(w http.ResponseWriter, _ *http.Request) {
@@ -269,13 +269,13 @@
 }
 
 // startTasks starts the background tasks.
-func (g *Gateway) startTasks(d *process.TaskGroup) {
-	d.Go(g.lenders.run)
-	g.prompts.start(d)
-	g.Start(d)
-	d.Every(lagPeriod, func(context.Context) { g.lag.Tick(time.Now()) })
-	d.Every(expireInterval, func(context.Context) { g.directory.Expire() })
-	d.Every(pruneInterval, func(context.Context) { g.pool.Prune() })
+func (g *Gateway) startTasks(tasks *process.TaskGroup) {
+	tasks.Go(g.lenders.run)
+	g.prompts.start(tasks)
+	g.Start(tasks)
+	tasks.Every(lagPeriod, func(context.Context) { g.lag.Tick(time.Now()) })
+	tasks.Every(expireInterval, func(context.Context) { g.directory.Expire() })
+	tasks.Every(pruneInterval, func(context.Context) { g.pool.Prune() })
 }
 
 // shutdown stops the gateway within the grace period: it waits for the notice period, shuts the
--- a/gateway/poison_test.go
+++ b/gateway/poison_test.go
@@ -324,7 +324,7 @@
 // Guards against crashes that a router does not report to the others because it decides on their
 // prompts itself. Prompts crash engines at one router, which decides on some of them; the other
 // router must receive a report on each.
-func TestDecidingRouterReportsItsOwnObservations(t *testing.T) {
+func TestPromptOwnerReportsItsOwnObservations(t *testing.T) {
 	withFleet(t, func(f *fleet) {
 		f.putConfig(0, "k1")
 		f.startFragileEngines(20)
--- a/gateway/prompts.go
+++ b/gateway/prompts.go
@@ -71,14 +71,14 @@
 }
 
 // start starts the guard's background tasks.
-func (p *promptGuard) start(d *process.TaskGroup) {
+func (p *promptGuard) start(tasks *process.TaskGroup) {
 	for range probeWorkers {
-		d.Go(p.probeUpstreams)
+		tasks.Go(p.probeUpstreams)
 	}
-	d.Go(p.sendUpdates)
-	d.Go(p.fetchInitialEvidence)
-	d.Go(p.updateKeepers)
-	d.Every(promptExpireInterval, func(context.Context) { p.expire(time.Now()) })
+	tasks.Go(p.sendUpdates)
+	tasks.Go(p.fetchInitialEvidence)
+	tasks.Go(p.updateKeepers)
+	tasks.Every(promptExpireInterval, func(context.Context) { p.expire(time.Now()) })
 }
 
 // evidenceFor returns the evidence on a request's prompt that counts for its service. While there is
--- a/gateway/recall.go
+++ b/gateway/recall.go
@@ -26,44 +26,44 @@
 	removed atomic.Bool
 }
 
-func (s *trackedAttempts) add(a *trackedAttempt) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.byPrompt == nil {
-		s.byPrompt = map[poison.Prompt]map[*trackedAttempt]struct{}{}
+func (t *trackedAttempts) add(a *trackedAttempt) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.byPrompt == nil {
+		t.byPrompt = map[poison.Prompt]map[*trackedAttempt]struct{}{}
 	}
-	if s.byPrompt[a.prompt] == nil {
-		s.byPrompt[a.prompt] = map[*trackedAttempt]struct{}{}
+	if t.byPrompt[a.prompt] == nil {
+		t.byPrompt[a.prompt] = map[*trackedAttempt]struct{}{}
 	}
-	s.byPrompt[a.prompt][a] = struct{}{}
+	t.byPrompt[a.prompt][a] = struct{}{}
 }
 
 // remove removes an attempt. It is called for each event of a response; calls after the first do
 // nothing.
-func (s *trackedAttempts) remove(a *trackedAttempt) {
+func (t *trackedAttempts) remove(a *trackedAttempt) {
 	if a.removed.Swap(true) {
 		return
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	delete(s.byPrompt[a.prompt], a)
-	if len(s.byPrompt[a.prompt]) == 0 {
-		delete(s.byPrompt, a.prompt)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.byPrompt[a.prompt], a)
+	if len(t.byPrompt[a.prompt]) == 0 {
+		delete(t.byPrompt, a.prompt)
 	}
 }
 
 // forPrompt returns the tracked attempts of a prompt.
-func (s *trackedAttempts) forPrompt(prompt poison.Prompt) (out []*trackedAttempt) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for a := range s.byPrompt[prompt] {
+func (t *trackedAttempts) forPrompt(prompt poison.Prompt) (out []*trackedAttempt) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for a := range t.byPrompt[prompt] {
 		out = append(out, a)
 	}
 	return out
 }
 
 // TrackSend implements serving.PromptGuard. It doesn't track requests without parts: they are short.
-func (p *promptGuard) TrackSend(ctx context.Context, r *serving.Request) (sending context.Context, began, done func()) {
+func (p *promptGuard) TrackSend(ctx context.Context, r *serving.Request) (tracked context.Context, began, done func()) {
 	if len(r.Parts) == 0 {
 		return ctx, func() {}, func() {}
 	}
--- a/gateway/restart_test.go
+++ b/gateway/restart_test.go
@@ -36,8 +36,8 @@
 		first := &standin.Upstream{ID: "i-1", StartUnixMS: 1}
 		at := newReplaceableUpstream(first)
 		f.serve(upstreamAddress("i-1"), at)
-		register := func(born int64) {
-			require.NoError(t, f.store.RegisterWithStart("i-1", "plain", upstreamAddress("i-1"), "bergen", "ready", 6, born))
+		register := func(startUnixMS int64) {
+			require.NoError(t, f.store.RegisterWithStart("i-1", "plain", upstreamAddress("i-1"), "bergen", "ready", 6, startUnixMS))
 		}
 		register(1)
 		f.start()
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -181,27 +181,27 @@
 
 // handleResponse forwards a valid response, or returns why it is invalid.
 func (x *exchange) handleResponse(resp *http.Response) serving.Attempt {
-	m := platform.ReadResponseInfo(resp.StatusCode, resp.Header)
-	if m.ID != x.request.ID && (m.ID != "" || !m.NotRun) {
+	info := platform.ReadResponseInfo(resp.StatusCode, resp.Header)
+	if info.ID != x.request.ID && (info.ID != "" || !info.NotRun) {
 		// The response to another request: an upstream may send a second one on
 		// a keep-alive connection, where the next response is expected. The
 		// outcome of this request is unknown.
-		return x.newAttempt(serving.Unknown, "response to request %q", m.ID)
+		return x.newAttempt(serving.Unknown, "response to request %q", info.ID)
 	}
-	if !m.Misdirected {
-		x.target.Limit(m.Limit, m.LimitError)
+	if !info.Misdirected {
+		x.target.Limit(info.Limit, info.LimitError)
 	}
 	switch {
-	case m.Misdirected:
+	case info.Misdirected:
 		return x.newAttempt(serving.Misdirected, "another process listens at the address")
-	case m.NotRun:
+	case info.NotRun:
 		discardBody(resp)
 		return x.newAttempt(serving.Declined, "status %d", resp.StatusCode)
-	case m.Encoded:
+	case info.Encoded:
 		return x.newAttempt(serving.Unknown, "encoded response")
 	case resp.StatusCode >= 300:
-		return x.handleFailure(resp, m)
-	case !m.Signed:
+		return x.handleFailure(resp, info)
+	case !info.Signed:
 		return x.newAttempt(serving.Unknown, "response without signature")
 	case x.request.Route.Kind == catalog.Streaming:
 		return x.forwardStream(resp)
@@ -217,12 +217,12 @@
 
 // handleFailure reads an error response. A status that implies "not run" without proof of it is
 // not forwarded.
-func (x *exchange) handleFailure(resp *http.Response, m platform.ResponseInfo) serving.Attempt {
+func (x *exchange) handleFailure(resp *http.Response, info platform.ResponseInfo) serving.Attempt {
 	body, err := readResponse(resp)
 	if err != nil {
 		return x.failedAttempt(true, err)
 	}
-	if !m.Signed || impliesNotRun(resp.StatusCode) {
+	if !info.Signed || impliesNotRun(resp.StatusCode) {
 		return x.newAttempt(serving.Unknown, "status %d without proof", resp.StatusCode)
 	}
 	a := x.newAttempt(serving.Failed, "status %d", resp.StatusCode)
--- a/hop/sent.go
+++ b/hop/sent.go
@@ -11,11 +11,11 @@
 type ConnTracker struct{ got atomic.Bool }
 
 // Trace returns a context for the request to record.
-func (s *ConnTracker) Trace(ctx context.Context) context.Context {
+func (t *ConnTracker) Trace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn: func(httptrace.GotConnInfo) { s.got.Store(true) },
+		GotConn: func(httptrace.GotConnInfo) { t.got.Store(true) },
 	})
 }
 
 // Connected reports whether the request got a connection.
-func (s *ConnTracker) Connected() bool { return s.got.Load() }
+func (t *ConnTracker) Connected() bool { return t.got.Load() }
--- a/hosted/base.go
+++ b/hosted/base.go
@@ -139,8 +139,8 @@
 
 // Serve starts the servers for operators (health, metrics, dumps) and for control messages
 // of other members.
-func (b *Base) Serve(d *process.TaskGroup, admin, links net.Listener) {
-	d.Serve(&http.Server{Handler: b.Admin.Handler(), ReadHeaderTimeout: adminHeaderTimeout}, admin, nil)
+func (b *Base) Serve(tasks *process.TaskGroup, admin, links net.Listener) {
+	tasks.Serve(&http.Server{Handler: b.Admin.Handler(), ReadHeaderTimeout: adminHeaderTimeout}, admin, nil)
 	methods := b.Budgets.Methods()
 	maps.Copy(methods, b.methods)
 	methods[link.MethodFollow] = link.Handle(b.Hub.Serve)
@@ -148,15 +148,15 @@
 		methods[name] = b.instrumented(name, h)
 	}
 	s := &link.Server{Security: internalSecurity, Log: b.Log.Printf, Methods: methods}
-	d.Go(func(ctx context.Context) { s.Serve(ctx, links) })
+	tasks.Go(func(ctx context.Context) { s.Serve(ctx, links) })
 }
 
 // Start starts a goroutine for each background task of the common part.
-func (b *Base) Start(d *process.TaskGroup) {
-	d.Go(b.Members.KeepAlive)
-	d.Go(b.Hub.Run)
-	d.Go(b.follow)
-	b.Budgets.Start(d)
+func (b *Base) Start(tasks *process.TaskGroup) {
+	tasks.Go(b.Members.KeepAlive)
+	tasks.Go(b.Hub.Run)
+	tasks.Go(b.follow)
+	b.Budgets.Start(tasks)
 }
 
 // leaveReserve is the part of the time for leaving that is reserved for the end of the membership:
--- a/lender/lender.go
+++ b/lender/lender.go
@@ -60,7 +60,7 @@
 	maps.Copy(methods, map[string]link.Handler{
 		link.MethodAnnounce:      link.Handle(l.announce),
 		link.MethodWithdraw:      link.Handle(l.withdraw),
-		link.MethodReadElsewhere: link.Handle(l.recordRemotePrefill),
+		link.MethodRemotePrefill: link.Handle(l.recordRemotePrefill),
 		link.MethodLimit:         link.Handle(l.observeLimit),
 	})
 	l.Base = hosted.New(hosted.Parts{
@@ -122,22 +122,22 @@
 	}
 	ctx, cancel := context.WithCancel(context.WithoutCancel(stop))
 	defer cancel()
-	duties := process.NewTaskGroup(ctx)
+	tasks := process.NewTaskGroup(ctx)
 	l.Log.Info().Str("datacentre", l.settings.Datacentre).Str("link", l.settings.Listen.Link).Msg("started")
-	l.Serve(duties, admin, links)
+	l.Serve(tasks, admin, links)
 	if l.upstream.address != "" {
 		l.Members.SetWithdrawn(true) // until the upstream has answered
-		duties.Go(l.monitorUpstream)
+		tasks.Go(l.monitorUpstream)
 	}
-	duties.Every(expireInterval, l.prompts.expire)
-	duties.Every(storeInterval, l.prompts.write)
-	l.Start(duties)
+	tasks.Every(expireInterval, l.prompts.expire)
+	tasks.Every(storeInterval, l.prompts.write)
+	l.Start(tasks)
 	l.Admin.SetReady(true)
 	<-stop.Done()
 	l.stop(ctx)
 	cancel()
 	l.Links.Close()
-	duties.Wait()
+	tasks.Wait()
 	l.Budgets.Wait()
 	return nil
 }
--- a/lender/upstream_test.go
+++ b/lender/upstream_test.go
@@ -13,21 +13,21 @@
 // change moves budgets; two in a row, or the upstream's own report, do.
 func TestPrimaryWhileTheUpstreamServes(t *testing.T) {
 	serves := platform.Report{State: "ready"}
-	leaves := platform.Report{State: "draining", Leaving: true}
-	silent := errors.New("no answer")
+	leaving := platform.Report{State: "draining", Leaving: true}
+	noAnswer := errors.New("no answer")
 	for _, c := range []struct {
 		name    string
 		reports []platform.Report
 		errs    []error
 		primary bool
 	}{
-		{"not before the first answer", []platform.Report{{}}, []error{silent}, false},
+		{"not before the first answer", []platform.Report{{}}, []error{noAnswer}, false},
 		{"serves", []platform.Report{serves}, []error{nil}, true},
-		{"leaves", []platform.Report{serves, leaves}, []error{nil, nil}, false},
-		{"one answer lost", []platform.Report{serves, {}}, []error{nil, silent}, true},
-		{"two answers lost", []platform.Report{serves, {}, {}}, []error{nil, silent, silent}, false},
-		{"lost, answered, lost", []platform.Report{serves, {}, serves, {}}, []error{nil, silent, nil, silent}, true},
-		{"back again", []platform.Report{serves, {}, {}, serves}, []error{nil, silent, silent, nil}, true},
+		{"leaves", []platform.Report{serves, leaving}, []error{nil, nil}, false},
+		{"one answer lost", []platform.Report{serves, {}}, []error{nil, noAnswer}, true},
+		{"two answers lost", []platform.Report{serves, {}, {}}, []error{nil, noAnswer, noAnswer}, false},
+		{"lost, answered, lost", []platform.Report{serves, {}, serves, {}}, []error{nil, noAnswer, nil, noAnswer}, true},
+		{"back again", []platform.Report{serves, {}, {}, serves}, []error{nil, noAnswer, noAnswer, nil}, true},
 		{"a plain service that does not report", []platform.Report{{}}, []error{platform.ErrNoReport}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/link/messages.go
+++ b/link/messages.go
@@ -21,9 +21,9 @@
 	MethodBorrowed = "budget.borrowed"
 	// MethodLimits sends a lender's exposure limits to a witness: settlement.Notice, Empty.
 	MethodLimits = "budget.limits"
-	// MethodTestify asks a witness for a dead lender's exposure limits: LimitsRequest,
+	// MethodWitnessLimits asks a witness for a dead lender's exposure limits: LimitsRequest,
 	// settlement.WitnessAnswer.
-	MethodTestify = "budget.testify"
+	MethodWitnessLimits = "budget.testify"
 	// MethodWatermarks asks for the durable watermarks of rows: WatermarkRequest,
 	// WatermarkReply.
 	MethodWatermarks = "budget.watermarks"
@@ -39,19 +39,20 @@
 	// MethodWithdraw withdraws an announcement: Withdrawal, Empty.
 	MethodWithdraw = "upstream.withdraw"
 	// MethodLimit reports the rate limit in an answer of the engine and returns the current
-	// one: LimitNamed, ratelimit.State.
+	// one: LimitReport, ratelimit.State.
 	MethodLimit = "upstream.limit"
-	// MethodReadElsewhere reports to the process on the VM of the engine preferred for a shared
+	// MethodRemotePrefill reports to the process on the VM of the engine preferred for a shared
 	// part of prompts that another engine prefills it: prefill.RemotePrefill, Empty.
-	MethodReadElsewhere = "upstream.read_elsewhere"
+	MethodRemotePrefill = "upstream.read_elsewhere"
 )
 
-// Methods of routers for prompts that end upstreams. One router decides for each prompt.
+// Methods of routers for prompts that crash upstreams. One router, the owner, decides for each
+// prompt.
 const (
-	// MethodPromptEnded reports to the deciding router that an upstream ended:
+	// MethodPromptEnded reports to the prompt's owner that an upstream crashed:
 	// poison.Evidence; the reply is all evidence on the prompt, poison.Evidence.
 	MethodPromptEnded = "prompt.ended"
-	// MethodPromptTry asks the deciding router whether the prompt may be sent: PromptTry,
+	// MethodPromptTry asks the prompt's owner whether the prompt may be sent: PromptTry,
 	// PromptTryReply.
 	MethodPromptTry = "prompt.try"
 	// MethodPromptKnown sends the evidence on a prompt to any router: poison.Evidence, Empty.
@@ -60,7 +61,7 @@
 	// it: PromptAnswered, Empty.
 	MethodPromptCleared = "prompt.cleared"
 	// MethodPromptList asks any router, or a process on an upstream's VM that stores them, for
-	// the prompts under which upstreams ended: Empty, []poison.Evidence.
+	// the prompts under which upstreams crashed: Empty, []poison.Evidence.
 	MethodPromptList = "prompt.list"
 	// MethodPromptKeep stores the routers' evidence on prompts at a process on an upstream's VM:
 	// PromptKeep; the reply is all evidence there on these prompts, []poison.Evidence.
@@ -133,7 +134,7 @@
 type LendRequest struct {
 	Borrower string `json:"borrower"`
 	Budget   string `json:"budget"`
-	// ID identifies the request, so that a repeat has no further effect.
+	// ID identifies the request, so that a retry has no further effect.
 	ID string `json:"id"`
 	// Need is the tokens that the current request lacks, Want the tokens that would be useful.
 	Need int64 `json:"need"`
--- a/localfleet/scenes.go
+++ b/localfleet/scenes.go
@@ -15,7 +15,7 @@
 		{"a prompt is streamed and billed", d.streamPrompt, "-log FILE, then arbutusmill explain show-1 FILE"},
 		{"a call that must not run twice is not retried", d.runOnce, "arbutusmill explain alert-1 FILE"},
 		{"a team that has exhausted its budget is refused", d.exhaustBudget, "arbutusmill explain skipper-2 FILE"},
-		{"a data centre is emptied and returned to service", d.emptyDatacentre, "datacentre_emptied in FILE"},
+		{"a data centre is drained and returned to service", d.drainDatacentre, "datacentre_emptied in FILE"},
 		{"a router that is disconnected from the store keeps serving", d.disconnectStore, `"event":"lost" in FILE, arbutusmill_followed_age_seconds`},
 		{"all processes are killed at once", d.killAll, "tokens_moved and lender_settled in FILE"},
 		{"the bill matches the responses", d.checkBill, "-keep, then arbutusmill dump ADMIN-ADDRESS"},
@@ -93,7 +93,7 @@
 	return len(d.f.Engines[0].Requests()) - before, nil
 }
 
-func (d *demo) emptyDatacentre(ctx context.Context) (string, error) {
+func (d *demo) drainDatacentre(ctx context.Context) (string, error) {
 	if err := d.f.Store.OrderDrain(datacentres[0]); err != nil {
 		return "", err
 	}
@@ -111,7 +111,7 @@
 		return "", err
 	}
 	if during != 0 || after == 0 {
-		return "", Error.New("its engine received %d prompts while emptied, %d after", during, after)
+		return "", Error.New("its engine received %d prompts while drained, %d after", during, after)
 	}
 	return fmt.Sprintf("%s received none of %d prompts, then %d of %d; all were answered", datacentres[0], topicCount, after, topicCount), nil
 }
--- a/operator/command.go
+++ b/operator/command.go
@@ -115,27 +115,27 @@
 // defaultCallTimeout is the default timeout of one store call.
 const defaultCallTimeout = 5 * time.Second
 
-func (t *storeFlags) flags(f *flag.FlagSet) {
+func (s *storeFlags) flags(f *flag.FlagSet) {
 	d := settings.Default()
-	f.StringVar(&t.url, "store", "http://127.0.0.1:2379", "`URL` of the platform's key-value service")
-	f.IntVar(&t.pages, "pages", d.Budgets.Pages, "number of account pages, as in the routers' settings")
-	f.IntVar(&t.shards, "shards", d.Ledger.Shards, "number of ledger shards, as in the routers' settings")
-	f.DurationVar(&t.timeout, "timeout", defaultCallTimeout, "bound of one store call")
+	f.StringVar(&s.url, "store", "http://127.0.0.1:2379", "`URL` of the platform's key-value service")
+	f.IntVar(&s.pages, "pages", d.Budgets.Pages, "number of account pages, as in the routers' settings")
+	f.IntVar(&s.shards, "shards", d.Ledger.Shards, "number of ledger shards, as in the routers' settings")
+	f.DurationVar(&s.timeout, "timeout", defaultCallTimeout, "bound of one store call")
 }
 
-func (t *storeFlags) store() store.Store {
-	return &etcd.Store{URL: t.url, Client: http.DefaultClient, Timeout: t.timeout}
+func (s *storeFlags) store() store.Store {
+	return &etcd.Store{URL: s.url, Client: http.DefaultClient, Timeout: s.timeout}
 }
 
-func (t *storeFlags) accounts() account.AdminClient {
-	return account.AdminClient{Store: t.store(), Layout: account.Layout{Prefix: process.PagePrefix, Pages: t.pages}}
+func (s *storeFlags) accounts() account.AdminClient {
+	return account.AdminClient{Store: s.store(), Layout: account.Layout{Prefix: process.PagePrefix, Pages: s.pages}}
 }
 
-func (t *storeFlags) ledger() ledger.Reader {
-	return ledger.Reader{Store: t.store(), Layout: ledger.Layout{Prefix: process.LedgerPrefix, Shards: t.shards}}
+func (s *storeFlags) ledger() ledger.Reader {
+	return ledger.Reader{Store: s.store(), Layout: ledger.Layout{Prefix: process.LedgerPrefix, Shards: s.shards}}
 }
 
-func (t *storeFlags) registry() fleet.Registry { return fleet.Registry{Store: t.store()} }
+func (s *storeFlags) registry() fleet.Registry { return fleet.Registry{Store: s.store()} }
 
 // withCommandTimeout bounds a whole command, since the store may be down for long.
 func withCommandTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
--- a/operator/local.go
+++ b/operator/local.go
@@ -31,7 +31,7 @@
 		usage: `demo [-log FILE] [-keep]
 Starts routers and lenders of three data centres on loopback, as the daemons run them, on
 stand-ins of the platform and of upstreams, and shows what they promise: prompts streamed and
-billed, a call that runs once, a budget that ends, an emptied data centre, a router that is cut
+billed, a call that runs once, a budget that ends, a drained data centre, a router that is cut
 off, a loss of all processes. Exit status 0 only if all of it is as promised.
 Example: arbutusmill demo -log demo.log
 `,
@@ -153,7 +153,7 @@
 		name:     "dump",
 		synopsis: "print the state of a process",
 		usage: `dump ADDRESS
-Prints the state of every duty of a process, from its admin address.
+Prints the state of a process, from its admin address.
 Example: arbutusmill dump 127.0.0.1:8082
 `,
 		run: func(ctx context.Context, args []string) error {
--- a/placement/pause.go
+++ b/placement/pause.go
@@ -99,7 +99,7 @@
 }
 
 // durationCost returns the cost of the expected duration of the answer at an engine. Long streams
-// occupy their slots for long, and more of them are cut off when an engine is lost.
+// occupy their slots for long, and more of them are interrupted when an engine is lost.
 func durationCost(r *serving.Request, u Upstream) time.Duration {
 	if r.Service.Engine == nil {
 		return 0
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -168,18 +168,18 @@
 
 // averageLoad is the average load of the usable upstreams from this router's requests.
 type averageLoad struct {
-	running float64
-	unread  float64
+	running        float64
+	pendingPrefill float64
 }
 
 func averageOf(ups []Upstream, usable []int) averageLoad {
 	var l averageLoad
 	for _, i := range usable {
 		l.running += float64(ups[i].Running)
-		l.unread += float64(ups[i].PendingPrefill)
+		l.pendingPrefill += float64(ups[i].PendingPrefill)
 	}
 	n := float64(len(usable))
-	return averageLoad{running: l.running / n, unread: l.unread / n}
+	return averageLoad{running: l.running / n, pendingPrefill: l.pendingPrefill / n}
 }
 
 // otherRouters returns the number of other routers. Each is assumed to have the same load
@@ -208,7 +208,7 @@
 	if u.Reply != nil {
 		return float64(u.Reply.Backlog)
 	}
-	return float64(u.PendingPrefill) + avg.unread*rates.otherRouters()
+	return float64(u.PendingPrefill) + avg.pendingPrefill*rates.otherRouters()
 }
 
 // reportedBacklog returns the backlog for Choice.Backlog.
@@ -230,14 +230,14 @@
 		i := usable[(start+k)%len(usable)]
 		u := ups[i]
 		cached := cachedTokens(r, ups, i, i == preferred)
-		unread := max(0, r.Prompt-cached)
+		pendingPrefill := max(0, r.Prompt-cached)
 		from := -1
-		waitTokens := float64(unread)
+		waitTokens := float64(pendingPrefill)
 		var fetched int64
 		if more := sourceTokens - cached; i != source && more >= MinFetchTokens {
 			from, fetched = source, sourceTokens
 			waitTokens += float64(more) * (rates.PrefillPerMs/rates.FetchPerMs - 1)
-			unread -= more
+			pendingPrefill -= more
 		}
 		if i != preferred {
 			waitTokens += duplicateWeight * float64(max(0, sharedTokens(r.Parts)-max(cached, fetched)))
@@ -246,7 +246,7 @@
 		c := baseCost(u, avg, rates) + time.Duration(waitTokens/rates.PrefillPerMs*float64(time.Millisecond))
 		c += sep.cost(r, u, avg.streams(u, rates))
 		if best.Index < 0 || c < best.Cost {
-			best = Choice{Index: i, FetchFrom: from, Fetched: fetched, PrefillTokens: unread, Cost: c, Backlog: u.reportedBacklog(), Preferred: preferred}
+			best = Choice{Index: i, FetchFrom: from, Fetched: fetched, PrefillTokens: pendingPrefill, Cost: c, Backlog: u.reportedBacklog(), Preferred: preferred}
 		}
 	}
 	return best
--- a/poison/register.go
+++ b/poison/register.go
@@ -110,18 +110,18 @@
 }
 
 // Add merges evidence. It returns all evidence on the prompt and whether any of it was new.
-func (r *Registry) Add(now time.Time, e Evidence) (all Evidence, news bool) {
+func (r *Registry) Add(now time.Time, e Evidence) (all Evidence, added bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known := r.recordLocked(now, e.Prompt)
 	for _, e := range e.Crashes {
-		news = known.add(e.Upstream, crash{service: e.Service, at: now.Add(-e.Age)}) || news
+		added = known.add(e.Upstream, crash{service: e.Service, at: now.Add(-e.Age)}) || added
 	}
 	for _, service := range e.Answered {
 		known.answered[service] = true
 	}
 	known.lastStanding = max(known.lastStanding, known.standing(now))
-	return known.evidence(now, e.Prompt), news
+	return known.evidence(now, e.Prompt), added
 }
 
 // recordLocked returns the record of a prompt and creates it if there is none.
@@ -189,7 +189,7 @@
 }
 
 // Allow reports whether the request with this id may send a prompt to a service now, and records the
-// trial if the prompt is on trial. Only the process that decides for the prompt calls it.
+// trial if the prompt is on trial. Only the prompt's owner calls it.
 func (r *Registry) Allow(now time.Time, p Prompt, service, request string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/poison/register_test.go
+++ b/poison/register_test.go
@@ -54,8 +54,8 @@
 	require.True(t, r.Empty())
 	require.True(t, r.Allow(start, "p", "model", "1"))
 	r.Add(start, crashEvidence("p", "i-1"))
-	_, news := r.Add(start, crashEvidence("p", "i-1"))
-	require.False(t, news, "the same upstream, reported by another process")
+	_, added := r.Add(start, crashEvidence("p", "i-1"))
+	require.False(t, added, "the same upstream, reported by another process")
 	require.Equal(t, Suspect, r.Known(start, "p").Standing())
 	require.True(t, r.Allow(start, "p", "model", "1"))
 	require.True(t, r.Allow(start, "p", "model", "2"))
@@ -120,7 +120,7 @@
 }
 
 // A crash expires after a day without another one, and not earlier.
-func TestSuspicionLapses(t *testing.T) {
+func TestSuspicionExpires(t *testing.T) {
 	var r Registry
 	r.Add(start, crashEvidence("p", "i-1"))
 	require.Empty(t, r.Expire(start.Add(evidenceTTL-1)))
@@ -145,38 +145,38 @@
 	refused int
 }
 
-func (w *fleet) crash(upstream string) {
-	slices.Sort(w.running[upstream])
-	for _, p := range slices.Compact(w.running[upstream]) {
-		w.register.Add(w.now, crashEvidence(p, fmt.Sprint(upstream, "@", w.now.UnixNano())))
-		w.crashesSinceAnswer[p]++
+func (f *fleet) crash(upstream string) {
+	slices.Sort(f.running[upstream])
+	for _, p := range slices.Compact(f.running[upstream]) {
+		f.register.Add(f.now, crashEvidence(p, fmt.Sprint(upstream, "@", f.now.UnixNano())))
+		f.crashesSinceAnswer[p]++
 	}
-	w.running[upstream] = nil
+	f.running[upstream] = nil
 }
 
-func (w *fleet) send(p Prompt, upstream string) {
-	w.requests++
-	if !w.register.Allow(w.now, p, "model", fmt.Sprint(w.requests)) {
-		if w.crashesSinceAnswer[p] < trialThreshold {
-			w.refused++
+func (f *fleet) send(p Prompt, upstream string) {
+	f.requests++
+	if !f.register.Allow(f.now, p, "model", fmt.Sprint(f.requests)) {
+		if f.crashesSinceAnswer[p] < trialThreshold {
+			f.refused++
 		}
 		return
 	}
-	if w.crashesSinceAnswer[p] >= provenThreshold {
-		w.sentAfterProof++
+	if f.crashesSinceAnswer[p] >= provenThreshold {
+		f.sentAfterProof++
 	}
-	w.running[upstream] = append(w.running[upstream], p)
+	f.running[upstream] = append(f.running[upstream], p)
 }
 
-func (w *fleet) answer(upstream string) {
-	if len(w.running[upstream]) == 0 {
+func (f *fleet) answer(upstream string) {
+	if len(f.running[upstream]) == 0 {
 		return
 	}
-	p := w.running[upstream][0]
-	w.running[upstream] = w.running[upstream][1:]
+	p := f.running[upstream][0]
+	f.running[upstream] = f.running[upstream][1:]
 	if !crashesUpstreams(p) {
-		w.register.RecordAnswer(w.now, p, "model")
-		w.crashesSinceAnswer[p] = 0
+		f.register.RecordAnswer(f.now, p, "model")
+		f.crashesSinceAnswer[p] = 0
 	}
 }
 
--- a/pool/choose.go
+++ b/pool/choose.go
@@ -26,16 +26,16 @@
 		c := p.candidates(r, attempts)
 		choice, ok := c.selectUpstream()
 		if !ok {
-			c.reportHeld(nil)
+			c.reportLimited(nil)
 			return serving.Target{}, false
 		}
-		// Its data centre may have been emptied while lenders were asked.
+		// Its data centre may have been drained while lenders were asked.
 		if u := c.ups[choice.Index]; !p.Directory.Accepts(u) {
 			continue
 		}
 		if target, ok := p.beginAttempt(c, choice); ok {
 			c.notifyPreferred(choice)
-			c.reportHeld(&target.Incarnation)
+			c.reportLimited(&target.Incarnation)
 			return target, true
 		}
 	}
@@ -69,8 +69,8 @@
 
 func (p *Pool) candidates(r *serving.Request, attempts []serving.Attempt) *candidates {
 	ups := p.eligible(r, attempts)
-	views, held := p.views(r, ups)
-	return &candidates{pool: p, r: r, ups: ups, views: views, limited: held, rates: p.rates(r)}
+	views, limited := p.views(r, ups)
+	return &candidates{pool: p, r: r, ups: ups, views: views, limited: limited, rates: p.rates(r)}
 }
 
 // eligible returns the upstreams of the request's service in its allowed regions, without those
@@ -172,8 +172,8 @@
 	}
 }
 
-// reportHeld reports a choice in which limits excluded upstreams.
-func (c *candidates) reportHeld(chosen *directory.Incarnation) {
+// reportLimited reports a choice in which limits excluded upstreams.
+func (c *candidates) reportLimited(chosen *directory.Incarnation) {
 	if c.limited.Limited > 0 {
 		c.limited.Chosen = chosen
 		c.pool.Limits.Limited(c.r, c.limited)
--- a/pool/cold.go
+++ b/pool/cold.go
@@ -11,7 +11,7 @@
 // about once a second, and the change passes through a relay.
 const coldReportDelay = 2 * time.Second
 
-// cold reports whether an upstream may be cold: by its entry, or because its emptied data centre has
+// cold reports whether an upstream may be cold: by its entry, or because its drained data centre has
 // just been returned to service and the entry may not show it yet.
 func (p *Pool) cold(now time.Time, r *serving.Request, u directory.Upstream) bool {
 	if r.Service.Cold.PerSecond <= 0 {
@@ -39,6 +39,6 @@
 	if !p.cold(now, r, u) || p.usesAdmission(r, u) {
 		return false
 	}
-	most := p.Cold.MaxRequests(r.Service.Cold.PerSecond)
-	return !s.unadmitted.HasCapacity(now, p.ColdShare(u.Incarnation.String(), most))
+	maxRequests := p.Cold.MaxRequests(r.Service.Cold.PerSecond)
+	return !s.unadmitted.HasCapacity(now, p.ColdShare(u.Incarnation.String(), maxRequests))
 }
--- a/pool/limit.go
+++ b/pool/limit.go
@@ -16,13 +16,13 @@
 	// Share returns this router's share of an upstream's limit, for upstreams without a lender.
 	Share(upstream string, perSecond float64) float64
 	// Report reports to the lender of the upstream at an address the limit that the incarnation started
-	// at born stated. known is called with the lender's state, if it answers.
-	Report(address string, born int64, n ratelimit.NamedLimit, known func(ratelimit.State))
+	// at startUnixMS stated. known is called with the lender's state, if it answers.
+	Report(address string, startUnixMS int64, n ratelimit.NamedLimit, known func(ratelimit.State))
 	// Changed is called when a known limit has changed, in requests per second; 0 is none. from is the
 	// source of the new value.
 	Changed(incarnation directory.Incarnation, was, now float64, from LimitSource)
 	// Unparsable is called for each limit that cannot be parsed; again is set if the previous one
-	// failed in the same way. The limit stated before stays in force.
+	// failed in the same way. The limit stated before stays active.
 	Unparsable(incarnation directory.Incarnation, err error, again bool)
 	// Limited is called for each choice in which limits excluded upstreams.
 	Limited(r *serving.Request, c LimitedChoice)
@@ -180,13 +180,13 @@
 // Limited implements serving.Upstreams: it returns the refusal of a request that only the upstreams'
 // limits exclude, or nil if no limit excludes it.
 func (p *Pool) Limited(r *serving.Request, attempts []serving.Attempt) *contract.Refusal {
-	_, held := p.views(r, p.eligible(r, attempts))
-	if held.Limited == 0 {
+	_, limited := p.views(r, p.eligible(r, attempts))
+	if limited.Limited == 0 {
 		return nil
 	}
-	refusal := contract.Refuse(contract.UpstreamLimit, "the upstreams of %s take no more requests now: %d of %d say so", r.Service.Name, held.Limited, held.Eligible)
-	if held.RetryAfter > 0 {
-		refusal = refusal.WithRetryAfter(max(minRetryAfter, held.RetryAfter+backoff.Jitter(held.RetryAfter)/2))
+	refusal := contract.Refuse(contract.UpstreamLimit, "the upstreams of %s take no more requests now: %d of %d say so", r.Service.Name, limited.Limited, limited.Eligible)
+	if limited.RetryAfter > 0 {
+		refusal = refusal.WithRetryAfter(max(minRetryAfter, limited.RetryAfter+backoff.Jitter(limited.RetryAfter)/2))
 	}
 	return refusal
 }
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -114,11 +114,11 @@
 }
 
 // restart starts a new incarnation of the upstream at the same address.
-func restart(p *Pool, id string, born int64) {
+func restart(p *Pool, id string, startUnixMS int64) {
 	p.Directory.Decode = func(it store.Item) (directory.Upstream, error) {
-		return directory.Upstream{Incarnation: directory.Incarnation{ID: it.Key, StartUnixMS: born}, Address: it.Key, Service: "s", Slots: 6}, nil
+		return directory.Upstream{Incarnation: directory.Incarnation{ID: it.Key, StartUnixMS: startUnixMS}, Address: it.Key, Service: "s", Slots: 6}, nil
 	}
-	p.Directory.Changed(store.Event{Item: store.Item{Key: id, Revision: store.Revision(born)}})
+	p.Directory.Changed(store.Event{Item: store.Item{Key: id, Revision: store.Revision(startUnixMS)}})
 }
 
 // An engine with failures, a long backlog and a full cache restarts under its id. None of this
@@ -198,9 +198,9 @@
 	}
 }
 
-// An engine's data centre is emptied while its lender is asked, which takes tens of milliseconds.
+// An engine's data centre is drained while its lender is asked, which takes tens of milliseconds.
 // The prompt must go to the other engine.
-func TestDatacentreEmptiedDuringAnnouncement(t *testing.T) {
+func TestDatacentreDrainedDuringAnnouncement(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := poolOf(&now)
 	p.Directory.Decode = func(it store.Item) (directory.Upstream, error) {
--- a/prefill/cache.go
+++ b/prefill/cache.go
@@ -41,9 +41,9 @@
 	return n
 }
 
-// Add records that a prompt with these parts was sent to the engine. room is the capacity
+// Add records that a prompt with these parts was sent to the engine. capacity is that
 // of the engine's cache in tokens.
-func (c *Cache) Add(parts []Part, room int64) {
+func (c *Cache) Add(parts []Part, capacity int64) {
 	if c.parts == nil {
 		c.parts, c.order = map[string]*list.Element{}, list.New()
 	}
@@ -55,7 +55,7 @@
 		c.parts[p.ID] = c.order.PushBack(p)
 		c.tokens += p.Tokens
 	}
-	for c.tokens > room && c.order.Len() > 0 {
+	for c.tokens > capacity && c.order.Len() > 0 {
 		c.remove(c.order.Front())
 	}
 }
--- a/prefill/cache_test.go
+++ b/prefill/cache_test.go
@@ -14,12 +14,12 @@
 		}
 		return out
 	}
-	const room = 400 // four parts
-	c.Add(parts("a", "b"), room)
-	c.Add(parts("c", "d"), room)
+	const capacity = 400 // four parts
+	c.Add(parts("a", "b"), capacity)
+	c.Add(parts("c", "d"), capacity)
 	require.EqualValues(t, 200, c.Match(parts("a", "b", "x")))
-	c.Add(parts("a"), room)
-	c.Add(parts("e"), room)
+	c.Add(parts("a"), capacity)
+	c.Add(parts("e"), capacity)
 	require.EqualValues(t, 100, c.Match(parts("a", "b")), "b was used longest ago")
 	require.EqualValues(t, 0, c.Match(parts("x", "a")), "a part counts only after those before it")
 	require.EqualValues(t, 400, c.Tokens())
--- a/prefill/elsewhere_test.go
+++ b/prefill/elsewhere_test.go
@@ -12,7 +12,7 @@
 // Another engine prefills parts of prompts that prefer this one. It is reported for a prompt with all
 // these parts, not for one that shares only some of them, and no longer when remotePartTTL is over
 // and the other engine may have evicted the parts.
-func TestReadElsewhere(t *testing.T) {
+func TestRemotePrefill(t *testing.T) {
 	now := time.Unix(0, 0)
 	e := NewEngine(now, 50)
 	e.SetCacheCapacity(100_000)
@@ -32,7 +32,7 @@
 }
 
 // The engine itself has the parts cached as well: nothing is fetched.
-func TestReadHereAndElsewhere(t *testing.T) {
+func TestLocalAndRemotePrefill(t *testing.T) {
 	now := time.Unix(0, 0)
 	e := NewEngine(now, 50)
 	e.SetCacheCapacity(100_000)
@@ -43,7 +43,7 @@
 }
 
 // Callers send new parts all the time. The records of other engines must stay bounded, and expired
-// ones make room for new ones.
+// ones are evicted for new ones.
 func TestRemotePartsAreBounded(t *testing.T) {
 	now := time.Unix(0, 0)
 	var p remoteParts
--- a/prefill/engine.go
+++ b/prefill/engine.go
@@ -61,7 +61,7 @@
 	mu            sync.Mutex
 	cache         Cache
 	cacheCapacity int64
-	born          int64
+	startUnixMS   int64
 	// remoteParts are the parts that other engines have cached.
 	remoteParts remoteParts
 	// recentPrompts counts the prompts of the last second, complete since countingSince.
@@ -86,12 +86,12 @@
 	e.cacheCapacity = tokens
 }
 
-// Reset resets the model to an engine that started at born, with an empty backlog. cached are
+// Reset resets the model to an engine that started at startUnixMS, with an empty backlog. cached are
 // the parts in its cache: none for a new engine, many if only the process with this model restarted.
-func (e *Engine) Reset(born int64, cached []Part) {
+func (e *Engine) Reset(startUnixMS int64, cached []Part) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.born = born
+	e.startUnixMS = startUnixMS
 	e.limiter = ratelimit.NewLimiter()
 	e.queue.Clear()
 	e.cache = Cache{}
@@ -112,7 +112,7 @@
 func (e *Engine) Announce(now time.Time, a Announcement) AnnounceReply {
 	e.mu.Lock()
 	e.limiter.ObserveReported(now, a.Limit)
-	reply := AnnounceReply{StartUnixMS: e.born, Limit: e.limiter.State()}
+	reply := AnnounceReply{StartUnixMS: e.startUnixMS, Limit: e.limiter.State()}
 	if reply.Denied, reply.RetryAfter = e.denyLocked(now, a); reply.Denied {
 		defer e.mu.Unlock()
 		return reply
@@ -158,11 +158,11 @@
 const fullShare = 1
 
 // ObserveLimit records the limit of requests per second that an answer of the engine's incarnation
-// started at born stated, and returns the limit that applies. Other incarnations are ignored.
-func (e *Engine) ObserveLimit(now time.Time, born int64, n ratelimit.NamedLimit) ratelimit.State {
+// started at startUnixMS stated, and returns the limit that applies. Other incarnations are ignored.
+func (e *Engine) ObserveLimit(now time.Time, startUnixMS int64, n ratelimit.NamedLimit) ratelimit.State {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if born == e.born {
+	if startUnixMS == e.startUnixMS {
 		e.limiter.Observe(now, n)
 	}
 	return e.limiter.State()
@@ -196,7 +196,7 @@
 	if a.MaxPerSecond > 0 {
 		e.recentPrompts.Return()
 	}
-	if reply.StartUnixMS != e.born {
+	if reply.StartUnixMS != e.startUnixMS {
 		return
 	}
 	e.limiter.Return(fullShare)
@@ -229,5 +229,5 @@
 func (e *Engine) State(now time.Time) State {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return State{Backlog: e.queue.Add(now, 0), Cached: e.cache.Tokens(), CacheCapacity: e.cacheCapacity, StartUnixMS: e.born, Limit: e.limiter.State().PerSecond}
+	return State{Backlog: e.queue.Add(now, 0), Cached: e.cache.Tokens(), CacheCapacity: e.cacheCapacity, StartUnixMS: e.startUnixMS, Limit: e.limiter.State().PerSecond}
 }
--- a/prepaid/budgets.go
+++ b/prepaid/budgets.go
@@ -213,15 +213,15 @@
 }
 
 // Start starts a goroutine for each periodic task.
-func (b *Budgets) Start(d *process.TaskGroup) {
-	d.Every(syncInterval, b.syncOrProbe)
-	d.Every(lotReturnInterval, b.returnLots)
-	d.Every(auditInterval, b.endpoint.AuditLots)
-	d.Every(auditInterval, b.settleAbsentBorrowers)
-	d.Every(probeInterval, b.probePeers)
-	d.Every(settleInterval, b.settleDeadLenders)
-	d.Every(settleInterval, b.admitNewRouters)
-	b.startExposure(d.Every)
+func (b *Budgets) Start(tasks *process.TaskGroup) {
+	tasks.Every(syncInterval, b.syncOrProbe)
+	tasks.Every(lotReturnInterval, b.returnLots)
+	tasks.Every(auditInterval, b.endpoint.AuditLots)
+	tasks.Every(auditInterval, b.settleAbsentBorrowers)
+	tasks.Every(probeInterval, b.probePeers)
+	tasks.Every(settleInterval, b.settleDeadLenders)
+	tasks.Every(settleInterval, b.admitNewRouters)
+	b.startExposure(tasks.Every)
 }
 
 // State returns the tokens that the process holds, for dumps.
--- a/prepaid/limits.go
+++ b/prepaid/limits.go
@@ -38,9 +38,9 @@
 // Record implements Limits and does nothing: this process reads the configuration itself.
 func (ConfiguredLimits) Record(string, int64, int64) {}
 
-// ReportedLimits implements Limits with limits that came with the requests of other processes. A process
-// that only lends needs no copy of the configuration: each request for tokens includes the limit
-// and the version that sets it. It is safe for concurrent use; the zero value is empty.
+// ReportedLimits implements Limits with limits that came with the requests of other processes. A
+// process that only lends needs no copy of the configuration: each request for tokens includes the
+// limit and the version that sets it. It is safe for concurrent use; the zero value is empty.
 type ReportedLimits struct {
 	mu      sync.Mutex
 	budgets map[string]limit
@@ -50,33 +50,33 @@
 
 // Record implements Limits. It ignores a limit that is not newer than the recorded one: a router
 // with an outdated configuration would otherwise revert a newer limit.
-func (t *ReportedLimits) Record(budget string, version, tokens int64) {
+func (r *ReportedLimits) Record(budget string, version, tokens int64) {
 	if version <= 0 || tokens <= 0 {
 		return
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.budgets == nil {
-		t.budgets = map[string]limit{}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.budgets == nil {
+		r.budgets = map[string]limit{}
 	}
-	if t.budgets[budget].version < version {
-		t.budgets[budget] = limit{version, tokens}
+	if r.budgets[budget].version < version {
+		r.budgets[budget] = limit{version, tokens}
 	}
 }
 
 // Each implements Limits.
-func (t *ReportedLimits) Each(f func(budget string, version, tokens int64)) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for budget, l := range t.budgets {
+func (r *ReportedLimits) Each(f func(budget string, version, tokens int64)) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for budget, l := range r.budgets {
 		f(budget, l.version, l.tokens)
 	}
 }
 
 // Get implements Limits.
-func (t *ReportedLimits) Get(budget string) (version, tokens int64) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	l := t.budgets[budget]
+func (r *ReportedLimits) Get(budget string) (version, tokens int64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	l := r.budgets[budget]
 	return l.version, l.tokens
 }
--- a/prepaid/peers.go
+++ b/prepaid/peers.go
@@ -58,7 +58,7 @@
 func (b *Budgets) Methods() map[string]link.Handler {
 	m := b.endpoint.Methods()
 	m[link.MethodLimits] = link.Handle(b.applyWitnessNotice)
-	m[link.MethodTestify] = link.Handle(b.answerLimits)
+	m[link.MethodWitnessLimits] = link.Handle(b.answerLimits)
 	lend := m[link.MethodLend]
 	m[link.MethodLend] = func(ctx context.Context, params json.RawMessage) (any, error) {
 		if b.members.Withdrawn() {
--- a/process/process.go
+++ b/process/process.go
@@ -157,11 +157,11 @@
 func NewTaskGroup(ctx context.Context) *TaskGroup { return &TaskGroup{ctx: ctx} }
 
 // Go starts one task.
-func (d *TaskGroup) Go(task func(context.Context)) { d.wg.Go(func() { task(d.ctx) }) }
+func (g *TaskGroup) Go(task func(context.Context)) { g.wg.Go(func() { task(g.ctx) }) }
 
 // Every starts a task that calls do at each interval.
-func (d *TaskGroup) Every(interval time.Duration, do func(context.Context)) {
-	d.Go(func(ctx context.Context) {
+func (g *TaskGroup) Every(interval time.Duration, do func(context.Context)) {
+	g.Go(func(ctx context.Context) {
 		t := time.NewTicker(interval)
 		defer t.Stop()
 		for {
@@ -177,11 +177,11 @@
 
 // Serve starts an HTTP server that is closed when the context ends. It uses TLS if tlsConfig
 // isn't nil.
-func (d *TaskGroup) Serve(s *http.Server, ln net.Listener, tlsConfig *tls.Config) {
+func (g *TaskGroup) Serve(s *http.Server, ln net.Listener, tlsConfig *tls.Config) {
 	if tlsConfig != nil {
 		ln = tls.NewListener(ln, tlsConfig)
 	}
-	d.Go(func(ctx context.Context) {
+	g.Go(func(ctx context.Context) {
 		stop := context.AfterFunc(ctx, func() { _ = s.Close() })
 		defer stop()
 		if err := s.Serve(ln); err != nil && !errors.Is(err, http.ErrServerClosed) {
@@ -194,9 +194,9 @@
 // busy VM to write a few kilobytes. Callers that don't read are not waited for any longer.
 const shutdownTimeout = time.Second
 
-// ShutdownServer shuts a server down once its last responses are written, or after shutdownTimeout. When
-// a handler returns, the end of its response may still be buffered or wait for a slow connection;
-// closing the server at that point truncates it, and the caller sees "unexpected EOF".
+// ShutdownServer shuts a server down once its last responses are written, or after shutdownTimeout.
+// When a handler returns, the end of its response may still be buffered or wait for a slow
+// connection; closing the server at that point truncates it, and the caller sees "unexpected EOF".
 func ShutdownServer(s *http.Server) {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
@@ -206,4 +206,4 @@
 }
 
 // Wait waits for all tasks to end.
-func (d *TaskGroup) Wait() { d.wg.Wait() }
+func (g *TaskGroup) Wait() { g.wg.Wait() }
--- a/process/process_test.go
+++ b/process/process_test.go
@@ -23,7 +23,7 @@
 		l, err := network.Listen("tcp", "10.1.0.1:80")
 		require.NoError(t, err)
 		ctx, cancel := context.WithCancel(t.Context())
-		duties := NewTaskGroup(ctx)
+		tasks := NewTaskGroup(ctx)
 		returned := make(chan struct{})
 		s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			defer close(returned)
@@ -31,7 +31,7 @@
 			_ = http.NewResponseController(w).Flush()
 			_, _ = io.WriteString(w, "last")
 		})}
-		duties.Serve(s, l, nil)
+		tasks.Serve(s, l, nil)
 		conn, err := network.Dial(ctx, "tcp", "10.1.0.1:80")
 		require.NoError(t, err)
 		_, err = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -45,7 +45,7 @@
 		}()
 		ShutdownServer(s)
 		cancel()
-		duties.Wait()
+		tasks.Wait()
 		require.Equal(t, "first,last", <-rest)
 	})
 }
--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -63,8 +63,8 @@
 	return true
 }
 
-// ObserveReported applies the limit that a router reports, so that a process that has just started learns
-// it. Reports that originate from this process are ignored.
+// ObserveReported applies the limit that a router reports, so that a process that has just started
+// has it. Reports that originate from this process are ignored.
 func (l *Limiter) ObserveReported(now time.Time, by State) bool {
 	if by.PerSecond == 0 || by.Mark.Source == l.known.Mark.Source {
 		return false
--- a/router/budgets.go
+++ b/router/budgets.go
@@ -21,7 +21,7 @@
 func (r *Router) makeHolder() {
 	b := r.base.Settings.Budgets
 	r.holder = grant.NewHolder(r.base.Incarnation, r.layout, policyOf(b))
-	r.desk = &lending.Endpoint{Holder: r.holder, Links: r.base.Links, Address: r.addressOf, Timeout: linkTimeout, Now: time.Now}
+	r.endpoint = &lending.Endpoint{Holder: r.holder, Links: r.base.Links, Address: r.addressOf, Timeout: linkTimeout, Now: time.Now}
 	timing := grant.DefaultTiming()
 	timing.Rebalance, timing.Report = time.Duration(b.Rebalance), time.Duration(b.Report)
 	r.storeGranter = &grant.StoreGranter{Holder: r.holder, Store: r.base.Store, Layout: r.layout, Timing: timing,
@@ -46,13 +46,13 @@
 
 // holders lists the routers of this data centre that hold grants of a page directly.
 func (r *Router) holders(page string) []vm.VM {
-	var here []vm.VM
+	var local []vm.VM
 	for _, m := range r.base.View.Routers() {
 		if m.Datacentre == r.base.Settings.Datacentre {
-			here = append(here, m)
+			local = append(local, m)
 		}
 	}
-	ranked := r.topology.SortByDistance(page, here)
+	ranked := r.topology.SortByDistance(page, local)
 	return ranked[:min(len(ranked), r.base.Settings.Budgets.HoldersPerDatacentre)]
 }
 
@@ -108,7 +108,7 @@
 
 // Lend implements grant.Lender.
 func (l lender) Lend(ctx context.Context, peer, budget, id string, need, want int64) (grant.Lot, error) {
-	lot, err := l.r.desk.Lend(ctx, peer, budget, id, need, want)
+	lot, err := l.r.endpoint.Lend(ctx, peer, budget, id, need, want)
 	if err == nil {
 		l.r.metrics.borrowedLots.Inc()
 	}
@@ -177,7 +177,7 @@
 
 // returnLots returns idle lots to their lenders.
 func (r *Router) returnLots(ctx context.Context) {
-	r.desk.ReturnLots(ctx, time.Duration(r.base.Settings.Budgets.LotIdle))
+	r.endpoint.ReturnLots(ctx, time.Duration(r.base.Settings.Budgets.LotIdle))
 }
 
 // returnTokens returns all lots and grants. It reports whether the holder has none left.
--- a/router/methods.go
+++ b/router/methods.go
@@ -12,7 +12,7 @@
 
 // methods returns the handlers for control messages of other processes.
 func (r *Router) methods() map[string]link.Handler {
-	m := r.desk.Methods()
+	m := r.endpoint.Methods()
 	m[link.MethodWatermarks] = link.Handle(r.watermarks)
 	m[link.MethodAppend] = link.Handle(r.appendCharges)
 	m[link.MethodFence] = link.Handle(r.fencePeer)
--- a/router/router.go
+++ b/router/router.go
@@ -37,7 +37,7 @@
 	layout   account.Layout
 
 	holder       *grant.Holder
-	desk         *lending.Endpoint
+	endpoint     *lending.Endpoint
 	storeGranter *grant.StoreGranter
 	acquirer     *grant.Acquirer
 	outbox       *ledger.Outbox
@@ -219,7 +219,7 @@
 	r.shards.start(tasks)
 	tasks.Every(budgetSyncInterval, r.syncDuePages)
 	tasks.Every(min(time.Second, time.Duration(b.LotIdle)/2), r.returnLots)
-	tasks.Every(time.Duration(b.LotIdle)*auditIdlePeriods, r.desk.AuditLots)
+	tasks.Every(time.Duration(b.LotIdle)*auditIdlePeriods, r.endpoint.AuditLots)
 	tasks.Every(resolveInterval, r.resolveLost)
 	tasks.Every(time.Duration(b.RecoverInterval), r.recoverDead)
 	tasks.Go(r.placeTokens)
--- a/serving/decide.go
+++ b/serving/decide.go
@@ -6,9 +6,9 @@
 	"github.com/arbutusmill/arbutusmill/contract"
 )
 
-// maxSends limits the sends of one request, including those that upstreams declined: each is load
-// on a service that may be failing.
-const maxSends = 4
+// maxReached limits the attempts of one request that reached an upstream, including those that the
+// upstream declined: each is load on a service that may be failing.
+const maxReached = 4
 
 // maxUnreached limits the upstreams that could not be connected to. Trying them adds no load to
 // the service but delays the caller.
@@ -18,7 +18,7 @@
 type retryDecision struct {
 	// retry reports whether another upstream may be tried.
 	retry bool
-	// countsAsRetry reports whether the next send counts against the retry budget.
+	// countsAsRetry reports whether the next attempt counts against the retry budget.
 	countsAsRetry bool
 }
 
@@ -30,22 +30,22 @@
 	if last.Result.final() || !now.Before(r.Deadline) {
 		return retryDecision{}
 	}
-	var sends, runs, unreached int
+	var reached, runs, unreached int
 	for _, a := range attempts {
 		switch {
 		case a.Result == Unreached:
 			unreached++
 		case a.Result.NotRun():
-			sends++
+			reached++
 		default:
-			sends++
+			reached++
 			runs++
 		}
 	}
-	if sends >= maxSends || unreached >= maxUnreached || runs >= r.maxRuns() {
+	if reached >= maxReached || unreached >= maxUnreached || runs >= r.maxRuns() {
 		return retryDecision{}
 	}
-	return retryDecision{retry: true, countsAsRetry: sends > 0}
+	return retryDecision{retry: true, countsAsRetry: reached > 0}
 }
 
 // refusalFor returns the refusal of a request without an answer. It states that the request did
--- a/serving/path.go
+++ b/serving/path.go
@@ -74,7 +74,7 @@
 	Allow(r *Request) bool
 }
 
-// PromptGuard prevents repeated sends of prompts that crash upstreams.
+// PromptGuard prevents repeated attempts with prompts that crash upstreams.
 type PromptGuard interface {
 	// Refuse is called before each send; nil permits the send.
 	Refuse(ctx context.Context, r *Request) *contract.Refusal
@@ -90,7 +90,7 @@
 	// TrackSend is called for each send. The returned context is canceled with the cause ErrRecalled
 	// if the request's prompt is found to crash upstreams, unless began was called before, with
 	// the first chunk of the answer. done is called when the send has ended.
-	TrackSend(ctx context.Context, r *Request) (sending context.Context, began, done func())
+	TrackSend(ctx context.Context, r *Request) (tracked context.Context, began, done func())
 }
 
 // ErrRecalled is the cause of a canceled send whose prompt was found to crash upstreams.
--- a/warmup/warmup.go
+++ b/warmup/warmup.go
@@ -43,20 +43,20 @@
 	times []time.Time // oldest first
 }
 
-// Take counts a request if fewer than most were counted in the last second, and reports whether it
-// did.
-func (w *Window) Take(now time.Time, most int) bool {
-	if !w.HasCapacity(now, most) {
+// Take counts a request if fewer than maxRequests were counted in the last second, and reports
+// whether it did.
+func (w *Window) Take(now time.Time, maxRequests int) bool {
+	if !w.HasCapacity(now, maxRequests) {
 		return false
 	}
 	w.Count(now)
 	return true
 }
 
-// HasCapacity reports whether fewer than most requests were counted in the last second.
-func (w *Window) HasCapacity(now time.Time, most int) bool {
+// HasCapacity reports whether fewer than maxRequests requests were counted in the last second.
+func (w *Window) HasCapacity(now time.Time, maxRequests int) bool {
 	w.Trim(now)
-	return len(w.times) < most
+	return len(w.times) < maxRequests
 }
 
 // Count counts a request regardless of the bound.
@@ -84,14 +84,15 @@
 }
 
 // permitShare is the part of a cold upstream's bound that is granted by permits. The rest is for
-// routers that know no lender to ask: while a lender is becoming known, some routers have permits
+// routers that have no lender to query: while a lender is becoming known, some routers have permits
 // and others their share, and together these must not exceed the bound. Requests also arrive some
 // milliseconds after their permits, so those permitted in slightly more than a second may arrive
 // within one.
 const permitShare = 0.6
 
-// PermitLimit returns the maximum number of permits in any second for an upstream with the bound most.
-func PermitLimit(most int) int { return max(1, int(permitShare*float64(most))) }
+// PermitLimit returns the maximum number of permits in any second for an upstream with the bound
+// maxRequests.
+func PermitLimit(maxRequests int) int { return max(1, int(permitShare*float64(maxRequests))) }
 
 // maxSharers is the number of routers that share the bound of one cold upstream. With one, its
 // failure would leave the upstream idle; with more, routers with different views of the membership
@@ -102,11 +103,11 @@
 // process grants permits. Routers with the same view of the membership select the same sharers
 // without communication. A router that has been listed for less than a second has no share yet: an
 // earlier incarnation of it may just have used the share.
-func Share(router string, listedFor time.Duration, routers []string, upstream string, most int) int {
+func Share(router string, listedFor time.Duration, routers []string, upstream string, maxRequests int) int {
 	if listedFor < windowLength {
 		return 0
 	}
-	rest := max(1, most-PermitLimit(most))
+	rest := max(1, maxRequests-PermitLimit(maxRequests))
 	ranked := rendezvous.Rank(upstream, routers)
 	ranked = ranked[:min(len(ranked), maxSharers, rest)]
 	if !slices.Contains(ranked, router) {
--- a/warmup/warmup_test.go
+++ b/warmup/warmup_test.go
@@ -21,7 +21,7 @@
 // bound is denied.
 func TestNoSecondHasMoreThanTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const most = 5
+		const bound = 5
 		var w Window
 		now := time.Unix(0, 0)
 		var taken []time.Time
@@ -33,11 +33,11 @@
 					within++
 				}
 			}
-			if w.Take(now, most) {
-				require.Less(t, within, most)
+			if w.Take(now, bound) {
+				require.Less(t, within, bound)
 				taken = append(taken, now)
 			} else {
-				require.Equal(t, most, within)
+				require.Equal(t, bound, within)
 			}
 		}
 	})
@@ -80,13 +80,13 @@
 // incarnation would have the whole share, and three routers killed together sent 20 requests in a
 // second instead of 14, more than the upstream sustains.
 func TestRestartedRouterGetsNoImmediateShare(t *testing.T) {
-	const most = 14
+	const maxRequests = 14
 	routers := []string{"a", "b", "c"}
-	inOneSecond := PermitLimit(most)
+	inOneSecond := PermitLimit(maxRequests)
 	for _, r := range routers {
-		inOneSecond += Share(r, time.Minute, routers, "i", most)
-		inOneSecond += Share(r, 900*time.Millisecond, routers, "i", most)
+		inOneSecond += Share(r, time.Minute, routers, "i", maxRequests)
+		inOneSecond += Share(r, 900*time.Millisecond, routers, "i", maxRequests)
 	}
-	require.LessOrEqual(t, inOneSecond, most)
-	require.Positive(t, Share("a", time.Second, routers, "i", most))
+	require.LessOrEqual(t, inOneSecond, maxRequests)
+	require.Positive(t, Share("a", time.Second, routers, "i", maxRequests))
 }
