--- a/coord/grant/lean_property_test.go
+++ b/coord/grant/lean_property_test.go
@@ -43,8 +43,8 @@
 	usedOf map[string]int64
 	// loseAnswers drops the answers to messages between processes; the messages take effect.
 	loseAnswers bool
-	// settleLenders enables the settlement, by their borrowers, of lenders that are dead or taken
-	// for dead.
+	// settleLenders enables the settlement, by their borrowers, of lenders that are dead or presumed
+	// dead.
 	settleLenders bool
 	freed         int64
 	// witnesses store the lenders' exposure limits; nil disables them.
@@ -67,7 +67,7 @@
 	// borrowers, and usingStore is set during an Obtain call on the store.
 	partitioned, demoted, usingStore bool
 	open                             []openRequest
-	register                         settlement.BorrowerRegistry
+	registry                         settlement.BorrowerRegistry
 	exposure                         settlement.Exposure
 	witness                          settlement.Witness
 }
@@ -118,8 +118,8 @@
 	f.started++
 	l := &process{fleet: f, id: fmt.Sprint(kind, "/", f.started)}
 	f.all = append(f.all, l)
-	l.register = settlement.BorrowerRegistry{Store: partitionedStore{f.store, l}, Key: listPrefix + l.id}
-	l.exposure = settlement.Exposure{Register: &l.register, Notify: l.sendNotice, Timeout: 100 * time.Millisecond,
+	l.registry = settlement.BorrowerRegistry{Store: partitionedStore{f.store, l}, Key: listPrefix + l.id}
+	l.exposure = settlement.Exposure{Registry: &l.registry, Notify: l.sendNotice, Timeout: 100 * time.Millisecond,
 		Lookahead: 250 * time.Millisecond, Now: time.Now}
 	role := func(string) grant.Role {
 		if kind == "router" || l.demoted {
@@ -166,7 +166,7 @@
 		if lender.id != peer || lender == p || lender.partitioned || p.partitioned {
 			continue
 		}
-		if p.fleet.settleLenders && lender.register.Admit(ctx, p.id) != nil {
+		if p.fleet.settleLenders && lender.registry.Admit(ctx, p.id) != nil {
 			return grant.Lot{}, errLost
 		}
 		own := &grant.Acquirer{Holder: lender.holder, Now: time.Now, Chain: []grant.Granter{lender}, Exposer: &lender.exposure}
--- a/coord/grant/witness_property_test.go
+++ b/coord/grant/witness_property_test.go
@@ -34,7 +34,7 @@
 			}
 			freed += f.freedByWitnesses
 		})
-		require.Positive(t, freed, "some settlement must free tokens by testimony of witnesses")
+		require.Positive(t, freed, "some settlement must free tokens by the reports of witnesses")
 	})
 }
 
--- a/coord/member/member.go
+++ b/coord/member/member.go
@@ -70,9 +70,9 @@
 	// the view as long as they count as lapsed.
 	missing map[string]Member
 	// survivors holds the keys of members whose leases outlasted the last loss of the store.
-	survivors map[string]bool
-	lapses    lapse.Detector
-	lease     store.LeaseID
+	survivors     map[string]bool
+	lapseDetector lapse.Detector
+	lease         store.LeaseID
 	// registered is when the entry of that lease was written.
 	registered time.Time
 	// withdrawn is set if this process must not be listed.
--- a/coord/member/view.go
+++ b/coord/member/view.go
@@ -43,7 +43,7 @@
 		}
 		if g.lost {
 			g.lost = false
-			g.lapses.StartGrace(now, returnGrace)
+			g.lapseDetector.StartGrace(now, returnGrace)
 		}
 		g.recordReadLocked(listed)
 		for key := range g.members {
@@ -153,7 +153,7 @@
 			recreated++
 		}
 	}
-	g.lapses.RecordRead(len(g.survivors), recreated)
+	g.lapseDetector.RecordRead(len(g.survivors), recreated)
 }
 
 // markMissingLocked records that a member is no longer listed. It leaves the view at once, unless it
@@ -163,8 +163,8 @@
 	_, missing := g.missing[key]
 	switch {
 	case !known || missing:
-	case g.lapses.InGrace(now):
-		g.lapses.RecordMissing(g.survivors[key])
+	case g.lapseDetector.InGrace(now):
+		g.lapseDetector.RecordMissing(g.survivors[key])
 		delete(g.survivors, key)
 		g.missing[key] = m
 	default:
@@ -174,7 +174,7 @@
 
 // resolveMissingLocked adds missing members to the view, or removes them from it.
 func (g *Group) resolveMissingLocked(now time.Time) {
-	lapsed, over := g.lapses.Lapsed(now), !g.lapses.InGrace(now)
+	lapsed, over := g.lapseDetector.Lapsed(now), !g.lapseDetector.InGrace(now)
 	for key, m := range g.missing {
 		if lapsed {
 			g.members[key] = m
--- a/coord/settlement/exposure.go
+++ b/coord/settlement/exposure.go
@@ -25,7 +25,7 @@
 // limits are unknown.
 type Exposure struct {
 	Holder   *grant.Holder
-	Register *BorrowerRegistry
+	Registry *BorrowerRegistry
 	// Notify sends limits to a witness and returns nil once the witness has accepted them.
 	Notify func(ctx context.Context, witness string, notice Notice) error
 	// Timeout bounds one message. Messages to the other witnesses continue after the first reply.
@@ -62,7 +62,7 @@
 // list is written first: if the lender dies before it notifies the new witnesses, they have no
 // limits, and all that it held counts as used.
 func (e *Exposure) Appoint(ctx context.Context, witnesses ...string) error {
-	term, err := e.Register.appoint(ctx, witnesses)
+	term, err := e.Registry.appoint(ctx, witnesses)
 	if err != nil {
 		return err
 	}
--- a/coord/settlement/settlement_test.go
+++ b/coord/settlement/settlement_test.go
@@ -25,7 +25,7 @@
 	store     *memstore.Store
 	lender    *grant.Holder
 	pages     *grant.StoreGranter
-	register  *settlement.BorrowerRegistry
+	registry  *settlement.BorrowerRegistry
 	borrowers map[string]*grant.Holder
 	ended     map[string]bool
 	settler   *settlement.Settler
@@ -44,7 +44,7 @@
 			p.Accounts[budget] = &account.Account{Team: budget}
 			return p.Accounts[budget].SetPrepaid(1, 100)
 		}}
-	f.register = &settlement.BorrowerRegistry{Store: f.store, Key: prefix + "lender/1"}
+	f.registry = &settlement.BorrowerRegistry{Store: f.store, Key: prefix + "lender/1"}
 	f.settler = &settlement.Settler{Store: f.store, Prefix: prefix, Answers: &settlement.AnswerCache{}, Ended: func(b string) bool { return f.ended[b] },
 		AskBorrower: func(_ context.Context, borrower, lender string) (grant.Borrowed, error) {
 			if f.borrowers[borrower] == nil {
@@ -57,7 +57,7 @@
 
 // borrow lends n of the lender's tokens to a router.
 func (f *fixture) borrow(router string, n int64) error {
-	if err := f.register.Admit(f.t.Context(), router); err != nil {
+	if err := f.registry.Admit(f.t.Context(), router); err != nil {
 		return err
 	}
 	own := &grant.Acquirer{Holder: f.lender, Now: time.Now, Chain: []grant.Granter{f.pages}}
@@ -178,7 +178,7 @@
 	f.ended["router/2"] = true
 	_, err = f.settler.Settle(t.Context(), "lender/1", page, false)
 	require.ErrorIs(t, err, settlement.ErrUsageUnknown)
-	require.NoError(t, f.register.Remove(t.Context()))
+	require.NoError(t, f.registry.Remove(t.Context()))
 	_, err = f.settler.Settle(t.Context(), "lender/1", page, false)
 	require.ErrorIs(t, err, settlement.ErrUsageUnknown)
 }
--- a/coord/settlement/settler.go
+++ b/coord/settlement/settler.go
@@ -219,6 +219,6 @@
 			}
 		}
 	}
-	register := BorrowerRegistry{Store: s.Store, Key: s.Prefix + lender}
-	return register.Remove(ctx)
+	registry := BorrowerRegistry{Store: s.Store, Key: s.Prefix + lender}
+	return registry.Remove(ctx)
 }
--- a/coord/settlement/witness_test.go
+++ b/coord/settlement/witness_test.go
@@ -32,7 +32,7 @@
 func newWitnessFixture(t *testing.T) *witnessFixture {
 	f := &witnessFixture{fixture: newFixture(t), unreachable: map[string]bool{},
 		witnesses: map[string]*settlement.Witness{"lender/2": {}, "lender/3": {}}}
-	f.exposure = &settlement.Exposure{Holder: f.lender, Register: f.register, Timeout: time.Second, Now: time.Now,
+	f.exposure = &settlement.Exposure{Holder: f.lender, Registry: f.registry, Timeout: time.Second, Now: time.Now,
 		Notify: func(_ context.Context, witness string, n settlement.Notice) error {
 			if f.unreachable[witness] {
 				return errNoAnswer
@@ -51,7 +51,7 @@
 // use lends n tokens to a router that uses some of them; the lot stays open.
 func (f *witnessFixture) use(router string, n, used int64) error {
 	f.lots++
-	if err := f.register.Admit(f.t.Context(), router); err != nil {
+	if err := f.registry.Admit(f.t.Context(), router); err != nil {
 		return err
 	}
 	own := &grant.Acquirer{Holder: f.lender, Now: time.Now, Chain: []grant.Granter{f.pages}, Exposer: f.exposure}
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -78,9 +78,9 @@
 	undrainedAt map[string]time.Time
 	// outage reports whether the store failed since the last Reset.
 	outage bool
-	// lapses decides whether entries that are missing after an outage have expired.
-	lapses lapse.Detector
-	read   bool
+	// lapseDetector decides whether entries that are missing after an outage have expired.
+	lapseDetector lapse.Detector
+	read          bool
 }
 
 type entry struct {
@@ -107,7 +107,7 @@
 	defer d.mu.Unlock()
 	now := d.Now()
 	if d.outage {
-		d.lapses.StartGrace(now, missingGrace)
+		d.lapseDetector.StartGrace(now, missingGrace)
 	}
 	d.outage, d.read = false, true
 	old := d.entries
--- a/directory/index.go
+++ b/directory/index.go
@@ -5,7 +5,7 @@
 // rebuildIndexLocked rebuilds the lists by service.
 func (d *Directory) rebuildIndexLocked(now time.Time) {
 	services := map[string][]Upstream{}
-	startTimesExpected, lapsed := d.startTimesExpectedLocked(), d.lapses.Lapsed(now)
+	startTimesExpected, lapsed := d.startTimesExpectedLocked(), d.lapseDetector.Lapsed(now)
 	d.supersedeLocked()
 	for key, e := range d.entries {
 		missing := !e.missingUntil.IsZero()
--- a/directory/missing.go
+++ b/directory/missing.go
@@ -17,7 +17,7 @@
 			recreated++
 		}
 	}
-	d.lapses.RecordRead(survived, recreated)
+	d.lapseDetector.RecordRead(survived, recreated)
 }
 
 // handleMissingLocked drops an entry, or keeps it for a while if its lease may have expired only
@@ -26,13 +26,13 @@
 	switch {
 	case now.Before(e.missingUntil):
 		d.entries[key] = e
-	case e.missingUntil.IsZero() && d.lapses.InGrace(now) && !e.Leaving:
-		e.missingUntil = d.lapses.GraceEnd()
+	case e.missingUntil.IsZero() && d.lapseDetector.InGrace(now) && !e.Leaving:
+		e.missingUntil = d.lapseDetector.GraceEnd()
 		d.entries[key] = e
-		d.lapses.RecordMissing(e.survived)
+		d.lapseDetector.RecordMissing(e.survived)
 		e.survived = false
-		missing, kept := d.lapses.Counts()
-		d.Report.UpstreamMissing(e.Upstream, d.lapses.Lapsed(now), missing, kept)
+		missing, kept := d.lapseDetector.Counts()
+		d.Report.UpstreamMissing(e.Upstream, d.lapseDetector.Lapsed(now), missing, kept)
 	default:
 		d.Report.UpstreamGone(e.Upstream, "entry removed")
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -132,7 +132,7 @@
 		Upstreams:   &upstreams{Pool: g.pool, transport: newTransport(g.Network, s.Upstreams)},
 		Budgets:     g.Budgets,
 		RetryBudget: g.retryBudgets,
-		Poison:      g.prompts,
+		PromptGuard: g.prompts,
 		Now:         time.Now,
 	}
 	g.Admin.Dump = g.dump
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -30,7 +30,7 @@
 // Report implements pool.Limits.
 func (l limits) Report(address string, startUnixMS int64, limit ratelimit.NamedLimit, onReply func(ratelimit.State)) {
 	var reply ratelimit.State
-	l.g.lenders.enqueue(lenderMessage{address: address, method: link.MethodLimit, body: link.LimitReport{StartUnixMS: startUnixMS, Word: limit},
+	l.g.lenders.enqueue(lenderMessage{address: address, method: link.MethodLimit, body: link.LimitReport{StartUnixMS: startUnixMS, Limit: limit},
 		reply: &reply, onReply: func() { onReply(reply) }})
 }
 
--- a/lender/lender.go
+++ b/lender/lender.go
@@ -164,7 +164,7 @@
 
 // observeLimit records the request limit that a response of the upstream on this VM named.
 func (l *Lender) observeLimit(_ context.Context, in link.LimitReport) (ratelimit.State, error) {
-	limit := l.engine.ObserveLimit(time.Now(), in.StartUnixMS, in.Word)
+	limit := l.engine.ObserveLimit(time.Now(), in.StartUnixMS, in.Limit)
 	l.logLimit(limit)
 	return limit, nil
 }
--- a/link/messages.go
+++ b/link/messages.go
@@ -97,7 +97,7 @@
 type LimitReport struct {
 	// StartUnixMS is the start time of that incarnation; see directory.Incarnation.
 	StartUnixMS int64                `json:"born,omitempty"`
-	Word        ratelimit.NamedLimit `json:"word"`
+	Limit       ratelimit.NamedLimit `json:"word"`
 }
 
 // MethodFollow requests the store's changes from a relay: relay.Request, relay.Reply.
--- a/poison/register.go
+++ b/poison/register.go
@@ -239,7 +239,7 @@
 
 // Expire removes expired evidence and returns the prompts that were on trial or proven and whose
 // standing improved.
-func (r *Registry) Expire(now time.Time) (lapsed []StandingChange) {
+func (r *Registry) Expire(now time.Time) (changes []StandingChange) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for p, known := range r.records {
@@ -250,10 +250,10 @@
 			delete(r.records, p)
 		}
 		if c.Was >= OnTrial && c.Now != c.Was {
-			lapsed = append(lapsed, c)
+			changes = append(changes, c)
 		}
 	}
-	return lapsed
+	return changes
 }
 
 // Restricted returns the prompts that are on trial or proven.
--- a/prepaid/exposure.go
+++ b/prepaid/exposure.go
@@ -32,7 +32,7 @@
 
 // newExposure returns the manager of this lender's exposure limits.
 func (b *Budgets) newExposure() *settlement.Exposure {
-	return &settlement.Exposure{Holder: b.holder, Register: b.registry, Notify: b.notifyWitness,
+	return &settlement.Exposure{Holder: b.holder, Registry: b.registry, Notify: b.notifyWitness,
 		Timeout: witnessTimeout, Lookahead: exposureLookahead, Now: time.Now}
 }
 
--- a/serving/path.go
+++ b/serving/path.go
@@ -101,8 +101,8 @@
 	Upstreams   Upstreams
 	Budgets     Budgets
 	RetryBudget RetryBudget
-	// Poison may be nil.
-	Poison PromptGuard
+	// PromptGuard may be nil.
+	PromptGuard PromptGuard
 	// Now is the clock.
 	Now func() time.Time
 }
@@ -120,10 +120,10 @@
 	if refused != nil {
 		return Outcome{Refusal: refused}
 	}
-	end := d.run(ctx, r, out)
-	end.Used = chargedTokens(r, end.Attempts)
-	settle(end.Used)
-	return end
+	outcome := d.run(ctx, r, out)
+	outcome.Used = chargedTokens(r, outcome.Attempts)
+	settle(outcome.Used)
+	return outcome
 }
 
 // run sends the request until it is answered or no further send is allowed.
@@ -145,10 +145,10 @@
 
 // send sends the request once. The send can be recalled until its answer begins.
 func (d *Dispatcher) send(ctx context.Context, r *Request, t Target, out Caller) Attempt {
-	if d.Poison == nil || out.Began() {
+	if d.PromptGuard == nil || out.Began() {
 		return d.Upstreams.Send(ctx, r, t, out)
 	}
-	ctx, began, done := d.Poison.TrackSend(ctx, r)
+	ctx, began, done := d.PromptGuard.TrackSend(ctx, r)
 	defer done()
 	event := t.Event
 	t.Event = func(now time.Time) {
@@ -160,29 +160,29 @@
 
 // refusePoisoned returns the refusal of a prompt that must not be sent now.
 func (d *Dispatcher) refusePoisoned(ctx context.Context, r *Request) *contract.Refusal {
-	if d.Poison == nil {
+	if d.PromptGuard == nil {
 		return nil
 	}
-	return d.Poison.Refuse(ctx, r)
+	return d.PromptGuard.Refuse(ctx, r)
 }
 
 // recordOutcome reports the last attempt's evidence on the request's prompt to PromptGuard.
 func (d *Dispatcher) recordOutcome(ctx context.Context, r *Request, attempts []Attempt) {
 	last := attempts[len(attempts)-1]
 	switch {
-	case d.Poison == nil:
+	case d.PromptGuard == nil:
 	case last.Break != nil:
-		d.Poison.ConnectionBroken(ctx, r, attempts)
+		d.PromptGuard.ConnectionBroken(ctx, r, attempts)
 	case last.Result == Complete:
-		d.Poison.RecordAnswer(r)
+		d.PromptGuard.RecordAnswer(r)
 	}
 }
 
 // finalRefusal returns the refusal of a request without an answer.
 func (d *Dispatcher) finalRefusal(r *Request, attempts []Attempt) *contract.Refusal {
 	hit := slices.ContainsFunc(attempts, func(a Attempt) bool { return a.Break != nil || a.Recalled })
-	if hit && d.Poison != nil {
-		if proven := d.Poison.Proven(r); proven != nil {
+	if hit && d.PromptGuard != nil {
+		if proven := d.PromptGuard.Proven(r); proven != nil {
 			return proven
 		}
 	}
