--- a/coord/account/page.go
+++ b/coord/account/page.go
@@ -14,9 +14,9 @@
 // store's value limit.
 var ErrPageFull = errs.New("page is full; raise the number of pages for a new fleet")
 
-// Page sizes. A page near the store's limit of a megabyte accepts no new budgets:
-// the rows of its existing budgets need the space between the two limits. Without
-// it a grant or a settlement of an existing budget would fail, and its team would
+// Page sizes. A page above PageFullBytes accepts no new budgets: the rows of its
+// existing budgets need the space up to the store's limit of a megabyte. Without that
+// space a grant or a settlement of an existing budget would fail, and its team would
 // be refused although it did not change anything.
 const (
 	// PageFullBytes is the size above which a page accepts no new budget.
@@ -114,7 +114,7 @@
 	return p.Get(budget)
 }
 
-// Update applies change to the budget's account, again after a conflicting write,
+// Update applies change to the budget's account, and retries after conflicting writes
 // until the result is durable. Change must be idempotent.
 func (c AdminClient) Update(ctx context.Context, budget string, change func(*Account) error) error {
 	return c.updatePage(ctx, budget, func(p *Page, _ int) error {
--- a/coord/grant/acquirer.go
+++ b/coord/grant/acquirer.go
@@ -76,7 +76,7 @@
 // was fetched for it.
 const maxFetches = 4
 
-// fetch calls the granters in order until the own row has need tokens available or one
+// fetch calls the granters in order until the holder's own row has need tokens available or one
 // succeeds.
 func (q *Acquirer) fetch(ctx context.Context, budget string, need int64) error {
 	lastErr := Error.Wrap(ErrInsufficientTokens)
--- a/coord/grant/concurrent_test.go
+++ b/coord/grant/concurrent_test.go
@@ -49,7 +49,7 @@
 	repeat(func(int) { lender.ExposureLimits() })
 	repeat(func(int) { lender.LentLots() })
 	repeat(func(int) { lender.LentTo("borrower") })
-	repeat(func(int) { borrower.Disown([]grant.Part{{Holder: "nobody", Seq: 1, Tokens: 1}}) })
+	repeat(func(int) { borrower.Disown([]grant.Part{{Holder: "unknown", Seq: 1, Tokens: 1}}) })
 	wg.Wait()
 	for _, r := range borrower.CloseLots(time.Now().Add(time.Second)) {
 		lender.TakeBack(time.Now(), r)
--- a/coord/grant/exposure.go
+++ b/coord/grant/exposure.go
@@ -72,7 +72,8 @@
 	return e.lentRate * math.Exp(-max(0, now.Sub(e.lentAt).Seconds())/lentWindow.Seconds())
 }
 
-// raiseStep returns how far ahead of need the limit is raised, in tokens.
+// raiseStep returns the tokens expected to be lent in the time ahead. Limits are raised by this much
+// in advance.
 func (e *exposure) raiseStep(now time.Time, ahead time.Duration) int64 {
 	return int64(e.rate(now) * ahead.Seconds())
 }
@@ -134,7 +135,7 @@
 }
 
 // ExposureWanted returns the limits to raise now: those whose headroom is below what the borrower
-// is lent within ahead.
+// is expected to be lent in the time ahead.
 func (h *Holder) ExposureWanted(now time.Time, ahead time.Duration) ExposureLimits {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -153,7 +154,8 @@
 	return out
 }
 
-// ExposureFor returns the limit that a lot of n tokens needs, plus what is lent within ahead.
+// ExposureFor returns the limit that a lot of n tokens needs, plus what the borrower is expected to
+// be lent in the time ahead.
 func (h *Holder) ExposureFor(now time.Time, budget, borrower string, n int64, ahead time.Duration) ExposureLimits {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -175,7 +177,7 @@
 	return e
 }
 
-// lendableLocked returns what may be lent to a borrower from the own row.
+// lendableLocked returns what may be lent to a borrower from the holder's own row.
 func (h *Holder) lendableLocked(b *localBudget, borrower string) int64 {
 	if !h.exposureLimited {
 		return b.available()
--- a/coord/grant/fleet_test.go
+++ b/coord/grant/fleet_test.go
@@ -136,7 +136,7 @@
 			f.Now = f.Now.Add(6 * time.Minute)
 			n.Sync(ctx)
 		},
-		"fold": func(ctx context.Context, f *lab.Fleet, n *lab.Node) {
+		"row removal": func(ctx context.Context, f *lab.Fleet, n *lab.Node) {
 			r, err := n.Serve(ctx, "y", budget, 10)
 			require.NoError(t, err)
 			r.Finish(10)
--- a/coord/grant/granter.go
+++ b/coord/grant/granter.go
@@ -43,7 +43,7 @@
 	// OnTransfer, if set, is called for tokens that were taken or given back, once that is
 	// durable, with the view that the decision is based on.
 	OnTransfer func(d Decision, v View)
-	// OnExhausted, if set, is called when a budget has too little left for any waiting request.
+	// OnExhausted, if set, is called when a budget has too little left for any of the waiting requests.
 	OnExhausted func(v View)
 	// OnSyncEnd, if set, is called with the duration and the error of each sync.
 	OnSyncEnd func(took time.Duration, err error)
@@ -110,21 +110,21 @@
 	return !s.insufficient, Error.Wrap(ErrInsufficientTokens)
 }
 
-// Sync reports to the page, takes and gives back. A caller that arrives during a
-// sync of the page waits for it and then shares or starts the next, since the running
-// one may have planned without the caller's need.
+// Sync reports the holder's totals to the page and takes or gives back tokens. A caller that
+// arrives during a sync of the page waits for it and then shares or starts the next, since
+// the running one may have planned without the caller's need.
 func (g *StoreGranter) Sync(ctx context.Context, key string) error {
-	f, started := g.joinSync(key)
+	c, started := g.joinSync(key)
 	if !started {
-		if err := f.wait(ctx); err != nil {
+		if err := c.wait(ctx); err != nil {
 			return err
 		}
-		if f, started = g.joinSync(key); !started {
-			return f.wait(ctx)
+		if c, started = g.joinSync(key); !started {
+			return c.wait(ctx)
 		}
 	}
-	g.inFlight.Go(func() { g.runSync(ctx, key, f) })
-	return f.wait(ctx)
+	g.inFlight.Go(func() { g.runSync(ctx, key, c) })
+	return c.wait(ctx)
 }
 
 // InvalidatePage makes the next sync of a page read it, after another process wrote it.
@@ -261,12 +261,12 @@
 func (g *StoreGranter) lookupPage(key string) (item store.Item, fresh bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	k := g.pageCache[key]
-	age := g.Now().Sub(k.readAt)
+	cached := g.pageCache[key]
+	age := g.Now().Sub(cached.readAt)
 	if age >= g.PageCacheTTL {
 		return store.Item{}, false
 	}
-	return k.item, age < g.MaxFreshAge
+	return cached.item, age < g.MaxFreshAge
 }
 
 // cachePage caches a page; one that was neither read nor written keeps its age.
--- a/coord/grant/holder.go
+++ b/coord/grant/holder.go
@@ -27,11 +27,11 @@
 	disowned map[Part]struct{}
 	// excluded are holders that were declared dead; see ExcludeHolder.
 	excluded map[string]struct{}
-	// lenders is the use of closed lots by lender; lendersIncomplete says that some lenders
-	// are missing in it.
+	// lenders is the use of closed lots by lender; lendersIncomplete is set once a lender was
+	// omitted because of maxLenders.
 	lenders           map[string]*lenderUse
 	lendersIncomplete bool
-	// otherHolders have rows on the synced pages.
+	// otherHolders are the other holders seen with rows on the synced pages.
 	otherHolders map[string]struct{}
 	// expectedHolders is the fleet's number of holders, with or without rows.
 	expectedHolders int
@@ -102,9 +102,9 @@
 }
 
 // UseMinimalRows keeps rows minimal, for fleets that count a dead incarnation's balance as spent
-// instead of recovering it by evidence. A row is created with the first grant. Reports
+// instead of recovering it by evidence. A row is created only with the first grant. Reports
 // include every settled reservation, also those numbered after an open one; that
-// minimizes what a dead incarnation leaves unreported, but such a row does not tell
+// minimizes what a dead incarnation leaves unreported, but such a row does not show
 // which reservations it covers. Demand is counted when tokens are reserved, since a
 // partition may begin before the first long streams end. The balance of dead holders'
 // rows counts as spent; dead reports whether a holder is known to be dead.
@@ -135,11 +135,11 @@
 	h.fenced = true
 }
 
-// largestRecentDecay is the divisor of the decay of the largest recent request with each
-// smaller one: it halves in about 44 requests.
+// largestRecentDecay is the decay of largestRecent: each smaller request lowers it by
+// 1/largestRecentDecay of itself, so it halves in about 44 requests.
 const largestRecentDecay = 64
 
-// Reserve reserves n tokens for one request, from the own row first and then from
+// Reserve reserves n tokens for one request, from the holder's own row first and then from
 // lots. If too few are spendable it reserves nothing and returns ErrInsufficientTokens.
 func (h *Holder) Reserve(now time.Time, budget string, n int64) (Reservation, error) {
 	h.mu.Lock()
--- a/coord/grant/horizon.go
+++ b/coord/grant/horizon.go
@@ -17,8 +17,8 @@
 type HorizonPolicy struct {
 	// Horizon is the longest partition that held tokens should cover.
 	Horizon time.Duration
-	// LargestRequests is how many of the largest recent requests a holder additionally holds
-	// tokens for: a single request may need more than many seconds of demand.
+	// LargestRequests is the number of requests of the largest recent size for which a holder
+	// holds additional tokens: a single request may need more than many seconds of demand.
 	LargestRequests float64
 	// Role returns this holder's role for a budget; nil stands for RolePrimary.
 	Role func(budget string) Role
@@ -36,17 +36,16 @@
 	// demand.
 	Share float64
 	// MaxLoss is the largest share of what is left of the budget that a holder has available
-	// while the store is healthy (0..1); StoreDegraded reports that the store was recently slow or did
-	// not answer. Available tokens are lost when the incarnation dies. Early in a budget the
-	// bound still covers an outage without warning; the less is left, the more later requests
-	// depend on it, and the less is risked. 0 disables the bound.
+	// while the store is healthy (0..1). StoreDegraded reports whether the store was recently
+	// slow or did not answer. Available tokens are lost when the incarnation dies. Early in a
+	// budget the bound still covers an outage without warning; the less is left, the more
+	// later requests depend on it, and the less is risked. 0 disables the bound.
 	MaxLoss       float64
 	StoreDegraded func() bool
-	// Refill is the time whose demand one take may add while Recovering reports a
-	// partition that ended recently; 0 takes all at once. After a partition the holder
-	// thus returns to its target over some seconds: a second partition is then less
-	// likely than a power loss from the same incident, which costs most when the holder
-	// is full.
+	// Refill limits one take to the demand of this time while Recovering reports that a
+	// partition ended recently; 0 takes all at once. After a partition the holder thus returns
+	// to its target over some seconds: a second partition is then less likely than a power
+	// loss from the same incident, which costs most when the holder is full.
 	Refill     time.Duration
 	Recovering func() bool
 	// Slack is the tolerated deviation from the target (0..1). When the page is written for
--- a/coord/grant/lenders_property_test.go
+++ b/coord/grant/lenders_property_test.go
@@ -154,10 +154,10 @@
 }
 
 // Obtain implements grant.Granter. It calls the store.
-func (p *process) Obtain(ctx context.Context, budget string, lack int64) error {
+func (p *process) Obtain(ctx context.Context, budget string, shortfall int64) error {
 	p.usingStore = true
 	defer func() { p.usingStore = false }()
-	return p.pages.Obtain(ctx, budget, lack)
+	return p.pages.Obtain(ctx, budget, shortfall)
 }
 
 // Lend implements grant.Lender.
@@ -210,7 +210,7 @@
 	case 10:
 		f.kill()
 	case 11:
-		l := rapid.SampledFrom([]*process{f.lenders[0], f.lenders[1], f.routers[0], f.routers[1]}).Draw(f.t, "cut")
+		l := rapid.SampledFrom([]*process{f.lenders[0], f.lenders[1], f.routers[0], f.routers[1]}).Draw(f.t, "partitioned")
 		l.partitioned = !l.partitioned
 	case 12:
 		l := f.lender()
@@ -338,7 +338,7 @@
 	defer cancel()
 	s.AskWitness = f.askWitness
 	lender := rapid.SampledFrom(lenders).Draw(f.t, "settled")
-	done, _ := s.Settle(ctx, lender, f.layout.PageKey(0), rapid.Bool().Draw(f.t, "patient")) // failures are part of the test
+	done, _ := s.Settle(ctx, lender, f.layout.PageKey(0), rapid.Bool().Draw(f.t, "wait for running")) // failures are part of the test
 	if used, ended := done.Used[budget]; ended {
 		require.GreaterOrEqual(f.t, used, f.usedOf[lender], "tokens of a row count as used")
 	}
--- a/coord/grant/localbudget.go
+++ b/coord/grant/localbudget.go
@@ -51,8 +51,8 @@
 	name     string
 	granted  int64
 	returned int64
-	settled  int64 // by all settled reservations of the own row
-	reserved int64 // by open reservations of the own row
+	settled  int64 // used by all settled reservations of the holder's own row
+	reserved int64 // held by its open reservations
 	// exposures are by borrower; see LimitExposure.
 	exposures map[string]*exposure
 
@@ -105,7 +105,7 @@
 	return slices.Min(b.waitingAmounts)
 }
 
-// available returns what the own row still has for new reservations.
+// available returns what the holder's own row still has for new reservations.
 func (b *localBudget) available() int64 { return b.granted - b.returned - b.settled - b.reserved }
 
 // spendable returns available plus what is left of borrowed lots.
@@ -117,7 +117,7 @@
 	return n
 }
 
-// reserve opens a reservation of n tokens in the own row.
+// reserve opens a reservation of n tokens in the holder's own row.
 func (b *localBudget) reserve(seq, n, since int64) {
 	b.queue = append(b.queue, ownReservation{seq: seq, tokens: n, sinceRevision: since})
 	b.reserved += n
@@ -208,8 +208,8 @@
 
 // currentDemand returns the demand average. Under minimalRows it is taken over the time since
 // the first use if that is shorter than the window: otherwise a holder partitioned in its
-// first seconds would hold far too few tokens. Other holders share a budget by demand, and a
-// late start must not raise their share.
+// first seconds would hold far too few tokens. Without minimalRows, holders share a budget by
+// demand, and one that starts late must not get a larger share for it.
 func (b *localBudget) currentDemand(now time.Time) float64 {
 	if !b.minimalRows {
 		return b.decayedDemand(now)
@@ -239,5 +239,5 @@
 	return b.reserved == 0 && len(b.queue) == 0 && len(b.lots) == 0 && len(b.waitingAmounts) == 0
 }
 
-// ownRowIdle reports whether the own row has no open reservations.
+// ownRowIdle reports whether the holder's own row has no open reservations.
 func (b *localBudget) ownRowIdle() bool { return b.reserved == 0 && len(b.queue) == 0 }
--- a/coord/grant/lots.go
+++ b/coord/grant/lots.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Lend reserves a lot for a peer in the own row: need tokens, or as many as can be
-// lent if fewer, and up to want if that is at most half of what can be lent. The id
-// identifies the peer's request; a retried id gets the same lot, so a lost answer
-// strands no tokens.
+// Lend reserves a lot for a peer in the holder's own row. The lot has need tokens, or all
+// that can be lent if that is less. Beyond need it has up to want tokens, but no more than
+// half of what can be lent. The id identifies the peer's request; a retried id gets the same
+// lot, so a lost answer strands no tokens.
 func (h *Holder) Lend(now time.Time, budget, id, borrower string, need, want int64) (Lot, error) {
 	return h.lend(now, budget, id, borrower, 1, need, want)
 }
@@ -21,8 +21,8 @@
 		return Lot{}, Error.Wrap(ErrInsufficientTokens)
 	}
 	b := h.budgets[budget]
-	// Guards against a holder that asks itself, at the address of an earlier
-	// incarnation: a lot of its own row would be settled in full with the first
+	// Guards against a holder that borrows from itself, at the address of an earlier
+	// incarnation: a lot from its own row would be settled in full with the first
 	// request on it.
 	if _, dead := h.excluded[borrower]; dead || b == nil || borrower == h.id {
 		return Lot{}, Error.Wrap(ErrInsufficientTokens)
@@ -102,7 +102,7 @@
 	}
 }
 
-// TakeBackLost settles a lot, as unused, that its borrower never received.
+// TakeBackLost settles, as unused, a lot that its borrower never received.
 func (h *Holder) TakeBackLost(now time.Time, p Part) {
 	h.mu.Lock()
 	budget := ""
@@ -174,14 +174,14 @@
 func (h *Holder) Disown(parts []Part) []Part {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var none []Part
+	var missing []Part
 	for _, p := range parts {
 		if !h.hasLotLocked(p) {
 			h.disowned[p] = struct{}{}
-			none = append(none, p)
+			missing = append(missing, p)
 		}
 	}
-	return none
+	return missing
 }
 
 func (h *Holder) hasLotLocked(p Part) bool {
--- a/coord/grant/pages_test.go
+++ b/coord/grant/pages_test.go
@@ -82,9 +82,9 @@
 		h.store.SetFaults(memstore.Faults{Delay: 50 * time.Millisecond})
 		a := h.acquirer()
 		go func() {
-			hurried, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
+			shortCtx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 			defer cancel()
-			_, err := a.Acquire(hurried, "team", 10)
+			_, err := a.Acquire(shortCtx, "team", 10)
 			require.ErrorIs(t, err, grant.ErrUnreachable)
 		}()
 		time.Sleep(5 * time.Millisecond)
@@ -134,13 +134,13 @@
 }
 
 // Obtain implements grant.Granter.
-func (g *contendedGranter) Obtain(ctx context.Context, budget string, lack int64) error {
-	err := g.pages.Obtain(ctx, budget, lack)
+func (g *contendedGranter) Obtain(ctx context.Context, budget string, shortfall int64) error {
+	err := g.pages.Obtain(ctx, budget, shortfall)
 	if g.times--; g.times < 0 {
 		return err
 	}
 	for {
-		if _, short := g.pages.Holder.Reserve(time.Now(), budget, 1); short != nil {
+		if _, reserveErr := g.pages.Holder.Reserve(time.Now(), budget, 1); reserveErr != nil {
 			return err
 		}
 	}
@@ -164,10 +164,10 @@
 	})
 }
 
-// Guards against refusing all requests while the store is slow by a factor of a hundred: each call
-// takes 450 ms, longer than the 400 ms that a request waits, and ending calls at 400 ms would make
-// the store count as unreachable. The first request is refused in time, requests during the sync at
-// once, and after the sync there are tokens.
+// Guards against refusing all requests while the store is slow by a factor of a hundred. Each call
+// takes 450 ms, longer than the 400 ms that a request waits; if calls also ended at 400 ms, the
+// store would count as unreachable. The first request is refused after 400 ms, requests during the
+// sync at once, and after the sync there are tokens.
 func TestSlowStoreStillGrantsTokens(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		h := newStoreHolder(t, 100_000)
@@ -255,13 +255,13 @@
 // rest, or enough for the largest request; when the store is slow, as before an outage, it holds
 // all four seconds.
 func TestMaxLossBoundsHeldTokens(t *testing.T) {
-	wary := false
-	p := grant.HorizonPolicy{Horizon: 4 * time.Second, LargestRequests: 1, Share: 0.9, MaxLoss: 0.1, StoreDegraded: func() bool { return wary }}
+	degraded := false
+	p := grant.HorizonPolicy{Horizon: 4 * time.Second, LargestRequests: 1, Share: 0.9, MaxLoss: 0.1, StoreDegraded: func() bool { return degraded }}
 	v := grant.View{Credit: 2_000_000, Free: 400_000, Unspent: 400_000, Demand: 20_000, LargestRecent: 10_000}
 	require.EqualValues(t, 40_000, p.Decide(v).Take)
 	v.LargestRecent = 60_000
 	require.EqualValues(t, 60_000, p.Decide(v).Take)
-	wary = true
+	degraded = true
 	require.EqualValues(t, 140_000, p.Decide(v).Take)
 }
 
@@ -269,7 +269,7 @@
 // the other: the write for the first one must refill all of them.
 func TestOneWriteFillsAllBudgetsOfAPage(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		const teams, credit, worst = 10, 1_000_000, 1000
+		const teams, credit, largest = 10, 1_000_000, 1000
 		h := newStoreHolder(t, credit)
 		name := func(i int) string { return fmt.Sprint("team-", i) }
 		h.pages.Prepare = func(_ string, p *account.Page) (changed bool) {
@@ -295,14 +295,14 @@
 			return out
 		}
 		for i := range teams {
-			spend(i, worst)
+			spend(i, largest)
 		}
 		require.NoError(t, h.pages.Sync(t.Context(), "p/00000"))
 		full := available()
 		for i := range teams - 1 {
-			spend(i, worst/10) // within the tolerance
+			spend(i, largest/10) // within the tolerance
 		}
-		spend(teams-1, worst/2)
+		spend(teams-1, largest/2)
 		before := h.store.Calls().Writes
 		require.NoError(t, h.pages.Sync(t.Context(), "p/00000"))
 		require.EqualValues(t, 1, h.store.Calls().Writes-before)
--- a/coord/grant/plan.go
+++ b/coord/grant/plan.go
@@ -144,12 +144,12 @@
 		h.fenced = true
 		return commit{}, Error.Wrap(ErrFenced)
 	}
-	join := row == nil
-	if join && (written || h.minimalRows && h.policy.Decide(h.view(now, a, b)).Take <= 0) {
+	newRow := row == nil
+	if newRow && (written || h.minimalRows && h.policy.Decide(h.view(now, a, b)).Take <= 0) {
 		waits := len(b.waitingAmounts) > 0
 		return commit{budget: b, view: h.view(now, a, b), insufficient: waits, exhausted: waits && h.unspentLocked(a) < b.smallestWaiting()}, nil
 	}
-	if join {
+	if newRow {
 		a.AddHolder(h.id)
 		row = a.Rows[h.id]
 	}
@@ -178,7 +178,7 @@
 	if b.idle() && (unused || h.stopping) || d.RemoveRow && b.ownRowIdle() {
 		c.rowRemoved = h.removeRowLocked(a, b)
 	}
-	c.needsWrite = join || took > 0 || returned || due || c.rowRemoved
+	c.needsWrite = newRow || took > 0 || returned || due || c.rowRemoved
 	return c, nil
 }
 
@@ -359,7 +359,7 @@
 	return shortage{shortfall: n - b.spendable(), exhausted: now.Before(b.exhaustedUntil), absent: b.absent, insufficient: b.insufficient}
 }
 
-// ownShortfall returns how many of n tokens the own row does not have available.
+// ownShortfall returns how many of n tokens the holder's own row does not have available.
 func (h *Holder) ownShortfall(budget string, n int64) int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/coord/grant/property_test.go
+++ b/coord/grant/property_test.go
@@ -79,7 +79,7 @@
 			n.Sync(f.ctx)
 		}
 	case 7:
-		f.Partition(rapid.SampledFrom(dcs).Draw(f.t, "cut"))
+		f.Partition(rapid.SampledFrom(dcs).Draw(f.t, "partition"))
 	case 8:
 		f.Heal()
 	case 9:
@@ -112,7 +112,7 @@
 		return
 	}
 	f.count++
-	r, err := n.Serve(f.ctx, fmt.Sprint("r", f.count), budget, rapid.Int64Range(1, 300).Draw(f.t, "worst"))
+	r, err := n.Serve(f.ctx, fmt.Sprint("r", f.count), budget, rapid.Int64Range(1, 300).Draw(f.t, "tokens"))
 	if err == nil {
 		f.open = append(f.open, r)
 	}
@@ -130,7 +130,7 @@
 // recover recovers a holder that is dead or wrongly presumed dead.
 func (f *faultyFleet) recover() {
 	n := f.node()
-	_, _ = f.Recover(f.ctx, rapid.SampledFrom(dcs).Draw(f.t, "seat"), n.Holder.ID(), rapid.Bool().Draw(f.t, "forfeit"))
+	_, _ = f.Recover(f.ctx, rapid.SampledFrom(dcs).Draw(f.t, "recovering data centre"), n.Holder.ID(), rapid.Bool().Draw(f.t, "forfeit"))
 }
 
 func (f *faultyFleet) check() {
--- a/coord/grant/witness_property_test.go
+++ b/coord/grant/witness_property_test.go
@@ -66,7 +66,7 @@
 // changeWitness partitions a witness, reconnects it, or starts another in its place.
 func (f *lenderFleet) changeWitness() {
 	i := rapid.IntRange(0, 1).Draw(f.t, "which witness")
-	if rapid.Bool().Draw(f.t, "cut") {
+	if rapid.Bool().Draw(f.t, "partition") {
 		f.witnesses[i].partitioned = !f.witnesses[i].partitioned
 		return
 	}
@@ -81,9 +81,9 @@
 		if w.id != witness || w.partitioned || p.partitioned {
 			continue
 		}
-		again := func() { _ = w.witness.Apply(time.Now(), notice) } // a witness may refuse a late notice
+		redeliver := func() { _ = w.witness.Apply(time.Now(), notice) } // a witness may refuse a late notice
 		f.mu.Lock()
-		f.delayed = append(f.delayed, again)
+		f.delayed = append(f.delayed, redeliver)
 		f.mu.Unlock()
 		if err := w.witness.Apply(time.Now(), notice); err != nil || !f.loseAnswers {
 			return err
--- a/coord/internal/lab/experiment.go
+++ b/coord/internal/lab/experiment.go
@@ -22,7 +22,8 @@
 	// UsedMax the share of them that it uses.
 	ReservedMin, ReservedMax int64
 	UsedMin, UsedMax         float64
-	Favour                   grant.DemandPolicy
+	// Favour is the demand policy of the deployment.
+	Favour grant.DemandPolicy
 }
 
 // Deployments returns the two deployments that the policies are compared on.
@@ -43,8 +44,8 @@
 }
 
 // Parameters of the experiment. A crashed router restarts after restartAfter; recovery
-// begins listLag after the crash, as the VM list shows it late. Lots idle for lotIdle are
-// returned.
+// begins listLag after the crash, since the VM list shows a crash late. Lots
+// idle for lotIdle are returned.
 const (
 	routersPerDC = 2
 	holders      = 3 * routersPerDC
@@ -54,8 +55,8 @@
 	lotIdle      = 5 * time.Second
 )
 
-// Horizon is the simulated duration of a cell. The partition begins after a third of it,
-// and the router crashes a twenty-fourth later.
+// Horizon is the simulated duration of a cell in the tests. The partition begins after a
+// third of it, and the router crashes a twenty-fourth of it later.
 const Horizon = 2 * time.Hour
 
 func (c Cell) partitionAt() time.Duration { return c.Horizon / 3 }
@@ -391,7 +392,7 @@
 	return available
 }
 
-// countLost adds to Lost the false refusals since the last call that the tokens left now
+// countLost adds to LostRequests the false refusals since the last call that the tokens left now
 // would have covered.
 func (x *experiment) countLost() {
 	d := x.cell.Deployment
--- a/coord/internal/lab/experiment_test.go
+++ b/coord/internal/lab/experiment_test.go
@@ -68,8 +68,8 @@
 			}
 			for _, partition := range []time.Duration{0, time.Minute, 10 * time.Minute, time.Hour} {
 				for _, budget := range []float64{0.50, 0.95, 1.05} {
-					for _, death := range []bool{false, true} {
-						c := lab.Cell{Deployment: d, Policy: p, Horizon: lab.Horizon, Partition: partition, Budget: budget, RouterCrash: death, Seed: *seed}
+					for _, crash := range []bool{false, true} {
+						c := lab.Cell{Deployment: d, Policy: p, Horizon: lab.Horizon, Partition: partition, Budget: budget, RouterCrash: crash, Seed: *seed}
 						printRow(c, run(t, c))
 					}
 				}
--- a/coord/internal/lab/lab.go
+++ b/coord/internal/lab/lab.go
@@ -44,7 +44,7 @@
 	Now          time.Time
 	Nodes        []*Node
 	Agents       []*Agent
-	// DropLotReplies is the number of next replies to lot requests that are lost.
+	// DropLotReplies is how many of the next replies to lot requests are lost.
 	DropLotReplies int
 
 	// side is the side of the partition that a data centre is on; the store is on
--- a/coord/recovery/recovery.go
+++ b/coord/recovery/recovery.go
@@ -126,9 +126,9 @@
 }
 
 func (r *Recoverer) collect(ctx context.Context, holder string) (*evidenceSet, error) {
-	c := &evidenceSet{holder: holder, uses: map[Use]int64{}, lots: map[string][]grant.LotReturn{}, answered: map[string]bool{}}
+	e := &evidenceSet{holder: holder, uses: map[Use]int64{}, lots: map[string][]grant.LotReturn{}, answered: map[string]bool{}}
 	var err error
-	if c.incarnations, err = r.Incarnations.All(ctx); err != nil {
+	if e.incarnations, err = r.Incarnations.All(ctx); err != nil {
 		return nil, err
 	}
 	var mu sync.Mutex
@@ -138,7 +138,7 @@
 			ev, err := r.Fleet.FencePeer(ctx, vm, holder)
 			mu.Lock()
 			defer mu.Unlock()
-			c.addPeer(vm, ev, err)
+			e.addPeer(vm, ev, err)
 		})
 	}
 	for _, vm := range r.Fleet.Agents() {
@@ -146,12 +146,12 @@
 			ev, err := r.Fleet.FenceAgent(ctx, vm, holder)
 			mu.Lock()
 			defer mu.Unlock()
-			c.addAgent(vm, ev, err)
+			e.addAgent(vm, ev, err)
 		})
 	}
 	wg.Wait()
-	c.requireRegisteredAgents()
-	return c, nil
+	e.requireRegisteredAgents()
+	return e, nil
 }
 
 // requireRegisteredAgents records missing evidence for each registered agent that did not
@@ -218,7 +218,7 @@
 // AgentRole is the role under which agents register their incarnations.
 const AgentRole = "agent"
 
-func (r *Recoverer) recoverPage(ctx context.Context, key string, c *evidenceSet, res *Result) error {
+func (r *Recoverer) recoverPage(ctx context.Context, key string, e *evidenceSet, res *Result) error {
 	var applied Result // of the last attempt that found rows of the holder
 	_, err := store.Update(ctx, r.Store, key, func(old store.Item) ([]byte, error) {
 		p, err := account.Decode(old.Value)
@@ -227,7 +227,7 @@
 		}
 		var attempt Result
 		for budget, a := range p.Accounts {
-			if err := c.recoverRow(budget, a, &attempt); err != nil {
+			if err := e.recoverRow(budget, a, &attempt); err != nil {
 				return nil, err
 			}
 		}
@@ -273,11 +273,11 @@
 
 // settleLots settles the lots that the holder had borrowed. A lot with incomplete
 // evidence counts as fully used.
-func (r *Recoverer) settleLots(ctx context.Context, c *evidenceSet) error {
-	for vm, lots := range c.lots {
+func (r *Recoverer) settleLots(ctx context.Context, e *evidenceSet) error {
+	for vm, lots := range e.lots {
 		for _, lot := range lots {
-			lot.Used = c.uses[Use{Holder: lot.Lender, Budget: lot.Budget, Seq: lot.Seq}]
-			if !c.complete(store.Revision(lot.Since)) {
+			lot.Used = e.uses[Use{Holder: lot.Lender, Budget: lot.Budget, Seq: lot.Seq}]
+			if !e.complete(store.Revision(lot.Since)) {
 				lot.Used = account.MaxTokens
 			}
 			if err := r.Fleet.SettleLot(ctx, vm, lot); err != nil {
--- a/coord/retrybudget/retrybudget.go
+++ b/coord/retrybudget/retrybudget.go
@@ -12,7 +12,7 @@
 
 // Rule is the limit for a whole fleet. In any window, at most Ratio x requests + Extra
 // retries arrive; the requests are those in that window or in the one before it, whichever
-// has more. Every send of a request after the first counts as a retry.
+// has more. Every attempt of a request after the first counts as a retry.
 type Rule struct {
 	Ratio  float64
 	Extra  float64
@@ -20,10 +20,11 @@
 }
 
 const (
-	// maxTransit is how long a send may take to arrive. Sends of a longer period than a window
-	// can arrive within one window, so each counts for this much longer.
+	// maxTransit is how long an attempt may take to arrive. Attempts sent over a longer period
+	// than a window can arrive within one window, so each counts for this much longer.
 	maxTransit = time.Second
-	// depositsPerWindow is the number of intervals of a window for which deposits are kept.
+	// depositsPerWindow is the number of intervals in a window; the requests of one interval
+	// share a deposit.
 	depositsPerWindow = 40
 	// epsilon is the tolerated rounding error of a sum of fractions.
 	epsilon = 1e-9
@@ -141,8 +142,8 @@
 	return n
 }
 
-// useExtraLocked records a retry taken from Extra. At most Extra times are kept, regardless of the
-// window, so that they still count when operators lengthen the window.
+// useExtraLocked records the time of a retry taken from Extra. It keeps the last Extra of these
+// times, regardless of the window, so that they still count when operators lengthen the window.
 func (b *Budget) useExtraLocked(now time.Time, r Rule) {
 	b.extraUsed = append(b.extraUsed, now)
 	b.extraUsed = b.extraUsed[max(0, len(b.extraUsed)-int(r.Extra)):]
--- a/coord/retrybudget/retrybudget_test.go
+++ b/coord/retrybudget/retrybudget_test.go
@@ -13,7 +13,7 @@
 
 var rule = retrybudget.Rule{Ratio: 0.2, Extra: 20, Window: 10 * time.Second}
 
-// maxTransit is the longest time that a send takes to its upstream in these tests.
+// maxTransit is the longest time that an attempt takes to arrive in these tests.
 const maxTransit = time.Second
 
 var start = time.Unix(1000, 0)
@@ -53,7 +53,7 @@
 }
 
 // Guards against more retries than the rule allows in any window. Four processes send to a service
-// that fails at times; callers move between them, processes are killed and restart, and sends
+// that fails at times; callers move between them, processes are killed and restart, and attempts
 // arrive up to a second later.
 func TestRetriesStayWithinRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -72,7 +72,7 @@
 			for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, processes-1), 0, processes, rapid.ID).Draw(t, "killed") {
 				budgets[i], share[i].Since = retrybudget.Budget{}, now
 			}
-			rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "luck"), 0))
+			rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 			for end := now.Add(time.Duration(rapid.IntRange(500, 6000).Draw(t, "for_ms")) * time.Millisecond); now.Before(end); {
 				now = now.Add(time.Duration(pause) * time.Millisecond)
 				i := busy
--- a/coord/settlement/answers.go
+++ b/coord/settlement/answers.go
@@ -25,8 +25,9 @@
 	return report, ok
 }
 
-// setReport stores a borrower's report. A report without data does not replace one with data: the
-// next incarnation on a borrower's VM answers so when it is queried at the previous one's address.
+// setReport stores a borrower's report. A report with Known unset does not replace one with Known
+// set: the next incarnation on a borrower's VM sends such a report when it is queried at the
+// address of the previous one.
 func (c *AnswerCache) setReport(lender, borrower string, report grant.Borrowed) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/coord/settlement/borrowers.go
+++ b/coord/settlement/borrowers.go
@@ -6,7 +6,7 @@
 // borrowers is complete: a lender lends only to borrowers whose names are durably in the store,
 // and the list is sealed before any borrower is queried. Each report is final: a borrower that has
 // reported its usage accepts no more tokens of that lender. Both also hold for a live lender that
-// was presumed dead; its row is removed, and it stops when it notices that.
+// was presumed dead; it stops when it finds its row removed.
 //
 // The usage of a borrower that ended without a report is bounded by the lender's exposure limits.
 // If these are unavailable too, nothing is settled: all that the lender held counts as used.
@@ -52,7 +52,7 @@
 	return l, Error.Wrap(json.Unmarshal(value, &l))
 }
 
-// BorrowerRegistry is a lender's own list. It is safe for concurrent use.
+// BorrowerRegistry manages a lender's own list of borrowers. It is safe for concurrent use.
 type BorrowerRegistry struct {
 	Store store.Store
 	// Key is the store key of the list: the settler's prefix and the lender's incarnation.
@@ -94,7 +94,7 @@
 	return updated.Term, err
 }
 
-// writeLocked changes the list in the store. When a response is lost, the change is applied twice.
+// writeLocked changes the list in the store. If a response is lost, the change may be applied twice.
 func (r *BorrowerRegistry) writeLocked(ctx context.Context, change func(*borrowerList)) (borrowerList, error) {
 	var updated borrowerList
 	item, err := store.UpdateFrom(ctx, r.Store, r.Key, r.last, func(old store.Item) ([]byte, error) {
--- a/coord/settlement/exposure.go
+++ b/coord/settlement/exposure.go
@@ -30,9 +30,9 @@
 	Notify func(ctx context.Context, witness string, notice Notice) error
 	// Timeout bounds one message. Messages to the other witnesses continue after the first reply.
 	Timeout time.Duration
-	// Lookahead is how far in advance limits are raised: they cover the expected lending of this time.
+	// Lookahead is how far in advance limits are raised: they cover the lending expected in this time.
 	Lookahead time.Duration
-	// Now is the clock.
+	// Now returns the current time.
 	Now func() time.Time
 
 	mu        sync.Mutex
@@ -40,13 +40,13 @@
 	witnesses []string
 	// notified are the witnesses that have received all limits of this term.
 	notified map[string]bool
-	// pending are the tokens of lots that wait for a raise, and exposing the raises that they wait
-	// for, by budget and borrower.
+	// pending are the tokens of lots that wait for a raise, by budget and borrower; raises
+	// merges the concurrent raises of one budget and borrower.
 	pending map[lotKey]int64
 	raises  singleflight.Group
 }
 
-// lotKey identifies the lots that one borrower requests from one budget.
+// lotKey identifies the lots of one budget that one borrower requests.
 type lotKey struct{ budget, borrower string }
 
 var _ grant.Exposer = (*Exposure)(nil)
--- a/coord/settlement/settlement_test.go
+++ b/coord/settlement/settlement_test.go
@@ -151,7 +151,7 @@
 }
 
 // Guards against losing a borrower's report when it restarts: it reports while one of its requests
-// runs, and its next incarnation answers at the same address without data. The earlier report stays.
+// runs, and its next incarnation, at the same address, sends an empty one. The first report stays.
 func TestReportSurvivesBorrowerRestart(t *testing.T) {
 	f := newFixture(t)
 	require.NoError(t, f.borrow("router/1", 40))
--- a/coord/settlement/witness.go
+++ b/coord/settlement/witness.go
@@ -10,8 +10,8 @@
 )
 
 var (
-	// ErrNotAppointed is returned for a notice of changes when the witness has no full set of
-	// limits for its term, and for any notice of a term before the one that the witness has.
+	// ErrNotAppointed is returned for a notice of changed limits if the witness has no full set
+	// of limits for the notice's term, and for any notice of an earlier term than the witness's.
 	ErrNotAppointed = errs.New("the witness has no limits for this term of the lender")
 	// ErrWitnessFull is returned when a witness already holds limits for too many lenders.
 	ErrWitnessFull = errs.New("the witness holds limits for too many lenders")
@@ -52,8 +52,8 @@
 	lastNotice time.Time
 }
 
-// Apply merges the notice's limits into those it has, so that a notice may arrive late or twice. Its
-// errors are ErrNotAppointed and ErrWitnessFull.
+// Apply merges the notice's limits into those that the witness holds, so that a notice may arrive
+// late or twice. Its errors are ErrNotAppointed and ErrWitnessFull.
 func (w *Witness) Apply(now time.Time, notice Notice) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/coord/settlement/witness_test.go
+++ b/coord/settlement/witness_test.go
@@ -17,7 +17,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// errNoAnswer is the error of a message to a witness that is disconnected.
+// errNoAnswer is the error of a message to an unreachable witness.
 var errNoAnswer = errors.New("no answer")
 
 // witnessFixture is a fixture whose lender has witnesses.
@@ -133,7 +133,7 @@
 			require.NoError(t, f.use("router/1", 30, 30))
 			f.kill("router/1")
 			_, err := f.settle()
-			require.ErrorIs(t, err, settlement.ErrUsagePending, "the witness that is cut off may have higher limits")
+			require.ErrorIs(t, err, settlement.ErrUsagePending, "the unreachable witness may have higher limits")
 			f.unreachable[witness] = false
 			used, err := f.settle()
 			require.NoError(t, err)
@@ -273,11 +273,11 @@
 		f := newWitnessFixture(t)
 		require.NoError(t, f.exposure.Appoint(t.Context(), "lender/2"))
 		require.NoError(t, f.use("router/1", 1, 1))
-		tell, raises := f.exposure.Notify, 0
+		notify, raises := f.exposure.Notify, 0
 		f.exposure.Notify = func(ctx context.Context, witness string, n settlement.Notice) error {
 			raises++
 			time.Sleep(time.Millisecond)
-			return tell(ctx, witness, n)
+			return notify(ctx, witness, n)
 		}
 		var wg sync.WaitGroup
 		for n := range 40 {
--- a/coord/witness/witness.go
+++ b/coord/witness/witness.go
@@ -167,7 +167,7 @@
 		return
 	}
 	rec.done = true
-	if rec.refs == 0 { // it used no tokens, so no holder reports it
+	if rec.refs == 0 { // it reserved no tokens, so no holder reports it
 		w.forgetLocked(rec)
 	}
 	r := rec.run.Reservation
