--- a/admission/lag.go
+++ b/admission/lag.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Lag estimates how long work waits for the VM's processor, by the delay of a periodic timer. Like
-// Link, it handles overload, at a VM with a small share of a core: everything that the process
-// does is delayed by the same time then. It is safe for concurrent use.
+// Lag estimates how long work waits for the VM's processor, by the delay of a periodic timer. It
+// handles the same overload as Link, at a VM with a small share of a core, where everything that
+// the process does is delayed by the same time. It is safe for concurrent use.
 type Lag struct {
 	// Period is the period of the timer.
 	Period time.Duration
--- a/admission/link.go
+++ b/admission/link.go
@@ -51,7 +51,7 @@
 const (
 	maxDelay     = 240 * time.Millisecond
 	delayPerRank = 60 * time.Millisecond
-	// maxRankSteps is the rank from which on all ranks share the same bound.
+	// maxRankSteps is the first rank with the lowest bound; all less urgent ranks share it.
 	maxRankSteps = 3
 	// alwaysAdmittedBytes is the size up to which requests are always accepted: refusing them
 	// costs the link as much as passing them on.
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -43,7 +43,7 @@
 	Targets []Target
 	// Timeout is the maximum time that a caller waits.
 	Timeout time.Duration
-	// Goal is the latency objective of an answer, for streams of the first event.
+	// Goal is the latency objective for the answer; for a stream, for its first event.
 	Goal time.Duration
 	// GapGoal is the objective for the longest gap between two events.
 	GapGoal time.Duration
@@ -115,7 +115,7 @@
 	Regions Regions
 }
 
-// Limits limits what callers may send.
+// Limits bounds the requests that callers may send.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -151,7 +151,7 @@
 	return t
 }
 
-// Route returns the route of the host whose prefix is the longest that begins path.
+// Route returns the host's route with the longest prefix that matches path, nil if there is none.
 func (t *Table) Route(host, path string) *Route {
 	prefixes := t.routes[host]
 	for i := len(path); i > 0; i-- {
--- a/coord/incarnation/incarnation.go
+++ b/coord/incarnation/incarnation.go
@@ -61,7 +61,7 @@
 	return vm, count, nil
 }
 
-// Begin starts the VM's next incarnation and returns its name. A lost answer only
+// Begin starts the VM's next incarnation and returns its name. A lost response only
 // skips a number; the skipped incarnation counts as lost, although it had no state.
 func (r Registry) Begin(ctx context.Context, vm, role string) (string, error) {
 	var count int64
--- a/coord/lapse/lapse.go
+++ b/coord/lapse/lapse.go
@@ -33,15 +33,15 @@
 	d.graceEnd = now.Add(grace)
 }
 
-// RecordRead records what a read shows of the entries known before: how many of them still exist as
-// they were created, so that their leases have not run out, and how many were created again.
+// RecordRead records how many of the entries known before a read still exist with their original
+// lease, and how many were recreated since.
 func (d *Detector) RecordRead(surviving, recreated int) {
 	d.surviving = surviving
 	d.missing += recreated
 }
 
-// RecordMissing records an entry that has disappeared; hadSurvived is whether it had outlasted the loss so
-// far.
+// RecordMissing records an entry that has disappeared; hadSurvived reports whether it was counted
+// as surviving the loss before.
 func (d *Detector) RecordMissing(hadSurvived bool) {
 	d.missing++
 	if hadSurvived {
@@ -52,7 +52,7 @@
 // InGrace reports whether an entry that disappears now may have lapsed at all.
 func (d *Detector) InGrace(now time.Time) bool { return now.Before(d.graceEnd) }
 
-// GraceEnd returns the end of the grace period in which that is possible.
+// GraceEnd returns the end of the grace period.
 func (d *Detector) GraceEnd() time.Time { return d.graceEnd }
 
 // Lapsed reports whether the missing entries count as lapsed, so that their owners are considered
--- a/coord/lapse/lapse_test.go
+++ b/coord/lapse/lapse_test.go
@@ -14,14 +14,14 @@
 // lapsed after the grace period.
 func TestLapsedShare(t *testing.T) {
 	now := time.Unix(1000, 0)
-	for kept, lapsed := range map[int]bool{12: false, 2: false, 1: true, 0: true} {
+	for surviving, lapsed := range map[int]bool{12: false, 2: false, 1: true, 0: true} {
 		d := &Detector{}
 		d.StartGrace(now, grace)
-		d.RecordRead(kept, 0)
+		d.RecordRead(surviving, 0)
 		for range 4 {
 			d.RecordMissing(false)
 		}
-		require.Equal(t, lapsed, d.Lapsed(now), "%d kept", kept)
+		require.Equal(t, lapsed, d.Lapsed(now), "%d surviving", surviving)
 		require.False(t, d.Lapsed(now.Add(grace)))
 	}
 }
@@ -50,7 +50,7 @@
 	d.RecordRead(3, 0)
 	d.RecordMissing(false)
 	require.False(t, d.Lapsed(now))
-	missing, kept := d.Counts()
+	missing, surviving := d.Counts()
 	require.Equal(t, 1, missing)
-	require.Equal(t, 3, kept)
+	require.Equal(t, 3, surviving)
 }
--- a/coord/member/lease.go
+++ b/coord/member/lease.go
@@ -15,11 +15,11 @@
 	// not listed gets no work from others, but a whole fleet may be retrying at once.
 	retryMin = 250 * time.Millisecond
 	retryMax = 2 * time.Second
-	// findTries is how often the list is read at startup until it holds another member, and
+	// findAttempts is how often the list is read at startup until it holds another member, and
 	// findPause the pause between reads. All members of a fleet that starts at once are listed
 	// within that time.
-	findTries = 3
-	findPause = 150 * time.Millisecond
+	findAttempts = 3
+	findPause    = 150 * time.Millisecond
 	// findTimeout bounds one such read: a store that is slower by a factor of 100 still answers
 	// within it.
 	findTimeout = 500 * time.Millisecond
@@ -63,12 +63,12 @@
 	return retry.Next()
 }
 
-// FindPeers reads the list at startup until it holds another member, or for a third of a second. Before
-// that a process has no relay to follow, and if each process of a starting fleet followed the store
-// meanwhile, their calls would overload it.
+// FindPeers reads the list at startup until it holds another member, or for a third of a second.
+// Before that a process has no relay to follow, and if each process of a starting fleet followed
+// the store meanwhile, their calls would overload it.
 func (g *Group) FindPeers(ctx context.Context) {
-	for try := range findTries {
-		if try > 0 && backoff.Sleep(ctx, findPause) != nil {
+	for attempt := range findAttempts {
+		if attempt > 0 && backoff.Sleep(ctx, findPause) != nil {
 			return
 		}
 		reading, cancel := context.WithTimeout(ctx, findTimeout)
--- a/coord/member/member.go
+++ b/coord/member/member.go
@@ -1,5 +1,5 @@
-// Package member is the membership of a fleet: each process keeps a key with a lease in the
-// store, and follows the keys of all.
+// Package member maintains the membership of a fleet: each process keeps a key with a lease in
+// the store, and follows the keys of all processes.
 package member
 
 import (
@@ -34,11 +34,11 @@
 }
 
 // Group is a process's view of all members, itself included while its lease is valid. It
-// implements mirror.Reader and is kept up to date by a reader of the members' keys.
+// implements mirror.Reader, through which it receives the members' keys.
 //
 // While the keys are not followed the view stays as it was: members without updates are more
-// likely alive than gone, and what is divided by their number (retry budget, connections) is
-// then divided by too many rather than too few.
+// likely alive than gone, and limits that are divided by their number (retry budget, connections)
+// are then divided by too many rather than too few.
 type Group struct {
 	// Store and Prefix are the location of the keys.
 	Store  store.Store
@@ -100,8 +100,8 @@
 	MemberUnreadable(err error)
 }
 
-// Count returns the number of known members of a role, at least 1; known is false until the
-// store was read once.
+// Count returns the number of members of a role, at least 1; known is false until the store was
+// read once.
 func (g *Group) Count(role string) (n int, known bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -204,7 +204,7 @@
 	return newest
 }
 
-// Members lists the known members.
+// Members lists the members of all roles.
 func (g *Group) Members() []Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/coord/member/member_test.go
+++ b/coord/member/member_test.go
@@ -107,14 +107,14 @@
 		for _, g := range groups {
 			g.Lost(store.ErrUnknown)
 			g.Reset(nil)
-			require.Len(t, g.Members(), 2, "they may live")
+			require.Len(t, g.Members(), 2, "they may be alive")
 		}
 		for _, it := range items {
 			require.NoError(t, s.Delete(ctx, it.Key, it.Revision))
 		}
 		synctest.Wait()
 		for _, g := range groups {
-			require.Len(t, g.Members(), 2, "they may live")
+			require.Len(t, g.Members(), 2, "they may be alive")
 		}
 		time.Sleep(500 * time.Millisecond)
 		for _, g := range groups {
@@ -232,12 +232,12 @@
 			items = append(items, store.Item{Key: "m/" + id, Value: []byte(value), Revision: store.Revision(i + 1)})
 		}
 		g.Reset(items)
-		b.Run(fmt.Sprint("kept ", n), func(b *testing.B) {
+		b.Run(fmt.Sprint("cached ", n), func(b *testing.B) {
 			for b.Loop() {
 				g.Rank("page", "lender")
 			}
 		})
-		b.Run(fmt.Sprint("anew ", n), func(b *testing.B) {
+		b.Run(fmt.Sprint("recomputed ", n), func(b *testing.B) {
 			for b.Loop() {
 				g.rankLocked("page", "lender")
 			}
--- a/coord/member/view.go
+++ b/coord/member/view.go
@@ -24,8 +24,8 @@
 const formerRetention = time.Minute
 
 // returnGrace is how long members that are missing after an outage are kept: live ones register
-// again with their next renewal. A view that empties and refills would move every primary of a budget
-// twice.
+// again with their next renewal. A view that empties and refills would move the primary of every
+// budget twice.
 const returnGrace = 10 * time.Second
 
 // Reset implements mirror.Reader.
@@ -114,8 +114,8 @@
 	g.resolveMissingLocked(now)
 	g.byUpstream, g.rankings = nil, nil
 	g.version++
-	_, missed := g.missing[g.Prefix+g.Self.ID]
-	unlisted := g.lease != 0 && !g.withdrawn && (missed || g.wasListedLocked())
+	_, missing := g.missing[g.Prefix+g.Self.ID]
+	unlisted := g.lease != 0 && !g.withdrawn && (missing || g.wasListedLocked())
 	g.mu.Unlock()
 	if unlisted {
 		g.wake()
--- a/coord/relay/feed.go
+++ b/coord/relay/feed.go
@@ -122,7 +122,7 @@
 	f.lost = true
 }
 
-// since returns what changed after a position, and whether that is new to the follower.
+// since returns the changes after a position, and whether the update is new to the follower.
 func (f *feed) since(p Position) (u Update, hasNew bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -147,7 +147,8 @@
 
 func byRevision(c Change, r store.Revision) int { return cmp.Compare(c.Revision, r) }
 
-// staleAt is when the copy counts as not followed unless the store answers before.
+// staleAt returns the time at which the copy counts as not followed, unless the store answers
+// before.
 func (f *feed) staleAt() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/coord/relay/follower.go
+++ b/coord/relay/follower.go
@@ -178,11 +178,11 @@
 	}
 }
 
-// poll polls a source once. A source that failed before, or that comes after one that did not answer,
-// is polled without a wait, so that it delays changes by no more than answerSlack if it does not answer
-// either. Otherwise relays that lose power together would use up the seconds in which changes must
-// take effect. A source that is known to have lost the store answers when it reaches the store
-// again, or after the wait.
+// poll polls a source once. A source that failed before, or that comes after one that did not
+// answer, is polled without a wait, so that it delays changes by no more than answerSlack if it does
+// not answer either. Otherwise relays that lose power together would use up the seconds in which
+// changes must take effect. If knownLost is set, the source has reported the loss of the store: it
+// answers when it reaches the store again, or after the wait.
 func (f *Follower) poll(ctx context.Context, s Source, knownLost bool) {
 	wait := pollWait
 	if cd := f.cooldowns[s.Name]; cd != nil && cd.failures > 0 || f.failing && !knownLost {
--- a/coord/relay/hub.go
+++ b/coord/relay/hub.go
@@ -176,8 +176,8 @@
 	h.waiting--
 }
 
-// nextCheck is when a waiting follower's positions are read again: at the next update, or when
-// a feed becomes stale.
+// nextCheck defines when a waiting follower's positions are read again: at the next update, or
+// when a feed becomes stale.
 type nextCheck struct {
 	updated <-chan struct{}
 	staleAt time.Time // zero if the loss of all feeds is already reported
@@ -203,7 +203,7 @@
 	hasNew bool
 }
 
-// readPositions returns what changed after each of a request's positions.
+// readPositions returns the changes after each of a request's positions.
 func (h *Hub) readPositions(r Request) (out readResult, next nextCheck, err error) {
 	feeds, updated, err := h.feedsFor(r.Positions)
 	if err != nil {
--- a/coord/relay/pack.go
+++ b/coord/relay/pack.go
@@ -28,8 +28,8 @@
 
 // pack replaces the large values of a reply by compressed ones. A configuration of 2,000 routes
 // has 500 kB. Over a link of 10 Mbit/s with 3 Mbit/s free, such an answer takes longer than a
-// follower waits: it would switch from relay to relay and receive no change for 3.4 s, nor any
-// upstream that leaves. Compression leaves less than a third (TestLargeValuesArePacked).
+// follower waits: it would switch from relay to relay and receive no change for 3.4 s, not even
+// that an upstream leaves. Compression leaves less than a third (TestLargeValuesArePacked).
 func (p *packer) pack(r Reply) {
 	for _, u := range r.Updates {
 		for i, c := range u.Changes {
@@ -73,7 +73,7 @@
 			if c.Packed == nil {
 				continue
 			}
-			// Never decompress more than the store can hold, whatever a relay sends.
+			// Never decompress more than the store can hold: the relay is not trusted.
 			limited := io.LimitReader(flate.NewReader(bytes.NewReader(c.Packed)), store.MaxValueBytes+1)
 			value, err := io.ReadAll(limited)
 			if err != nil {
--- a/coord/relay/relay.go
+++ b/coord/relay/relay.go
@@ -6,8 +6,9 @@
 // than the rest, because its list of members differs, costs the store a few more calls and
 // nothing else.
 //
-// Followers never go back: each change carries the store's revision, a follower sends the
-// revision up to which it has everything, and accepts nothing older from any relay. A stale
+// A follower's copy never returns to an older revision: each change carries the store's
+// revision, a follower sends the revision up to which it has all changes, and accepts nothing
+// older from any relay. A stale
 // copy is always detected: a relay reports when it lost the store and how long ago the store
 // last answered, and a follower that gets no answer in time polls another relay, and finally
 // the store itself.
--- a/coord/relay/relay_test.go
+++ b/coord/relay/relay_test.go
@@ -169,8 +169,8 @@
 }
 
 // Guards against a compacted history that is treated as an outage: the store compacts changes that
-// were not read yet. Followers must get the keys with the relay's next read of the store, without a
-// reported loss: the missing keys were removed.
+// were not read yet. Followers must get the keys with the relay's next read of the store and drop
+// the missing ones, which were removed. At most one loss may be reported.
 func TestCompactedHistory(t *testing.T) {
 	withCluster(t, 1, 2, func(tc *testCluster) {
 		tc.put("a", "1")
@@ -227,12 +227,12 @@
 			{Name: "lost/", Store: conn, StaleAfter: 1600 * time.Millisecond},
 			{Name: keys, Store: s, StaleAfter: 1600 * time.Millisecond}}}
 		wg.Go(func() { h.Run(ctx) })
-		var asked atomic.Int64
+		var polls atomic.Int64
 		lost, other := newCopy(), newCopy()
 		f := &Follower{Store: "s", Readers: map[string]mirror.Reader{"lost/": lost, keys: other}, Report: nopReporter{}, Now: time.Now,
 			Sources: func() []Source {
 				return []Source{{Name: "own", Follow: func(ctx context.Context, r Request) (Reply, error) {
-					asked.Add(1)
+					polls.Add(1)
 					return h.Follow(ctx, r)
 				}}}
 			}}
@@ -240,14 +240,14 @@
 		time.Sleep(5 * time.Second)
 		conn.disconnected.Store(true)
 		time.Sleep(5 * time.Second)
-		before := asked.Load()
+		before := polls.Load()
 		for n := range 5 {
 			_, err := s.CompareAndSwap(ctx, fmt.Sprint(keys, n), 0, []byte("v"), 0)
 			require.NoError(t, err)
 			time.Sleep(2 * time.Second)
 			require.Len(t, other.values(), n+1)
 		}
-		require.Less(t, asked.Load()-before, int64(40))
+		require.Less(t, polls.Load()-before, int64(40))
 		_, losses := lost.lossState()
 		require.Equal(t, 1, losses)
 		_, losses = other.lossState()
@@ -262,17 +262,17 @@
 // A hub rejects requests that it cannot serve, each with its own error.
 func TestHubRefuses(t *testing.T) {
 	h := &Hub{Store: "s", Prefixes: []Prefix{{Name: keys, Store: memstore.New(), StaleAfter: time.Second}}, MaxFollowers: 1, Now: time.Now}
-	ask := func(store, prefix string) error {
+	follow := func(store, prefix string) error {
 		_, err := h.Follow(t.Context(), Request{Store: store, Positions: []Position{{Prefix: prefix}}})
 		return err
 	}
-	require.ErrorIs(t, ask("another fleet's", keys), ErrOtherStore)
-	require.ErrorIs(t, ask("s", "not/followed/"), ErrUnknownPrefix)
+	require.ErrorIs(t, follow("another fleet's", keys), ErrOtherStore)
+	require.ErrorIs(t, follow("s", "not/followed/"), ErrUnknownPrefix)
 	h.waiting = 1
-	require.ErrorIs(t, ask("s", keys), ErrTooManyFollowers)
+	require.ErrorIs(t, follow("s", keys), ErrTooManyFollowers)
 	h.waiting = 0
 	h.Stop()
-	require.ErrorIs(t, ask("s", keys), ErrStopping)
+	require.ErrorIs(t, follow("s", keys), ErrStopping)
 }
 
 // Guards against load on the store from idle relays: a hub without requests must stop following
@@ -296,7 +296,7 @@
 
 // A fleet of hundreds of processes must use one relay for each hundred, all processes the same
 // relays, with the followers spread over them.
-func TestOrder(t *testing.T) {
+func TestRankRelays(t *testing.T) {
 	var candidates []string
 	for n := range 160 {
 		candidates = append(candidates, fmt.Sprint("vm-", n))
--- a/coord/store/memstore/memstore.go
+++ b/coord/store/memstore/memstore.go
@@ -18,7 +18,7 @@
 type Faults struct {
 	// Down makes every call fail without effect, with store.ErrUnknown.
 	Down bool `json:"down"`
-	// LoseResponses is the number of next writes that take effect and then
+	// LoseResponses is the number of subsequent writes that take effect and then
 	// return store.ErrUnknown, as if the response were lost.
 	LoseResponses int `json:"lose_writes"`
 	// Delay is the latency added to each call.
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -45,8 +45,8 @@
 	UpstreamChanged(u Upstream)
 	// UpstreamMissing is called when an entry is missing after the store could not be reached.
 	// live reports whether the missing upstreams are treated as live for a while, which depends on
-	// the number of entries that are missing and that survived the loss.
-	UpstreamMissing(u Upstream, live bool, missing, kept int)
+	// how many entries are missing and how many survived the loss.
+	UpstreamMissing(u Upstream, live bool, missing, surviving int)
 	// UpstreamGone is called when an upstream is no longer treated as live.
 	UpstreamGone(u Upstream, reason string)
 	// DirectoryLost is called when the watch of the entries fails, DirectoryRead when all of them
@@ -72,8 +72,8 @@
 	// services holds the upstreams that accept new requests. It is replaced on each change and
 	// never modified.
 	services map[string][]Upstream
-	// drained holds the data centres that get no requests, undrainedAt the time at which the drain
-	// of others was canceled.
+	// drained holds the data centres that get no new requests, undrainedAt the times at which the
+	// drains of others were canceled.
 	drained     map[string]bool
 	undrainedAt map[string]time.Time
 	// outage reports whether the store failed since the last Reset.
@@ -219,7 +219,7 @@
 	if d.unreadable == nil {
 		d.unreadable = map[string]store.Revision{}
 	}
-	if known, ok := d.unreadable[it.Key]; !ok || known != it.Revision {
+	if reported, ok := d.unreadable[it.Key]; !ok || reported != it.Revision {
 		d.unreadable[it.Key] = it.Revision
 		d.Report.UpstreamUnreadable(err)
 	}
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -162,7 +162,8 @@
 	d.Changed(store.Event{Item: store.Item{Key: "u/old", Value: []byte("ready"), Revision: 12, Created: 5}})
 	require.ElementsMatch(t, []string{"new", "other"}, ids(d), "a late write of the previous incarnation has no effect")
 
-	// Another writer's entry names the address of a living upstream: the first request there shows it.
+	// Another writer's entry has the address of a live upstream; it is rejected after the first
+	// request sent there.
 	d.Changed(store.Event{Item: created("false", 14)})
 	require.ElementsMatch(t, []string{"new", "false"}, ids(d))
 	d.Reject(Incarnation{ID: "false"})
@@ -233,7 +234,7 @@
 	require.ElementsMatch(t, []string{"b", "c", "d"}, ids(d))
 	now = now.Add(time.Second)
 	d.Changed(store.Event{Item: store.Item{Key: "u/b", Revision: 2}, Deleted: true})
-	require.ElementsMatch(t, []string{"c", "d"}, ids(d), "nor was there an outage for upstreams removed after the partition")
+	require.ElementsMatch(t, []string{"c", "d"}, ids(d), "an upstream removed after the partition is dropped at once, too")
 }
 
 // created returns an entry created at one revision and last written at another.
--- a/directory/drained.go
+++ b/directory/drained.go
@@ -35,7 +35,7 @@
 	return slices.Sorted(maps.Keys(d.drained))
 }
 
-// CountInDatacentre returns the number of known upstreams in a data centre, whether or not they get
+// CountInDatacentre returns the number of upstreams in a data centre, including those that get no
 // requests.
 func (d *Directory) CountInDatacentre(datacentre string) int {
 	d.mu.Lock()
@@ -49,8 +49,8 @@
 	return n
 }
 
-// Accepts reports whether an upstream accepts new requests now. It is checked again before the send,
-// since asking the upstream's lender after the choice may take a while.
+// Accepts reports whether an upstream accepts new requests now. Routers check it again before they
+// send a request, since querying the upstream's lender after the choice may take a while.
 func (d *Directory) Accepts(u Upstream) bool {
 	return slices.ContainsFunc(d.ForService(u.Service), func(other Upstream) bool { return other.Incarnation == u.Incarnation })
 }
--- a/directory/incarnation.go
+++ b/directory/incarnation.go
@@ -6,8 +6,8 @@
 // upstream may restart under the same id and has lost all its state then, so everything recorded
 // about an upstream belongs to one incarnation.
 //
-// Incarnations are compared for equality only. Their order follows from the revisions of the store, never
-// from start times, since clocks step.
+// Incarnations are compared for equality only. Their order follows from the revisions of the store,
+// never from start times, since clocks step.
 type Incarnation struct {
 	// ID is the id under which the upstream is registered.
 	ID string `json:"id"`
--- a/directory/index.go
+++ b/directory/index.go
@@ -39,9 +39,9 @@
 	return 2*withStart > len(d.entries)
 }
 
-// supersedeLocked marks the entries for whose address another one has registered since. Upstreams
-// that lose power restart at their addresses, and their old entries remain until the leases
-// expire: requests sent there reach another process, and a few in a row end the request. A
+// supersedeLocked marks each entry whose address has a newer entry. Upstreams that lose power
+// restart at their addresses, and their old entries remain until the leases expire. A request sent
+// to such an entry reaches another process, and fails after a few such attempts in a row. A
 // rejected entry supersedes nothing.
 func (d *Directory) supersedeLocked() {
 	newest := map[string]*entry{} // by address
@@ -60,8 +60,8 @@
 	}
 }
 
-// ForService returns the upstreams of a service that accept new requests. The caller must not modify the
-// list.
+// ForService returns the upstreams of a service that accept new requests. The caller must not
+// modify the list.
 func (d *Directory) ForService(service string) []Upstream {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/directory/missing.go
+++ b/directory/missing.go
@@ -31,8 +31,8 @@
 		d.entries[key] = e
 		d.lapseDetector.RecordMissing(e.survived)
 		e.survived = false
-		missing, kept := d.lapseDetector.Counts()
-		d.Report.UpstreamMissing(e.Upstream, d.lapseDetector.Lapsed(now), missing, kept)
+		missing, surviving := d.lapseDetector.Counts()
+		d.Report.UpstreamMissing(e.Upstream, d.lapseDetector.Lapsed(now), missing, surviving)
 	default:
 		d.Report.UpstreamGone(e.Upstream, "entry removed")
 	}
--- a/poison/evidence.go
+++ b/poison/evidence.go
@@ -41,9 +41,9 @@
 	Age      time.Duration `json:"age_ns"`
 }
 
-// ForService returns the evidence that applies to requests to a service. Crashes count for all services,
-// since operators move and split routes, except for a service that has answered the prompt itself:
-// only its own crashes count there.
+// ForService returns the evidence that applies to requests to a service. Crashes count for all
+// services, since operators move and split routes. For a service that has answered the prompt
+// itself, only its own crashes count.
 func (e Evidence) ForService(service string) Evidence {
 	if !slices.Contains(e.Answered, service) {
 		return e
--- a/poison/registry.go
+++ b/poison/registry.go
@@ -17,7 +17,7 @@
 	// maxTrials limits how often a proven prompt is tried again.
 	maxTrials = 3
 	// trialInterval is the time between the starts of two requests that try a prompt on trial:
-	// longer than engines usually take to read a prompt and begin to answer.
+	// longer than engines usually take to prefill a prompt and begin to answer.
 	trialInterval = 2 * time.Second
 	// refusalPeriod is how long a prompt is refused after the crash that proved it. Then it is on
 	// trial again, since engines are upgraded. Each further crash doubles the period.
@@ -113,22 +113,22 @@
 func (r *Registry) Add(now time.Time, e Evidence) (all Evidence, added bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known := r.recordLocked(now, e.Prompt)
+	rec := r.recordLocked(now, e.Prompt)
 	for _, e := range e.Crashes {
-		added = known.add(e.Upstream, crash{service: e.Service, at: now.Add(-e.Age)}) || added
+		added = rec.add(e.Upstream, crash{service: e.Service, at: now.Add(-e.Age)}) || added
 	}
 	for _, service := range e.Answered {
-		known.answered[service] = true
+		rec.answered[service] = true
 	}
-	known.lastStanding = max(known.lastStanding, known.standing(now))
-	return known.evidence(now, e.Prompt), added
+	rec.lastStanding = max(rec.lastStanding, rec.standing(now))
+	return rec.evidence(now, e.Prompt), added
 }
 
 // recordLocked returns the record of a prompt and creates it if there is none.
 func (r *Registry) recordLocked(now time.Time, p Prompt) *record {
 	r.dropExpiredLocked(now, p)
-	if known := r.records[p]; known != nil {
-		return known
+	if rec := r.records[p]; rec != nil {
+		return rec
 	}
 	if r.records == nil {
 		r.records = map[Prompt]*record{}
@@ -136,14 +136,14 @@
 	if len(r.records) >= maxPrompts {
 		r.evictLocked()
 	}
-	known := &record{crashes: map[string]crash{}, answered: map[string]bool{}}
-	r.records[p] = known
-	return known
+	rec := &record{crashes: map[string]crash{}, answered: map[string]bool{}}
+	r.records[p] = rec
+	return rec
 }
 
 // dropExpiredLocked removes a prompt whose evidence has expired.
 func (r *Registry) dropExpiredLocked(now time.Time, p Prompt) {
-	if known := r.records[p]; known != nil && known.expired(now) {
+	if rec := r.records[p]; rec != nil && rec.expired(now) {
 		delete(r.records, p)
 	}
 }
@@ -153,9 +153,9 @@
 func (r *Registry) evictLocked() {
 	var out Prompt
 	var least *record
-	for p, known := range r.records {
-		if least == nil || known.weakerThan(least) {
-			out, least = p, known
+	for p, rec := range r.records {
+		if least == nil || rec.weakerThan(least) {
+			out, least = p, rec
 		}
 	}
 	delete(r.records, out)
@@ -182,50 +182,50 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.dropExpiredLocked(now, p)
-	if known := r.records[p]; known != nil {
-		return known.evidence(now, p)
+	if rec := r.records[p]; rec != nil {
+		return rec.evidence(now, p)
 	}
 	return Evidence{Prompt: p}
 }
 
-// Allow reports whether the request with this id may send a prompt to a service now, and records the
-// trial if the prompt is on trial. Only the prompt's owner calls it.
+// Allow reports whether the request with this id may send a prompt to a service now, and records
+// the trial if the prompt is on trial. Only the process that decides for the prompt calls it.
 func (r *Registry) Allow(now time.Time, p Prompt, service, request string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.dropExpiredLocked(now, p)
-	known := r.records[p]
-	if known == nil {
+	rec := r.records[p]
+	if rec == nil {
 		return true
 	}
-	switch standing := known.evidence(now, p).ForService(service).Standing(); {
+	switch standing := rec.evidence(now, p).ForService(service).Standing(); {
 	case standing < OnTrial:
 		return true
 	case standing == Proven:
 		return false
-	case known.trialRequest == request:
+	case rec.trialRequest == request:
 		return true // the first upstream chosen for it could not be reached
-	case now.Sub(known.lastTrial) < trialInterval:
+	case now.Sub(rec.lastTrial) < trialInterval:
 		return false
 	}
-	known.lastTrial, known.trialRequest = now, request
+	rec.lastTrial, rec.trialRequest = now, request
 	return true
 }
 
-// RecordAnswer records that a service answered a prompt, and returns the evidence that applied to the
-// service before. Crashes of that service no longer count; those of other services still count for
-// these.
+// RecordAnswer records that a service answered a prompt, and returns the evidence that applied to
+// the service before. The service's own crashes no longer count; crashes of other services still
+// count, but not for this one.
 func (r *Registry) RecordAnswer(now time.Time, p Prompt, service string) Evidence {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known := r.records[p]
-	if known == nil {
+	rec := r.records[p]
+	if rec == nil {
 		return Evidence{Prompt: p}
 	}
-	was := known.evidence(now, p).ForService(service)
-	maps.DeleteFunc(known.crashes, func(_ string, c crash) bool { return c.service == service })
-	known.answered[service] = true
-	if len(known.crashes) == 0 {
+	was := rec.evidence(now, p).ForService(service)
+	maps.DeleteFunc(rec.crashes, func(_ string, c crash) bool { return c.service == service })
+	rec.answered[service] = true
+	if len(rec.crashes) == 0 {
 		delete(r.records, p)
 	}
 	return was
@@ -242,10 +242,10 @@
 func (r *Registry) Expire(now time.Time) (changes []StandingChange) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for p, known := range r.records {
-		c := StandingChange{Prompt: p, Was: known.lastStanding, Now: known.standing(now)}
-		known.lastStanding = c.Now
-		if known.expired(now) {
+	for p, rec := range r.records {
+		c := StandingChange{Prompt: p, Was: rec.lastStanding, Now: rec.standing(now)}
+		rec.lastStanding = c.Now
+		if rec.expired(now) {
 			c.Now = Clear
 			delete(r.records, p)
 		}
@@ -275,9 +275,9 @@
 func (r *Registry) atLeast(now time.Time, least Standing) (all []Evidence) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for p, known := range r.records {
-		if known.standing(now) >= least {
-			all = append(all, known.evidence(now, p))
+	for p, rec := range r.records {
+		if rec.standing(now) >= least {
+			all = append(all, rec.evidence(now, p))
 		}
 	}
 	return all
--- a/poison/registry_test.go
+++ b/poison/registry_test.go
@@ -28,7 +28,7 @@
 		return Identify(r)
 	}
 	same := request(func(*serving.Request) {})
-	require.Equal(t, same, request(func(r *serving.Request) { r.ID, r.Team, r.LastEvent, r.URI = "2", "skippers", "7", "/a/2" }), "a retry, whoever asks")
+	require.Equal(t, same, request(func(r *serving.Request) { r.ID, r.Team, r.LastEvent, r.URI = "2", "skippers", "7", "/a/2" }), "a retry, from any caller")
 	require.Equal(t, same, request(func(r *serving.Request) { r.Service.Name = "other" }), "the route was moved or split")
 	for name, change := range map[string]func(r *serving.Request){
 		"last part":   func(r *serving.Request) { r.Parts[1].ID = "cc" },
@@ -132,7 +132,7 @@
 // fleet simulates upstreams that run prompts. Some prompts crash them; others crash by chance.
 type fleet struct {
 	t        *rapid.T
-	register Registry
+	registry Registry
 	now      time.Time
 	requests int
 	// running holds the prompts at each upstream.
@@ -148,7 +148,7 @@
 func (f *fleet) crash(upstream string) {
 	slices.Sort(f.running[upstream])
 	for _, p := range slices.Compact(f.running[upstream]) {
-		f.register.Add(f.now, crashEvidence(p, fmt.Sprint(upstream, "@", f.now.UnixNano())))
+		f.registry.Add(f.now, crashEvidence(p, fmt.Sprint(upstream, "@", f.now.UnixNano())))
 		f.crashesSinceAnswer[p]++
 	}
 	f.running[upstream] = nil
@@ -156,7 +156,7 @@
 
 func (f *fleet) send(p Prompt, upstream string) {
 	f.requests++
-	if !f.register.Allow(f.now, p, "model", fmt.Sprint(f.requests)) {
+	if !f.registry.Allow(f.now, p, "model", fmt.Sprint(f.requests)) {
 		if f.crashesSinceAnswer[p] < trialThreshold {
 			f.refused++
 		}
@@ -175,7 +175,7 @@
 	p := f.running[upstream][0]
 	f.running[upstream] = f.running[upstream][1:]
 	if !crashesUpstreams(p) {
-		f.register.RecordAnswer(f.now, p, "model")
+		f.registry.RecordAnswer(f.now, p, "model")
 		f.crashesSinceAnswer[p] = 0
 	}
 }
@@ -187,30 +187,30 @@
 // than two crashes is refused.
 func TestThresholdsInRandomMixes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &fleet{t: t, now: start, running: map[string][]Prompt{}, crashesSinceAnswer: map[Prompt]int{}}
+		f := &fleet{t: t, now: start, running: map[string][]Prompt{}, crashesSinceAnswer: map[Prompt]int{}}
 		upstreams := rapid.IntRange(2, 12).Draw(t, "upstreams")
 		kinds := rapid.SampledFrom([]string{"d", "g", "gg", "dg", "dggg"}).Draw(t, "kinds")
 		for range rapid.IntRange(20, 200).Draw(t, "steps") {
-			w.now = w.now.Add(time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond)
+			f.now = f.now.Add(time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond)
 			upstream := fmt.Sprint("i-", rapid.IntRange(1, upstreams).Draw(t, "upstream"))
 			p := Prompt(fmt.Sprint(string(kinds[rapid.IntRange(0, len(kinds)-1).Draw(t, "kind")]), rapid.IntRange(1, 5).Draw(t, "prompt")))
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
-				w.crash(upstream) // by chance
+				f.crash(upstream) // by chance
 			case 1, 2, 3:
-				w.answer(upstream)
+				f.answer(upstream)
 			case 4:
-				for _, running := range w.running[upstream] {
+				for _, running := range f.running[upstream] {
 					if crashesUpstreams(running) {
-						w.crash(upstream)
+						f.crash(upstream)
 						break
 					}
 				}
 			default:
-				w.send(p, upstream)
+				f.send(p, upstream)
 			}
 		}
-		require.Zero(t, w.sentAfterProof)
-		require.Zero(t, w.refused)
+		require.Zero(t, f.sentAfterProof)
+		require.Zero(t, f.refused)
 	})
 }
--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	// burstSeconds is the duration whose requests may be sent as a burst after a pause, in
-	// addition to one request.
+	// burstSeconds limits a burst after a pause to the requests permitted in this time, plus one.
 	burstSeconds = 0.5
 	// numRanks is the number of distinct priorities; 0 is the most urgent.
 	numRanks = 10
 	// yieldRequests and maxYield limit how long less urgent requests yield after a more urgent one
-	// was denied: its client is told to retry within the time of yieldRequests requests.
+	// was denied. The denied request's client is expected to retry within the time in which the
+	// limit permits yieldRequests requests.
 	yieldRequests = 2
 	maxYield      = 4 * time.Second
 )
@@ -17,7 +17,7 @@
 // Limiter is a token bucket for the requests to one upstream. While no limit is known it permits
 // all requests. It is not safe for concurrent use. The zero value is for a router.
 type Limiter struct {
-	known State
+	state State
 	// tokens is the number of requests that may be sent at once, as of filledAt.
 	tokens   float64
 	filledAt time.Time
@@ -29,44 +29,44 @@
 
 // NewLimiter returns the limiter of the process that counts all requests to an upstream, without a
 // limit.
-func NewLimiter() Limiter { return Limiter{known: State{Mark: Mark{Source: newSource()}}} }
+func NewLimiter() Limiter { return Limiter{state: State{Mark: Mark{Source: newSource()}}} }
 
 // State returns the current limit and its mark; the zero value until a limit has been named.
 func (l *Limiter) State() State {
-	if l.known.Mark.Number == 0 {
+	if l.state.Mark.Number == 0 {
 		return State{}
 	}
-	return l.known
+	return l.state
 }
 
 // Limited reports whether there is a limit.
-func (l *Limiter) Limited() bool { return l.known.PerSecond > 0 }
+func (l *Limiter) Limited() bool { return l.state.PerSecond > 0 }
 
 // Observe applies the limit named by an answer and reports whether that changed the limit.
 func (l *Limiter) Observe(now time.Time, n NamedLimit) bool {
-	was := l.known.PerSecond
-	if !l.known.apply(n) {
+	was := l.state.PerSecond
+	if !l.state.apply(n) {
 		return false
 	}
 	l.resetIfNew(now, was)
 	return true
 }
 
-// ObserveLocal is Observe at a router, whose marks must differ from those of the process that counts all
-// requests.
+// ObserveLocal is Observe at a router, whose marks must differ from those of the process that
+// counts all requests.
 func (l *Limiter) ObserveLocal(now time.Time, n NamedLimit) bool {
 	if !l.Observe(now, n) {
 		return false
 	}
 	l.ownMarks++
-	l.known.Mark = Mark{Number: l.ownMarks}
+	l.state.Mark = Mark{Number: l.ownMarks}
 	return true
 }
 
 // ObserveReported applies the limit that a router reports, so that a process that has just started
 // has it. Reports that originate from this process are ignored.
 func (l *Limiter) ObserveReported(now time.Time, by State) bool {
-	if by.PerSecond == 0 || by.Mark.Source == l.known.Mark.Source {
+	if by.PerSecond == 0 || by.Mark.Source == l.state.Mark.Source {
 		return false
 	}
 	return l.Observe(now, NamedLimit{PerSecond: by.PerSecond})
@@ -75,11 +75,11 @@
 // Adopt replaces the state by that of the process that counts all requests, and reports whether
 // that changed the limit.
 func (l *Limiter) Adopt(now time.Time, s State) bool {
-	if s.Mark.Source == l.known.Mark.Source && s.Mark.Number < l.known.Mark.Number {
+	if s.Mark.Source == l.state.Mark.Source && s.Mark.Number < l.state.Mark.Number {
 		return false // outdated
 	}
-	was := l.known.PerSecond
-	l.known = s
+	was := l.state.PerSecond
+	l.state = s
 	if was == s.PerSecond {
 		return false
 	}
@@ -97,7 +97,7 @@
 
 // fill refills the bucket and returns the rate. share is this process's part of the limit.
 func (l *Limiter) fill(now time.Time, share float64) (rate float64) {
-	rate = l.known.PerSecond * share
+	rate = l.state.PerSecond * share
 	l.tokens = min(burst(rate), l.tokens+rate*max(0, now.Sub(l.filledAt).Seconds()))
 	l.filledAt = now
 	return rate
@@ -145,7 +145,7 @@
 // Return gives back the permit of a request that was sent elsewhere.
 func (l *Limiter) Return(share float64) {
 	if l.Limited() {
-		l.tokens = min(burst(l.known.PerSecond*share), l.tokens+1)
+		l.tokens = min(burst(l.state.PerSecond*share), l.tokens+1)
 	}
 }
 
--- a/ratelimit/share.go
+++ b/ratelimit/share.go
@@ -11,8 +11,8 @@
 	// minListedTime is how long a router must be listed before it gets a share: an earlier
 	// incarnation of it may just have used the share.
 	minListedTime = 4 * time.Second
-	// UnreachableShare is the part of a limit shared by routers that know the process that counts
-	// requests but cannot reach it, since it may permit the whole limit to others.
+	// UnreachableShare is the part of a limit that routers share while the process that counts all
+	// requests is listed but unreachable for them: it may permit the whole limit to other routers.
 	UnreachableShare = 0.3
 )
 
--- a/ratelimit/state.go
+++ b/ratelimit/state.go
@@ -9,7 +9,7 @@
 
 import "math/rand/v2"
 
-// Mark identifies a state of the information on one upstream's limit. All marks of one process
+// Mark identifies a version of the State of one upstream's limit. All marks of one process
 // have the same source; source 0 marks a router's own state. Marks of different sources have no
 // order, since clocks of processes differ.
 type Mark struct {
--- a/warmup/warmup.go
+++ b/warmup/warmup.go
@@ -16,8 +16,8 @@
 	"github.com/arbutusmill/arbutusmill/coord/rendezvous"
 )
 
-// Tolerance is the tolerance of cold upstreams beyond the rate that their service names, the same for
-// all services.
+// Tolerance defines how far cold upstreams tolerate more requests than the rate that their service
+// specifies. It is the same for all services.
 type Tolerance struct {
 	// Overshoot multiplies the rate.
 	Overshoot float64
@@ -25,8 +25,8 @@
 	Slack float64
 }
 
-// MaxRequests returns the maximum number of requests in any second for a cold upstream whose service
-// names this rate; 0 is no bound, for services that name none.
+// MaxRequests returns the maximum number of requests in any second for a cold upstream whose
+// service specifies this rate; 0 is no bound, for services that specify none.
 func (t Tolerance) MaxRequests(perSecond float64) int {
 	if perSecond <= 0 {
 		return 0
@@ -84,8 +84,8 @@
 }
 
 // permitShare is the part of a cold upstream's bound that is granted by permits. The rest is for
-// routers that have no lender to query: while a lender is becoming known, some routers have permits
-// and others their share, and together these must not exceed the bound. Requests also arrive some
+// routers that have no lender to query: just after a lender starts, some routers use permits and
+// others still use their share, and together these must not exceed the bound. Requests also arrive some
 // milliseconds after their permits, so those permitted in slightly more than a second may arrive
 // within one.
 const permitShare = 0.6
--- a/warmup/warmup_test.go
+++ b/warmup/warmup_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestMost(t *testing.T) {
+func TestMaxRequests(t *testing.T) {
 	tolerance := Tolerance{Overshoot: 1.5, Slack: 5}
 	require.Equal(t, 14, tolerance.MaxRequests(6.6))
 	require.Zero(t, tolerance.MaxRequests(0), "the service names no rate")
