--- a/hosted/base.go
+++ b/hosted/base.go
@@ -163,7 +163,7 @@
 // otherwise the wait for tokens that cannot be returned, since their lender is gone, takes all of it.
 const leaveReserve = 150 * time.Millisecond
 
-// Leave returns unused tokens and ends the membership; it ends a planned stop.
+// Leave returns unused tokens and ends the membership. It is the last step of a planned stop.
 func (b *Base) Leave(ctx context.Context) {
 	b.Hub.Stop()
 	returnCtx, cancel := ctx, context.CancelFunc(func() {})
--- a/lender/prompts.go
+++ b/lender/prompts.go
@@ -19,8 +19,8 @@
 	promptsKey = "arbutusmill/prompts"
 	// expireInterval is the pause between two checks for expired evidence.
 	expireInterval = time.Second
-	// storeInterval is the pause between two writes to the store: the requests that one engine's
-	// crash interrupts are reported within less, and go into one write.
+	// storeInterval is the pause between two writes to the store. The requests that one engine's
+	// crash interrupts are reported within a shorter time, so they go into one write.
 	storeInterval = time.Second
 	// loadTimeout bounds the read of the store that a router's request waits for.
 	loadTimeout = 100 * time.Millisecond
@@ -29,8 +29,8 @@
 // errNotLoaded is returned if no prompts are recorded here and the store could not be read.
 var errNotLoaded = errors.New("the recorded prompts could not be read from the store")
 
-// promptKeeper stores the routers' evidence about prompts that crash upstreams. The evidence
-// survives a restart of all routers here, and a restart of all processes in the store.
+// promptKeeper keeps the routers' evidence about prompts that crash upstreams: in memory, where it
+// survives a restart of all routers, and in the store, where it survives a restart of all processes.
 type promptKeeper struct {
 	registry poison.Registry
 	store    store.Store
--- a/lender/upstream.go
+++ b/lender/upstream.go
@@ -12,7 +12,7 @@
 )
 
 // maxMissedReports is the number of consecutive polls without an answer from which the upstream
-// counts as gone: one may be lost to a moment of load.
+// counts as gone: a short load peak may cost one answer.
 const maxMissedReports = 2
 
 // errRestarted is returned if the upstream restarted between its report and its cache list.
@@ -83,7 +83,7 @@
 // monitorUpstream polls the upstream until the context ends, and starts with no delay: when all
 // processes restart together, routers request tokens within milliseconds, and each one that finds
 // no lender takes tokens from the store and keeps a row there. With a first poll half a second late,
-// 98 of 103 routers did so, which made a third of all calls of the store on that day.
+// 98 of 103 routers did so, and their calls were a third of all calls of the store on that day.
 func (l *Lender) monitorUpstream(ctx context.Context) {
 	for ctx.Err() == nil {
 		l.pollUpstream(ctx)
--- a/placement/gap.go
+++ b/placement/gap.go
@@ -27,17 +27,17 @@
 	// time to the first event of that prompt: forty streams outweigh the second that most
 	// routes allow for it.
 	delayedStreamCost = 25 * time.Millisecond
-	// mixedLoadCost is the cost of a short prompt among long ones, in the same unit. With
-	// 150 ms the engines reserved for short prompts were too full in bursts (0.5 to 3 in 100
-	// less worth).
+	// mixedLoadCost is the cost of a short prompt at an engine that gets long ones, in the
+	// same unit. With 150 ms the engines reserved for short prompts were too full in bursts
+	// (0.5 to 3 % less value).
 	mixedLoadCost = 60 * time.Millisecond
 	// durationWeight is the share of a stream's expected duration that counts as cost for a
 	// short prompt. With 0, engines reserved for short prompts got so many in bursts that one
 	// in ten streams exceeded its deadline.
 	durationWeight = 0.03
-	// longPromptShare is the share of the gap goal from which a prompt with that prefill time
-	// counts as long: a few in a row exceed the goal. With 0.5 most of the long prompts of a
-	// mixed load counted as short.
+	// longPromptShare is the prefill time, as a share of the gap goal, from which a prompt
+	// counts as long: a few such prompts in a row exceed the goal. With 0.5 most of the long
+	// prompts of a mixed load counted as short.
 	longPromptShare = 0.2
 )
 
@@ -51,7 +51,7 @@
 	return gapShare*slowness >= stallProneEnter
 }
 
-// separation says how one choice separates long and short prompts.
+// separation is the separation of long and short prompts in one choice.
 type separation struct {
 	// active is set if there are engines reserved for short prompts.
 	active bool
@@ -84,15 +84,15 @@
 	return s
 }
 
-// cost returns the cost of the separation for the prompt at an engine with that many streams.
+// cost returns the cost that the separation adds to an engine with that many streams.
 func (s separation) cost(r *serving.Request, u Upstream, streams float64) time.Duration {
-	exposed := s.active && u.StallProne
+	stallProne := s.active && u.StallProne
 	switch {
-	case s.long && exposed:
+	case s.long && stallProne:
 		return time.Duration(streams * float64(delayedStreamCost))
 	case s.long:
 		return 0
-	case s.active && !exposed:
+	case s.active && !stallProne:
 		return mixedLoadCost + durationCost(r, u)
 	}
 	return durationCost(r, u)
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -24,8 +24,8 @@
 	Slots int
 	// Running is the number of this router's requests there that have not ended.
 	Running int
-	// PendingPrefill is the pending prefill: the prompt tokens of this router's requests there
-	// whose first event has not arrived, without those probably cached.
+	// PendingPrefill is the number of prompt tokens of this router's requests there whose first
+	// event has not arrived, without those probably cached.
 	PendingPrefill int64
 	// Reply is its lender's reply to the announcement of the request's prompt; nil if there
 	// is none. It overrides PendingPrefill and Cached, which are this router's own estimates.
@@ -49,7 +49,7 @@
 type Rates struct {
 	// PrefillPerMs is the prefill rate in tokens per millisecond.
 	PrefillPerMs float64
-	// FetchPerMs is the rate at which engines transfer cached tokens, per
+	// FetchPerMs is the rate at which engines transfer cached tokens, in tokens per
 	// millisecond.
 	FetchPerMs float64
 	// Routers is the number of routers that send to the same upstreams.
@@ -121,7 +121,7 @@
 func sharedTokens(parts []prefill.Part) int64 { return prefill.TokensOf(Shared(parts)) }
 
 // Choose returns the upstream with the lowest estimated cost, or false when there is
-// none. Avoided upstreams are used only when no other is left, closed ones never. tie
+// none. Avoided upstreams are used only when no other is left, excluded ones never. tie
 // returns the index in [0, n) at which to start, which decides between equal costs.
 func Choose(r *serving.Request, ups []Upstream, rates Rates, tie func(n int) int) (Choice, bool) {
 	usable := usableIndexes(ups)
@@ -183,8 +183,8 @@
 }
 
 // otherRouters returns the number of other routers. Each is assumed to have the same load
-// as this one, spread evenly: the own requests at one upstream are no estimate of what
-// the others have there.
+// as this one, spread evenly: this router's requests at one upstream are no estimate of
+// theirs.
 func (r Rates) otherRouters() float64 { return float64(max(0, r.Routers-1)) }
 
 // streams estimates the number of requests of all routers that run at an upstream.
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -131,7 +131,7 @@
 		},
 		"round robin": func(_ *serving.Request, ups []Upstream, n int) int { return n % len(ups) },
 	}
-	read := map[string]int64{}
+	prefilled := map[string]int64{}
 	for name, policy := range policies {
 		rnd := rand.New(rand.NewPCG(1, 2))
 		ups := engines(12)
@@ -144,10 +144,10 @@
 			i := policy(prompt(subject), ups, n)
 			last, cached := caches[i][subject]
 			if !cached || n-last > 15*len(ups) { // some 15 parts fit
-				read[name] += 13_300
+				prefilled[name] += 13_300
 			}
 			caches[i][subject] = n
 		}
 	}
-	require.Less(t, 2*read["placement"], read["round robin"], "%v", read)
+	require.Less(t, 2*prefilled["placement"], prefilled["round robin"], "%v", prefilled)
 }
--- a/pool/choose.go
+++ b/pool/choose.go
@@ -46,7 +46,7 @@
 func (p *Pool) beginAttempt(c *candidates, choice placement.Choice) (serving.Target, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.beginAttemptLocked(p.Now(), c.r, c.ups, choice, c.granted)
+	return p.beginAttemptLocked(p.Now(), c.r, c.ups, choice, c.admitted)
 }
 
 // Serves reports whether any upstream may take the request, now or soon.
@@ -59,8 +59,8 @@
 	ups   []directory.Upstream
 	views []placement.Upstream
 	rates placement.Rates
-	// granted is set when the chosen upstream's lender has admitted the prompt.
-	granted bool
+	// admitted is set when the chosen upstream's lender has admitted the prompt.
+	admitted bool
 	// limited counts the upstreams excluded by limits, denied those among them whose lender denied
 	// the prompt.
 	limited LimitedChoice
@@ -123,7 +123,7 @@
 			choice = next
 			continue
 		}
-		c.granted = answered
+		c.admitted = answered
 		if !answered || redirects == maxRedirects {
 			return choice, true
 		}
--- a/pool/limit.go
+++ b/pool/limit.go
@@ -16,8 +16,8 @@
 	// Share returns this router's share of an upstream's limit, for upstreams without a lender.
 	Share(upstream string, perSecond float64) float64
 	// Report reports to the lender of the upstream at an address the limit that the incarnation started
-	// at startUnixMS stated. known is called with the lender's state, if it answers.
-	Report(address string, startUnixMS int64, n ratelimit.NamedLimit, known func(ratelimit.State))
+	// at startUnixMS stated. onReply is called with the limit that the lender then has, if it answers.
+	Report(address string, startUnixMS int64, n ratelimit.NamedLimit, onReply func(ratelimit.State))
 	// Changed is called when a known limit has changed, in requests per second; 0 is none. from is the
 	// source of the new value.
 	Changed(incarnation directory.Incarnation, was, now float64, from LimitSource)
@@ -47,11 +47,11 @@
 	RetryAfter time.Duration
 }
 
-// add counts one more excluded upstream, which may have capacity after next; 0 is unknown.
-func (c *LimitedChoice) add(next time.Duration) {
+// add counts one more excluded upstream, which may have capacity after retryAfter; 0 is unknown.
+func (c *LimitedChoice) add(retryAfter time.Duration) {
 	c.Limited++
-	if next > 0 && (c.RetryAfter == 0 || next < c.RetryAfter) {
-		c.RetryAfter = next
+	if retryAfter > 0 && (c.RetryAfter == 0 || retryAfter < c.RetryAfter) {
+		c.RetryAfter = retryAfter
 	}
 }
 
@@ -130,11 +130,11 @@
 	return d.until.Sub(now)
 }
 
-// recordDenial records a denial that holds for next.
-func (p *Pool) recordDenial(incarnation directory.Incarnation, rank int, next time.Duration) {
+// recordDenial records a denial that holds until retryAfter has passed.
+func (p *Pool) recordDenial(incarnation directory.Incarnation, rank int, retryAfter time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stateLocked(incarnation).denial = denial{rank: rank, until: p.Now().Add(next)}
+	p.stateLocked(incarnation).denial = denial{rank: rank, until: p.Now().Add(retryAfter)}
 }
 
 // limitShareLocked returns the share of an upstream's limit that this router may use without admission.
@@ -147,13 +147,13 @@
 }
 
 // limitedLocked reports whether an upstream's limit excludes a request, and the time until it may allow it.
-func (p *Pool) limitedLocked(now time.Time, r *serving.Request, u directory.Upstream, s *state) (limited bool, next time.Duration) {
+func (p *Pool) limitedLocked(now time.Time, r *serving.Request, u directory.Upstream, s *state) (limited bool, retryAfter time.Duration) {
 	if !s.limiter.Limited() {
 		return false, 0
 	}
 	if p.usesAdmission(r, u) {
-		next = s.denial.remaining(now, r.Rank)
-		return next > 0, next
+		retryAfter = s.denial.remaining(now, r.Rank)
+		return retryAfter > 0, retryAfter
 	}
 	share := p.limitShareLocked(r, u, s)
 	if s.limiter.HasCapacity(now, share, r.Rank) {
@@ -177,8 +177,8 @@
 	return !s.limiter.Limited() || s.limiter.Take(now, p.limitShareLocked(r, u, s), r.Rank)
 }
 
-// Limited implements serving.Upstreams: it returns the refusal of a request that only the upstreams'
-// limits exclude, or nil if no limit excludes it.
+// Limited implements serving.Upstreams: it returns a refusal if limits exclude at least one eligible
+// upstream, or nil if they exclude none.
 func (p *Pool) Limited(r *serving.Request, attempts []serving.Attempt) *contract.Refusal {
 	_, limited := p.views(r, p.eligible(r, attempts))
 	if limited.Limited == 0 {
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -58,7 +58,7 @@
 	// ReportRemotePrefill informs the lender of a prompt's preferred engine that another engine prefills
 	// parts of the prompt. It may be nil.
 	ReportRemotePrefill func(address string, e prefill.RemotePrefill)
-	// OnStallProne, if set, is called when an engine starts or stops to be reserved for short prompts,
+	// OnStallProne, if set, is called when an engine becomes reserved for short prompts or is no longer,
 	// with the reasons: gapShare is how long prefills delay streams of its service, as a share of
 	// their gap goal, and slowness the ratio of its event interval to the usual one. It must not block.
 	OnStallProne func(incarnation directory.Incarnation, stallProne bool, gapShare, slowness float64)
@@ -71,9 +71,9 @@
 	// HasLender reports whether the upstream at an address has a known lender, which admits the
 	// prompts sent there. It may be nil.
 	HasLender func(address string) bool
-	// ColdShare returns how many of the most requests per second that a cold upstream without a
-	// lender can take are this router's.
-	ColdShare func(upstream string, most int) int
+	// ColdShare returns this router's share of maxRequests, the number of requests per second that a
+	// cold upstream can take. It applies to upstreams without a lender.
+	ColdShare func(upstream string, maxRequests int) int
 	// Now returns the current time.
 	Now func() time.Time
 
@@ -105,7 +105,7 @@
 	stallProne bool
 	// unadmitted counts the requests sent without admission while it is cold.
 	unadmitted warmup.Window
-	// limiter holds requests without admission to this router's share of the upstream's limit.
+	// limiter limits the requests sent without admission to this router's share of the upstream's limit.
 	limiter ratelimit.Limiter
 	// limitError is the parse error of the last stated limit, or "".
 	limitError string
@@ -127,9 +127,9 @@
 	for i, u := range ups {
 		states[i] = p.stateLocked(u.Incarnation)
 		views[i] = p.viewLocked(now, r, u, states[i])
-		if limited, next := p.limitedLocked(now, r, u, states[i]); limited {
+		if limited, retryAfter := p.limitedLocked(now, r, u, states[i]); limited {
 			views[i].Excluded = true
-			choice.add(next)
+			choice.add(retryAfter)
 		}
 	}
 	p.addIntervalsLocked(r.Service.Name, views, states)
@@ -223,12 +223,12 @@
 	return s
 }
 
-// beginAttemptLocked begins an attempt at the chosen upstream. granted is set if its lender has
-// admitted the request. It reports false if the upstream's limit is used up by now.
-func (p *Pool) beginAttemptLocked(now time.Time, r *serving.Request, ups []directory.Upstream, c placement.Choice, granted bool) (serving.Target, bool) {
+// beginAttemptLocked begins an attempt at the chosen upstream. admitted is set if its lender has
+// admitted the request. It returns false if the upstream's limit has been used up since the choice.
+func (p *Pool) beginAttemptLocked(now time.Time, r *serving.Request, ups []directory.Upstream, c placement.Choice, admitted bool) (serving.Target, bool) {
 	u := ups[c.Index]
 	s := p.stateLocked(u.Incarnation)
-	if !granted && !p.takeLimitLocked(now, r, u, s) {
+	if !admitted && !p.takeLimitLocked(now, r, u, s) {
 		return serving.Target{}, false
 	}
 	if p.cold(now, r, u) && !p.usesAdmission(r, u) {
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -41,10 +41,10 @@
 }
 
 // pickUntil picks until the upstream is chosen, ending all other requests successfully; it
-// reports false if it is not chosen within 100 tries.
+// reports false if it is not chosen within 100 attempts.
 func pickUntil(t *testing.T, p *Pool, now time.Time, id string) (serving.Target, bool) {
-	const tries = 100
-	for range tries {
+	const maxPicks = 100
+	for range maxPicks {
 		target, ok := p.Pick(plainRequest(now), nil)
 		require.True(t, ok)
 		if target.Incarnation.ID == id {
@@ -226,7 +226,7 @@
 // The preferred engine of a shared part is busy, so another engine prefills it and the preferred
 // engine's lender is informed. The next router's prompt goes to the other engine or, while that one is
 // busy, to the preferred one, which fetches the part. Without this record the part was
-// prefilled again; such parts were half of the shared tokens prefilled again on busy days.
+// prefilled again; half of the shared tokens that were prefilled again on busy days were such parts.
 func TestPartsPrefilledElsewhereAreFetched(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := poolOf(&now)
--- a/pool/speed.go
+++ b/pool/speed.go
@@ -65,8 +65,8 @@
 }
 
 const (
-	// gapWindows histograms of gapWindow each are kept: long enough that quiet periods do
-	// not end a separation of prompts that causes them.
+	// gapWindows histograms of gapWindow each are kept: long enough that a quiet period which
+	// results from the separation of long and short prompts does not end the separation.
 	gapWindows = 4
 	gapWindow  = 10 * time.Second
 	// minGaps is the number of long gaps needed for a percentile.
@@ -74,7 +74,7 @@
 	// minGapShare is the share of the goal from which a gap counts as caused by a
 	// prefill; shorter ones are the normal time between events.
 	minGapShare = 0.3
-	// gapPercentile is the percentile of those gaps that decides.
+	// gapPercentile is the percentile of those gaps that decides whether an engine is stall-prone.
 	gapPercentile = 90
 	// maxGapHundredths bounds a recorded gap, in hundredths of its goal.
 	maxGapHundredths = 1000
--- a/prefill/cache.go
+++ b/prefill/cache.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// Forget removes parts that were not sent in the end.
+// Forget removes parts that were added for a prompt that was not sent.
 func (c *Cache) Forget(parts []Part) {
 	for _, p := range parts {
 		if e := c.parts[p.ID]; e != nil {
--- a/prefill/engine.go
+++ b/prefill/engine.go
@@ -69,7 +69,7 @@
 	countingSince time.Time
 	// coldReportedAt is when a router last considered the engine cold.
 	coldReportedAt time.Time
-	// limiter holds all routers' prompts together to the limit that the engine states.
+	// limiter limits the prompts of all routers together to the rate that the engine states.
 	limiter ratelimit.Limiter
 }
 
@@ -143,7 +143,7 @@
 
 // denyLocked counts a prompt if the engine can take it, and otherwise reports it as denied, with the
 // time until another may be sent if that is known.
-func (e *Engine) denyLocked(now time.Time, a Announcement) (denied bool, next time.Duration) {
+func (e *Engine) denyLocked(now time.Time, a Announcement) (denied bool, retryAfter time.Duration) {
 	if !e.limiter.Take(now, fullShare, a.Rank) {
 		return true, e.limiter.RetryAfter(now, fullShare, a.Rank)
 	}
@@ -169,8 +169,8 @@
 }
 
 // admitColdLocked counts a prompt, and reports whether it is within the bound for a cold engine. A
-// warm one has no bound: bounding it as well, in case it has become cold unnoticed, cost 2 in 100 of
-// the worth of a day of cold returns at twice the usual load (five seeds).
+// warm one has no bound: bounding it as well, in case it has become cold unnoticed, cost 2 % of the
+// value of a day on which engines return cold, at twice the usual load (five seeds).
 func (e *Engine) admitColdLocked(now time.Time, a Announcement) bool {
 	if a.MaxPerSecond == 0 {
 		return true
--- a/prefill/remote.go
+++ b/prefill/remote.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// remotePartTTL is how long another engine is assumed to keep a part cached. It keeps parts
-	// in use; if it has evicted one, the transfer yields nothing and the part is prefilled as
-	// it would have been without it.
+	// remotePartTTL is how long another engine is assumed to keep a part cached. Engines keep
+	// parts that are in use; if one has evicted the part, the transfer yields nothing and the
+	// part is prefilled, as it would have been without the record.
 	remotePartTTL = 30 * time.Second
 	// maxRemoteParts bounds the recorded parts of other engines.
 	maxRemoteParts = 4096
@@ -23,9 +23,9 @@
 
 // remoteParts records which other engines have which parts cached. Prompts that share a part prefer
 // one engine, and go elsewhere while it is busy. Without this record, the next router that finds the
-// preferred engine idle has it prefill the part again although another engine has it cached; that was
-// half of all shared tokens prefilled again on busy days. The record is kept with the preferred engine,
-// where all routers announce their prompts.
+// preferred engine idle has it prefill the part again although another engine has it cached. Of all
+// shared tokens that were prefilled again on busy days, half were due to this. The record is kept with
+// the preferred engine, where all routers announce their prompts.
 type remoteParts struct {
 	byPart map[string]remotePart // by the ID of the last of the leading parts
 }
--- a/prepaid/budgets.go
+++ b/prepaid/budgets.go
@@ -29,22 +29,22 @@
 
 // Parameters of how tokens are held; see grant.HorizonPolicy.
 const (
-	// largestRequests is for how many of the largest recent requests a primary holds tokens.
+	// largestRequests is the number of the largest recent requests that a primary holds tokens for.
 	largestRequests = 1
 	// maxHeldShare is the largest share of a full budget that a primary holds; see
 	// docs/MEASUREMENTS.md for the sweep over it.
 	maxHeldShare = 0.9
 	// slowSync is the duration from which a sync counts as slow: the store answers in
-	// milliseconds. degradedFor is for how long a primary then holds as much as for an outage.
+	// milliseconds. degradedFor is how long a primary then holds as much as for an outage.
 	slowSync    = 100 * time.Millisecond
 	degradedFor = 10 * time.Second
-	// callTimeout and syncTimeout bound one call of the store and all of one sync: a
-	// store that is slow by a factor of 100 still answers, and after a lost response
+	// callTimeout and syncTimeout bound one call of the store and one whole sync: a store
+	// that is slow by a factor of 100 still answers, and after a lost response
 	// there is time to read the page again.
 	callTimeout = 700 * time.Millisecond
 	syncTimeout = 2 * time.Second
-	// refillStep is the demand that one take adds in the time recoveryTime after an
-	// outage of the store; takes come at most each lowPause.
+	// refillStep is the time whose demand one take may add until recoveryTime after an
+	// outage of the store; takes are at least lowBackoff apart.
 	refillStep   = 500 * time.Millisecond
 	recoveryTime = 8 * time.Second
 	// heldSlack is the tolerated deviation from the target, which saves writes.
@@ -63,7 +63,7 @@
 	// probeInterval is the pause between two probes of a store or peer that failed.
 	// Requests do not wait for that store or peer meanwhile.
 	probeInterval = 500 * time.Millisecond
-	// pageCacheTTL is for how long a primary uses a cached page without reading it again.
+	// pageCacheTTL is how long a primary uses a cached page without reading it again.
 	pageCacheTTL = 10 * time.Second
 	// maxFreshAge is the largest age of a page that may prove a shortfall. Tokens that
 	// others return are seen that much later.
@@ -72,16 +72,16 @@
 	// those that rank next, in case the primary is gone but still listed.
 	maxQueriedLenders = 4
 	// lotReturnInterval is the pause between two rounds of returning lots, lotIdleTime
-	// the time after which an unused lot is returned. Both limit for how long tokens
-	// are missing at the primary.
+	// the time after which an unused lot is returned. Both limit how long tokens are
+	// missing at the primary.
 	lotReturnInterval = 250 * time.Millisecond
 	lotIdleTime       = time.Second
 	// auditInterval is the pause between two rounds of queries about lent lots.
 	auditInterval = 3 * time.Second
-	// standbyDuration is for how long a process that was asked for tokens of a page acts
+	// standbyDuration is how long a process that was asked for tokens of a page acts
 	// as its standby lender.
 	standbyDuration = 3 * time.Second
-	// standbyHorizon is for how long a standby's tokens should last.
+	// standbyHorizon is how long a standby's tokens should last.
 	standbyHorizon = 2 * time.Second
 	// absenceTimeout is the time after which the lots of a router that is not listed
 	// count as used. It is longer than a lease and the time that running routers need
@@ -149,10 +149,10 @@
 	admissions           singleflight.Group // by borrower
 	// admissionTimeouts records when the store took too long to register a borrower.
 	admissionTimeouts recentTimes
-	// settling tracks for how long dead lenders have been waiting for their settlement,
+	// settling tracks how long dead lenders have been waiting for their settlement,
 	// and unsettled names those that cannot be settled.
 	settling conditionTimers
-	// answers caches what borrowers reported about these lenders.
+	// answers caches the borrowers' reports about dead lenders.
 	answers   settlement.AnswerCache
 	unsettled nameSet
 	// latePeers are the peers whose replies came too late since the last probes.
--- a/prepaid/exposure.go
+++ b/prepaid/exposure.go
@@ -23,10 +23,10 @@
 	appointInterval = time.Second
 	// replaceWitnessAfter is the time without an answer after which a witness is replaced.
 	replaceWitnessAfter = 2 * time.Second
-	// limitsRetention is for how long a witness keeps the limits of a lender that is gone: longer
+	// limitsRetention is how long a witness keeps the limits of a lender that is gone: longer
 	// than an outage of the store can delay the settlement of a dead lender.
 	limitsRetention = 10 * time.Minute
-	// forgetInterval is the pause between two checks for such lenders.
+	// forgetInterval is the pause between two checks for lenders whose limits can be dropped.
 	forgetInterval = time.Minute
 )
 
@@ -47,7 +47,7 @@
 
 func (b *Budgets) raiseExposureLimits(ctx context.Context) {
 	if len(b.exposure.Witnesses()) > 0 {
-		_ = b.exposure.RaiseLimits(ctx) // witnesses that do not answer are logged by tellWitness
+		_ = b.exposure.RaiseLimits(ctx) // notifyWitness logs the witnesses that do not answer
 	}
 }
 
--- a/prepaid/pages.go
+++ b/prepaid/pages.go
@@ -139,7 +139,7 @@
 const returnInterval = 500 * time.Millisecond
 
 // ReturnTokens returns all tokens that are not reserved, and the rest as it becomes free, until
-// nothing is left or the context ends. It ends a planned stop: tokens that are still lent
+// nothing is left or the context ends. It is the end of a planned stop: tokens that are still lent
 // afterwards count as used, so it waits for the borrowers' requests to end.
 func (b *Budgets) ReturnTokens(ctx context.Context) error {
 	for {
--- a/prepaid/settle.go
+++ b/prepaid/settle.go
@@ -16,11 +16,12 @@
 const (
 	// settleInterval is the pause between two checks for dead lenders.
 	settleInterval = time.Second
-	// settleWait is for how long a settlement waits for requests that run on the dead
+	// settleWait is how long a settlement waits for requests that run on the dead
 	// lender's tokens. Most streams end within it; what longer ones reserved counts as used.
 	settleWait = 8 * time.Second
 	// admitInterval is the pause between two attempts to register a router for which the store
-	// took too long. Its requests do not wait for them: each would wait at each lender.
+	// took too long. The router's requests do not wait for these attempts: each request would
+	// wait at each lender.
 	admitInterval = time.Second
 )
 
--- a/serving/attempt.go
+++ b/serving/attempt.go
@@ -8,7 +8,7 @@
 	"github.com/arbutusmill/arbutusmill/directory"
 )
 
-// Result is the outcome of one send.
+// Result is the outcome of one attempt.
 type Result int
 
 // The results.
@@ -52,7 +52,7 @@
 	return r == Complete || r == CallerGone || r == OutOfTime || r == Refused
 }
 
-// Attempt is one send and its outcome.
+// Attempt is one forwarding of a request to an upstream, and its outcome.
 type Attempt struct {
 	Upstream directory.Incarnation
 	Result   Result
@@ -71,12 +71,12 @@
 	Refusal *contract.Refusal
 	// Break is set if the connection broke while the upstream had the request.
 	Break *Break
-	// Recalled reports whether the send was canceled because its prompt was found to crash
+	// Recalled reports whether the attempt was canceled because its prompt was found to crash
 	// upstreams.
 	Recalled bool
 	// Output is the maximum number of tokens that the run may have produced.
 	Output int64
-	// Began reports whether the run may have read the prompt.
+	// Began reports whether the upstream may have processed the prompt.
 	Began bool
 }
 
@@ -94,7 +94,7 @@
 type Gap struct {
 	Duration time.Duration
 	// ConcurrentLoad is the router's other load at the upstream when the gap ended, for the log: an
-	// engine that reads a long prompt pauses the streams that run concurrently.
+	// engine that prefills a long prompt delays the streams that run concurrently.
 	ConcurrentLoad Load
 }
 
--- a/serving/decide.go
+++ b/serving/decide.go
@@ -74,8 +74,8 @@
 	return contract.Refuse(contract.NoUpstream, "no upstream of %s can be reached", r.Service.Name)
 }
 
-// chargedTokens returns the tokens charged for a request: its prompt once if any run may have read
-// it, and all output that its runs may have produced.
+// chargedTokens returns the tokens charged for a request: its prompt once if any run may have
+// processed it, and all output that its runs may have produced.
 func chargedTokens(r *Request, attempts []Attempt) int64 {
 	var n int64
 	began := false
--- a/serving/decide_test.go
+++ b/serving/decide_test.go
@@ -39,17 +39,17 @@
 		countsAsRetry bool
 	}{
 		{"a complete answer ends the request", safe, []Result{Complete}, false, false},
-		{"unsafe is not repeated after it may have run", unsafe, []Result{Unknown}, false, false},
-		{"unsafe is not repeated after a failure", unsafe, []Result{Failed}, false, false},
+		{"unsafe is not retried after it may have run", unsafe, []Result{Unknown}, false, false},
+		{"unsafe is not retried after a failure", unsafe, []Result{Failed}, false, false},
 		{"unsafe is retried after a proof that it did not run", unsafe, []Result{Declined}, true, true},
-		{"a send that was never transmitted is no retry", unsafe, []Result{Unreached}, true, false},
-		{"unsafe is not repeated after a decline and a run", unsafe, []Result{Declined, Unknown}, false, false},
-		{"safe is repeated once", safe, []Result{Failed}, true, true},
-		{"safe is repeated once only", safe, []Result{Failed, Unknown}, false, false},
+		{"another attempt after an unreached upstream is no retry", unsafe, []Result{Unreached}, true, false},
+		{"unsafe is not retried after a decline and a run", unsafe, []Result{Declined, Unknown}, false, false},
+		{"safe is retried once", safe, []Result{Failed}, true, true},
+		{"safe is retried once only", safe, []Result{Failed, Unknown}, false, false},
 		{"a stream that is not resumable ends", chat, []Result{Broken}, false, false},
 		{"a resumable stream is retried", review, []Result{Broken}, true, true},
 		{"a caller that disconnected ends the request", review, []Result{CallerGone}, false, false},
-		{"declined by the maximum number of upstreams", safe, []Result{Declined, Declined, Declined, Declined}, false, false},
+		{"declined by as many upstreams as may be tried", safe, []Result{Declined, Declined, Declined, Declined}, false, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/serving/httpcaller.go
+++ b/serving/httpcaller.go
@@ -12,7 +12,7 @@
 	w            http.ResponseWriter
 	rc           *http.ResponseController
 	writeTimeout time.Duration
-	// stream answers have no length: the router may append to them from another run.
+	// stream is set for streams. They get no length: the router may append output of another run.
 	stream    bool
 	began     bool
 	status    int
--- a/serving/path.go
+++ b/serving/path.go
@@ -66,17 +66,17 @@
 	Reserve(ctx context.Context, r *Request) (settle func(used int64), refusal *contract.Refusal)
 }
 
-// RetryBudget is the retry budget: it limits the sends beyond the first of each request.
+// RetryBudget limits the attempts beyond the first of each request.
 type RetryBudget interface {
 	// Request counts a request to a service.
 	Request(service string)
-	// Allow reports whether the budget permits one more send of the request, and counts it.
+	// Allow reports whether the budget permits one more attempt of the request, and counts it.
 	Allow(r *Request) bool
 }
 
 // PromptGuard prevents repeated attempts with prompts that crash upstreams.
 type PromptGuard interface {
-	// Refuse is called before each send; nil permits the send.
+	// Refuse is called before each attempt; nil permits it.
 	Refuse(ctx context.Context, r *Request) *contract.Refusal
 	// Proven returns the final refusal of a prompt that is proven to crash upstreams, nil for
 	// other prompts.
@@ -87,13 +87,13 @@
 	ConnectionBroken(ctx context.Context, r *Request, attempts []Attempt)
 	// RecordAnswer is called when a request was answered.
 	RecordAnswer(r *Request)
-	// TrackSend is called for each send. The returned context is canceled with the cause ErrRecalled
+	// TrackSend is called for each attempt. The returned context is canceled with the cause ErrRecalled
 	// if the request's prompt is found to crash upstreams, unless began was called before, with
-	// the first chunk of the answer. done is called when the send has ended.
+	// the first chunk of the answer. done is called when the attempt has ended.
 	TrackSend(ctx context.Context, r *Request) (tracked context.Context, began, done func())
 }
 
-// ErrRecalled is the cause of a canceled send whose prompt was found to crash upstreams.
+// ErrRecalled is the cause of a canceled attempt whose prompt was found to crash upstreams.
 var ErrRecalled = errors.New("the prompt was found to crash upstreams")
 
 // Dispatcher serves requests: it reserves tokens, sends to upstreams and retries.
@@ -126,7 +126,7 @@
 	return outcome
 }
 
-// run sends the request until it is answered or no further send is allowed.
+// run makes attempts until the request is answered or no further attempt is allowed.
 func (d *Dispatcher) run(ctx context.Context, r *Request, out Caller) Outcome {
 	var attempts []Attempt
 	for {
@@ -136,14 +136,14 @@
 		}
 		attempts = append(attempts, target.Done(d.send(ctx, r, target, out)))
 		d.recordOutcome(ctx, r, attempts)
-		v := decideRetry(r, attempts, d.Now())
-		if !v.retry || d.refusePoisoned(ctx, r) != nil || v.countsAsRetry && !d.RetryBudget.Allow(r) {
+		next := decideRetry(r, attempts, d.Now())
+		if !next.retry || d.refusePoisoned(ctx, r) != nil || next.countsAsRetry && !d.RetryBudget.Allow(r) {
 			return d.finish(r, attempts, out)
 		}
 	}
 }
 
-// send sends the request once. The send can be recalled until its answer begins.
+// send makes one attempt, which can be recalled until its answer begins.
 func (d *Dispatcher) send(ctx context.Context, r *Request, t Target, out Caller) Attempt {
 	if d.PromptGuard == nil || out.Began() {
 		return d.Upstreams.Send(ctx, r, t, out)
@@ -180,19 +180,19 @@
 
 // finalRefusal returns the refusal of a request without an answer.
 func (d *Dispatcher) finalRefusal(r *Request, attempts []Attempt) *contract.Refusal {
-	hit := slices.ContainsFunc(attempts, func(a Attempt) bool { return a.Break != nil || a.Recalled })
-	if hit && d.PromptGuard != nil {
+	suspect := slices.ContainsFunc(attempts, func(a Attempt) bool { return a.Break != nil || a.Recalled })
+	if suspect && d.PromptGuard != nil {
 		if proven := d.PromptGuard.Proven(r); proven != nil {
 			return proven
 		}
 	}
-	named := refusalFor(r, attempts, d.Now())
-	if named.Kind == contract.NoUpstream {
+	refusal := refusalFor(r, attempts, d.Now())
+	if refusal.Kind == contract.NoUpstream {
 		if limited := d.Upstreams.Limited(r, attempts); limited != nil {
 			return limited
 		}
 	}
-	return named
+	return refusal
 }
 
 // finish passes on the most useful of the available answers and refusals.
--- a/serving/request.go
+++ b/serving/request.go
@@ -13,7 +13,7 @@
 
 // Request is one request of a caller.
 type Request struct {
-	// ID identifies the request; every send carries it.
+	// ID identifies the request; every attempt carries it.
 	ID string
 	// Team is empty on public routes without a key.
 	Team string
