--- a/gateway/cold_test.go
+++ b/gateway/cold_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// coldMaxPerSecond is the maximum of requests in any second to a cold engine of putColdConfig:
-// 6.6 a second, half as many more, and five.
+// coldMaxPerSecond is the maximum number of requests in any second to a cold engine of
+// putColdConfig: 6.6 a second, times an overshoot of 1.5, plus a slack of 5.
 const coldMaxPerSecond = 14
 
 // putColdConfig writes a configuration whose engines are cold for three seconds after a start.
@@ -48,8 +48,8 @@
 	return served
 }
 
-// Guards against a cold engine that gets more than its maximum. It returns idle while others are
-// busy, so all routers prefer it: 60 prompts in a second crash an engine whose maximum is 14.
+// Guards against a cold engine that gets more than its maximum. It comes back without load while
+// others are busy, so all routers prefer it: 60 prompts in a second crash an engine whose maximum is 14.
 // Its lender, to which each prompt is announced, enforces the maximum; the other engine serves
 // the rest.
 func TestColdEngineStaysWithinMaximum(t *testing.T) {
@@ -75,7 +75,7 @@
 }
 
 // Guards against cold engines without a lender that get more than their maximum when no other
-// engine is available. Three routers share each engine's maximum; callers beyond it are refused
+// engine is available. Three routers share each engine's maximum; requests beyond it are refused
 // at once.
 func TestColdEnginesWithoutLenders(t *testing.T) {
 	withFleet(t, func(f *fleet) {
@@ -101,8 +101,8 @@
 }
 
 // Guards against an overloaded cold engine whose lender cannot be reached. The routers send it
-// nothing while it is cold, since others may have admissions for its whole maximum, and send to
-// it again once it is warm.
+// nothing while it is cold, since its lender may have admitted other routers' requests up to its
+// maximum, and send to it again once it is warm.
 func TestColdEngineWithUnreachableLender(t *testing.T) {
 	withFleet(t, func(f *fleet) {
 		f.putColdConfig("k1")
--- a/gateway/connection_test.go
+++ b/gateway/connection_test.go
@@ -154,7 +154,7 @@
 }
 
 // Guards against a partial response that looks complete. A response without a length ends with
-// its connection: a proper end delivers it to the caller, a reset must fail the request.
+// its connection: after a proper close the caller gets it, after a reset the request must fail.
 func TestAnswersWithoutLength(t *testing.T) {
 	for _, broken := range []bool{false, true} {
 		t.Run(fmt.Sprint("broken ", broken), func(t *testing.T) {
--- a/gateway/drained_test.go
+++ b/gateway/drained_test.go
@@ -11,8 +11,8 @@
 
 // Guards against requests to upstreams of a data centre that operators drain: first attempts and
 // retries, prompts whose shared part an engine there has cached, and transfers of cached parts
-// from there. A router that ignores drain orders sends them until the order is revoked; such a
-// failure lasted 19.6 s.
+// from there. A router that ignores drain orders sends them until the order is revoked; one
+// such failure lasted 19.6 s.
 func TestDrainedDatacentreGetsNoRequests(t *testing.T) {
 	withFleet(t, func(f *fleet) {
 		f.putConfig(0, "k1")
@@ -128,7 +128,7 @@
 
 // Guards against drain orders that are ignored because they are invalid: an unknown data centre,
 // or a value that is not a document. The order still applies, since its key identifies the data
-// centre; one log line names the field.
+// centre; one log line names the field, and requests are still served.
 func TestInvalidDrainOrders(t *testing.T) {
 	withFleet(t, func(f *fleet) {
 		f.putConfig(0, "k1")
--- a/gateway/fleet_test.go
+++ b/gateway/fleet_test.go
@@ -151,7 +151,7 @@
 
 // Guards against interrupted requests when SIGTERM arrives while a stream runs and callers hold
 // connections. The router becomes unready at once, the stream completes, and requests that still
-// arrive are served, each with the close of its connection announced.
+// arrive are served; each response announces that the connection closes.
 func TestPlannedStopInterruptsNothing(t *testing.T) {
 	withFleet(t, func(f *fleet) {
 		f.putConfig(1_000_000, "k1")
@@ -180,8 +180,8 @@
 	})
 }
 
-// Each request logs one line with what determined its outcome, and one line for each connection
-// that broke while serving it.
+// Each request has one log line with the reasons for its outcome, and one for each connection that
+// broke while serving it.
 func TestLogLineOfARequest(t *testing.T) {
 	withFleet(t, func(f *fleet) {
 		f.putConfig(1_000_000, "k1")
@@ -230,7 +230,7 @@
 
 // Guards against requests to an upstream that was removed while a router was disconnected. One
 // of five upstreams drains and its entry is removed while the router has no connections for
-// 12 s; it still serves for some seconds. A router that mistakes the loss of its own connections
+// 12 s; the upstream still serves for some seconds. A router that mistakes the loss of its own connections
 // for an outage of the store reads that the entry is missing ("upstream_missing"), but keeps
 // sending there for another 2.2 s.
 func TestUpstreamThatLeavesWhileARouterIsDisconnected(t *testing.T) {
@@ -257,9 +257,9 @@
 	})
 }
 
-// Guards against changes that a router applies late after the store accepted calls but answered
-// none, for outages that end anywhere between two attempts of the router. It applies them within
-// 2.6 s of the end: one unanswered call and the backoff after it.
+// Guards against changes that a router applies late after an outage in which the store accepts
+// calls but answers none. The outage may end anywhere between two attempts of the router, which
+// applies the changes within 2.6 s of the end: one unanswered call and the backoff after it.
 func TestChangesDuringStoreOutage(t *testing.T) {
 	for n := range 8 {
 		withFleet(t, func(f *fleet) {
@@ -283,9 +283,8 @@
 	}
 }
 
-// Guards against a log line that holds only the refusal when the tokens of a request cannot be
-// had: it must list the processes that were queried for them, the time that each took, and its
-// answer.
+// Guards against a log line that holds only the refusal when there are no tokens for a request: it
+// must list the processes that were queried for them, how long each query took, and the reply.
 func TestRefusalLogLineListsQueriedLenders(t *testing.T) {
 	withFleet(t, func(f *fleet) {
 		f.putConfig(1500, "k1")
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -45,8 +45,8 @@
 	// that crosses the close is lost.
 	idleTimeout = 75 * time.Second
 	// maxHeaderBytes and maxBodyBytes limit a request's size where the operators set no
-	// limit, maxHeaderBytes also above their limit: a thousand concurrent callers must fit
-	// the memory of a small VM.
+	// limit: a thousand concurrent callers must fit the memory of a small VM. Operators
+	// cannot raise the limit on headers above maxHeaderBytes.
 	maxHeaderBytes = 64 << 10
 	maxBodyBytes   = 8 << 20
 	// expireInterval is the interval between checks for missing entries that did not return.
@@ -79,7 +79,7 @@
 	dispatcher     *serving.Dispatcher
 	metrics        *gatewayMetrics
 
-	// Availability of the store's data that the gateway follows.
+	// Availability of the configuration and of the upstreams' entries in the store.
 	configWatch, upstreamWatch hosted.Dependency
 
 	activeRequests atomic.Int64
@@ -160,10 +160,10 @@
 
 // fleetShare returns this router's share of the limits that all routers divide without messages:
 // the fixed number of retries, and the maximum load of cold upstreams. The share is zero while
-// others may not count this router, or it may not count all others: when it is not listed, and when
-// its copy of the list is older than a window, in which new routers may have begun to use their
-// shares. The lease of its own entry outlives that, so that others divide by one fewer only after
-// this router has stopped using its share.
+// another router might not count this one, or this one might not count another: when it is not
+// listed, and when its copy of the list is older than a window, in which new routers may have begun
+// to use their shares. Its own entry stays listed for longer than that, until its lease expires, so
+// that others divide by one fewer only after this router has stopped using its share.
 func (g *Gateway) fleetShare() retrybudget.Share {
 	if g.FollowedAge() > g.retryRule().Window {
 		return retrybudget.Share{}
@@ -186,9 +186,9 @@
 	return 0
 }
 
-// ready reports whether the balancer should send callers here. A router that lost the store
-// continues with its last copy; one that never read the store cannot serve. A router with an
-// overloaded link serves its present callers better if it gets no new ones.
+// ready reports whether the balancer should send callers here. A router that lost its
+// connection to the store continues with its last copy; one that never read the store cannot serve.
+// A router with an overloaded link serves its present callers better if it gets no new ones.
 func (g *Gateway) ready() bool {
 	return !g.stopping.Load() && !g.linkOverloaded() && g.catalog.Load() != nil && g.directory.Read()
 }
@@ -251,7 +251,6 @@
 	return l, err
 }
 
-// startServers starts the servers on the listeners.
 func (g *Gateway) startServers(tasks *process.TaskGroup, l listeners, callers *http.Server) {
 	tasks.Serve(callers, callerListener{l.callers, g.callerLimits}, nil)
 	ready := http.NewServeMux()
@@ -268,7 +267,6 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// startTasks starts the background tasks.
 func (g *Gateway) startTasks(tasks *process.TaskGroup) {
 	tasks.Go(g.lenders.run)
 	g.prompts.start(tasks)
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -75,7 +75,7 @@
 	disconnected sync.Map
 	// linkRate is the capacity of the routers' links in bytes/s; 0 means unlimited.
 	linkRate   int
-	storeConns sync.Map // VMs by their net.Conn to the store
+	storeConns sync.Map // numbers of the VMs by their net.Conn to the store
 }
 
 // disconnectFromStore closes a VM's connections to the store and refuses new ones.
@@ -84,8 +84,8 @@
 	f.closeStoreConns(vm)
 }
 
-// disconnect closes a VM's connections to the store and refuses all new ones that it opens,
-// which looks like its death to all other processes.
+// disconnect closes a VM's connections to the store, and refuses all connections that it opens
+// from then on. To all other processes this looks like the VM's death.
 func (f *fleet) disconnect(vm int) {
 	f.disconnected.Store(vm, true)
 	f.closeStoreConns(vm)
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -19,8 +19,7 @@
 	"github.com/arbutusmill/arbutusmill/serving"
 )
 
-// defaultTimeout is the timeout of requests that name none; routes' timeouts are usually
-// shorter.
+// defaultTimeout is the timeout of requests without one; routes' timeouts are usually shorter.
 const defaultTimeout = 30 * time.Second
 
 // ServeHTTP serves callers. It uses no http.ServeMux: operators configure the routes, and a
--- a/gateway/lender_test.go
+++ b/gateway/lender_test.go
@@ -32,7 +32,7 @@
 	conns sync.Map
 }
 
-// startLender starts a lender for the upstream with that ID, or without an upstream if it is
+// startLender starts a lender for the upstream upstreamID, or without an upstream if upstreamID is
 // empty. stop stops it as planned, kill disconnects it for good, which looks like a sudden death
 // to all other processes.
 func (f *fleet) startLender(vm int, upstreamID string) (stop, kill func()) {
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// limitWindow is the time over which the requests to an upstream with a limit are counted,
-	// limitPropagation that within which all routers apply the limit.
-	limitWindow      = 4 * time.Second
+	// limitWindow is the time over which the requests to an upstream with a limit are counted.
+	limitWindow = 4 * time.Second
+	// limitPropagation is the time within which all routers apply a new limit.
 	limitPropagation = 3 * time.Second
 )
 
 // maxWithinLimit returns the maximum of requests in limitWindow to an upstream with that limit.
 func maxWithinLimit(perSecond float64) int { return int(1.5*perSecond*limitWindow.Seconds() + 5) }
 
-// requireWithinLimit checks that an upstream got no more requests than its limit allows, but some.
+// requireWithinLimit checks that an upstream got requests, but no more than its limit allows.
 func requireWithinLimit(t *testing.T, u *standin.Upstream, perSecond float64) {
 	t.Helper()
 	require.False(t, u.LimitSince().IsZero())
@@ -178,8 +178,8 @@
 	}
 }
 
-// Guards against a limit that is lost or allotted again when routers, or the lender that counts,
-// restart.
+// Guards against a limit that is lost or allotted again when routers, or the lender that counts
+// the requests, restart.
 func TestLimitsDuringRestarts(t *testing.T) {
 	for _, limit := range []float64{1, 5} {
 		t.Run(fmt.Sprint(limit), func(t *testing.T) {
@@ -214,7 +214,7 @@
 }
 
 // Guards against an engine that gets more than its limit, or nothing at all, while the lender
-// that counts is unreachable.
+// that counts the requests is unreachable.
 func TestLimitWithUnreachableLender(t *testing.T) {
 	for _, limit := range testLimits {
 		t.Run(fmt.Sprint(limit), func(t *testing.T) {
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -63,7 +63,7 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf("arbutusmill_gateway_recalled_sends_total{service=%q}", service)).Inc()
 }
 
-// promptUpdateDropped counts an update on a prompt that was dropped because a queue was full.
+// promptUpdateDropped counts an update about a prompt that was dropped because a queue was full.
 func (m *gatewayMetrics) promptUpdateDropped() {
 	m.set.GetOrCreateCounter("arbutusmill_gateway_prompt_news_dropped_total").Inc()
 }
--- a/gateway/poison_test.go
+++ b/gateway/poison_test.go
@@ -321,8 +321,8 @@
 	})
 }
 
-// Guards against crashes that a router does not report to the others because it decides on their
-// prompts itself. Prompts crash engines at one router, which decides on some of them; the other
+// Guards against crashes that a router does not report to the others because it owns the prompts
+// itself. Several prompts crash engines through one router, which owns some of them; the other
 // router must receive a report on each.
 func TestPromptOwnerReportsItsOwnObservations(t *testing.T) {
 	withFleet(t, func(f *fleet) {
--- a/gateway/promptkeepers.go
+++ b/gateway/promptkeepers.go
@@ -65,7 +65,7 @@
 // updateKeepers sends changes to the keepers until the context ends, and to a new keeper the evidence
 // on all prompts that this router owns.
 func (p *promptGuard) updateKeepers(ctx context.Context) {
-	synced := map[string]bool{} // the keepers that have received all, by incarnation
+	synced := map[string]bool{} // the keepers that have received all owned evidence, by incarnation
 	check := time.NewTicker(keeperCheckInterval)
 	defer check.Stop()
 	for {
@@ -82,7 +82,7 @@
 	}
 }
 
-// appendQueuedChanges appends the queued changes.
+// appendQueuedChanges appends the changes that are already queued, without waiting for more.
 func (p *promptGuard) appendQueuedChanges(changes []promptChange) []promptChange {
 	for range len(p.keeperChanges) {
 		changes = append(changes, <-p.keeperChanges)
--- a/gateway/prompts.go
+++ b/gateway/prompts.go
@@ -70,7 +70,6 @@
 	}
 }
 
-// start starts the guard's background tasks.
 func (p *promptGuard) start(tasks *process.TaskGroup) {
 	for range probeWorkers {
 		tasks.Go(p.probeUpstreams)
@@ -121,14 +120,14 @@
 // describeEvidence formats the evidence on a prompt for the log.
 func describeEvidence(evidence poison.Evidence) string {
 	parts := []string{"prompt " + string(evidence.Prompt)}
-	for _, e := range evidence.Crashes {
-		parts = append(parts, e.Upstream+" of "+e.Service+" crashed "+e.Age.Round(time.Millisecond).String()+" ago")
+	for _, c := range evidence.Crashes {
+		parts = append(parts, c.Upstream+" of "+c.Service+" crashed "+c.Age.Round(time.Millisecond).String()+" ago")
 	}
 	return strings.Join(parts, ", ")
 }
 
-// requestTrial asks the owner whether a request may try a prompt that is on trial, and returns a
-// refusal if it may not.
+// requestTrial requests the owner's permission to send a prompt that is on trial, and returns a
+// refusal if the owner denies it.
 func (p *promptGuard) requestTrial(ctx context.Context, r *serving.Request, evidence poison.Evidence) *contract.Refusal {
 	trial := link.PromptTry{Prompt: evidence.Prompt, Service: r.Service.Name, Request: r.ID}
 	reply, err := callOwner(ctx, p, evidence.Prompt, link.MethodPromptTry, trial, p.handleTry)
@@ -244,7 +243,7 @@
 
 // expire removes expired evidence.
 func (p *promptGuard) expire(now time.Time) {
-	for _, l := range p.registry.Expire(now) {
-		p.log.Info().Str("prompt", string(l.Prompt)).Stringer("was", l.Was).Stringer("standing", l.Now).Msg("prompt_lapsed")
+	for _, c := range p.registry.Expire(now) {
+		p.log.Info().Str("prompt", string(c.Prompt)).Stringer("was", c.Was).Stringer("standing", c.Now).Msg("prompt_lapsed")
 	}
 }
--- a/gateway/promptupdates.go
+++ b/gateway/promptupdates.go
@@ -16,19 +16,19 @@
 	"github.com/arbutusmill/arbutusmill/prepaid"
 )
 
-// Parameters of the messages between routers on prompts.
+// Parameters of the messages between routers about prompts.
 const (
 	// maxQueuedUpdates limits the updates that wait to be sent.
 	maxQueuedUpdates = 256
 	// maxParallelNotifies is the number of routers notified in parallel.
 	maxParallelNotifies = 16
-	// promptCallTimeout is the timeout of one call on a prompt: many times the latency between two
+	// promptCallTimeout is the timeout of one call about a prompt: many times the latency between two
 	// routers.
 	promptCallTimeout = 150 * time.Millisecond
 	// ownerCandidates is how many routers are tried, one after the other, as a prompt's owner.
 	ownerCandidates = 2
 	// initialFetchTimeout is how long a starting router tries to fetch evidence from others: longer
-	// than most outages of the store, from which keepers that restarted as well must load theirs.
+	// than most outages of the store, from which restarted keepers must load their evidence first.
 	// The backoff between two rounds grows from minFetchBackoff to maxFetchBackoff.
 	initialFetchTimeout = time.Minute
 	minFetchBackoff     = 100 * time.Millisecond
@@ -37,7 +37,7 @@
 	routersPerFetch = 3
 )
 
-// promptUpdate is a message on a prompt to other routers.
+// promptUpdate is a message about a prompt to other routers.
 type promptUpdate struct {
 	prompt  poison.Prompt
 	method  string
@@ -46,7 +46,7 @@
 	broadcast bool
 }
 
-// promptMethods returns the handlers of other routers' calls on prompts.
+// promptMethods returns the handlers of other routers' calls about prompts.
 func (g *Gateway) promptMethods() map[string]link.Handler {
 	return map[string]link.Handler{
 		link.MethodPromptEnded: link.Handle(func(ctx context.Context, e poison.Evidence) (poison.Evidence, error) {
@@ -137,9 +137,9 @@
 }
 
 // queueUpdate queues an update, or drops and counts it if the queue is full.
-func (p *promptGuard) queueUpdate(n promptUpdate) {
+func (p *promptGuard) queueUpdate(u promptUpdate) {
 	select {
-	case p.updates <- n:
+	case p.updates <- u:
 	default:
 		p.metrics.promptUpdateDropped()
 	}
@@ -151,27 +151,27 @@
 		select {
 		case <-ctx.Done():
 			return
-		case n := <-p.updates:
-			if n.broadcast {
-				p.notifyAll(ctx, n)
+		case u := <-p.updates:
+			if u.broadcast {
+				p.notifyAll(ctx, u)
 			} else {
-				p.notifyOwner(ctx, n)
+				p.notifyOwner(ctx, u)
 			}
 		}
 	}
 }
 
 // notifyOwner sends an update to the prompt's owner.
-func (p *promptGuard) notifyOwner(ctx context.Context, n promptUpdate) {
+func (p *promptGuard) notifyOwner(ctx context.Context, u promptUpdate) {
 	noop := func(context.Context, any) (link.Empty, error) { return link.Empty{}, nil }
-	if _, err := callOwner(ctx, p, n.prompt, n.method, n.message, noop); err != nil {
-		p.log.Warn().Err(err).Str("prompt", string(n.prompt)).Str("method", n.method).Msg("prompt_not_told")
+	if _, err := callOwner(ctx, p, u.prompt, u.method, u.message, noop); err != nil {
+		p.log.Warn().Err(err).Str("prompt", string(u.prompt)).Str("method", u.method).Msg("prompt_not_told")
 	}
 }
 
 // notifyAll sends an update to all other routers. One that misses it gets evidence from the crashes
 // under its own requests.
-func (p *promptGuard) notifyAll(ctx context.Context, n promptUpdate) {
+func (p *promptGuard) notifyAll(ctx context.Context, u promptUpdate) {
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, maxParallelNotifies)
 	for vm, m := range p.members.Newest(prepaid.RoleRouter) {
@@ -183,8 +183,8 @@
 			defer func() { <-slots }()
 			callCtx, cancel := context.WithTimeout(ctx, promptCallTimeout)
 			defer cancel()
-			if err := p.links.Call(callCtx, m.Address, n.method, n.message, nil); err != nil {
-				p.log.Warn().Err(err).Str("router", vm).Str("method", n.method).Msg("prompt_not_told")
+			if err := p.links.Call(callCtx, m.Address, u.method, u.message, nil); err != nil {
+				p.log.Warn().Err(err).Str("router", vm).Str("method", u.method).Msg("prompt_not_told")
 			}
 		})
 	}
--- a/gateway/recall.go
+++ b/gateway/recall.go
@@ -11,7 +11,8 @@
 )
 
 // trackedAttempts holds this router's attempts whose responses have not begun, by prompt. Their prompts
-// are queued or in prefill at upstreams, and each would crash one more upstream if it causes crashes.
+// are queued or in prefill at upstreams. Each attempt with a prompt that causes crashes would crash one
+// more upstream.
 type trackedAttempts struct {
 	mu       sync.Mutex
 	byPrompt map[poison.Prompt]map[*trackedAttempt]struct{}
--- a/gateway/recall_test.go
+++ b/gateway/recall_test.go
@@ -39,18 +39,18 @@
 	}
 }
 
-// Guards against engines that crash under a prompt which is queued there while three others crash
-// under it.
+// Guards against engines that crash under a prompt which is still queued there after three others
+// have crashed under it.
 func TestWaitingPromptIsRecalled(t *testing.T) {
 	withFleet(t, func(f *fleet) {
 		f.putConfig(0, "k1")
 		const prompts, step = 6, 800 * time.Millisecond
 		engines := f.startFragileEngines(prompts)
-		var queues []*queueingEngine
+		var queueing []*queueingEngine
 		for _, e := range engines {
-			queue := &queueingEngine{fragileEngine: e, startDelay: prompts * step}
-			e.server.Handler = queue
-			queues = append(queues, queue)
+			q := &queueingEngine{fragileEngine: e, startDelay: prompts * step}
+			e.server.Handler = q
+			queueing = append(queueing, q)
 		}
 		f.startRouters(prompts)
 		var wg sync.WaitGroup
@@ -62,8 +62,8 @@
 				require.Contains(t, []int{http.StatusUnprocessableEntity, http.StatusBadGateway}, resp.status, resp.body)
 			})
 			time.Sleep(step / 8)
-			for n, queue := range queues { // the next prompt goes to another engine
-				if queue.received.Load() {
+			for n, q := range queueing { // the next prompt goes to another engine
+				if q.received.Load() {
 					f.register(fmt.Sprint("i-", n+1), "model", "draining")
 				}
 			}
@@ -72,8 +72,8 @@
 		wg.Wait()
 		time.Sleep(prompts * step)
 		received := 0
-		for _, queue := range queues {
-			if queue.received.Load() {
+		for _, q := range queueing {
+			if q.received.Load() {
 				received++
 			}
 		}
--- a/gateway/request_test.go
+++ b/gateway/request_test.go
@@ -201,8 +201,8 @@
 }
 
 // Guards against requests that run at the wrong service after an upstream's address was
-// reassigned. The process there rejects them as not the expected instance, and the request goes
-// to an upstream of its own service.
+// reassigned. The process there rejects them as misdirected, and the request goes to an upstream
+// of its own service.
 func TestAddressReusedByAnotherUpstream(t *testing.T) {
 	withFleet(t, func(f *fleet) {
 		f.putConfig(0, "k1")
--- a/gateway/retrybudgets_test.go
+++ b/gateway/retrybudgets_test.go
@@ -10,9 +10,9 @@
 )
 
 // Guards against retries beyond the limit while a router is disconnected from the store. After two minutes
-// its entry has expired and the other router counts itself alone, while the disconnected one goes on with
-// its half. When a service then fails all requests, the two send 97 retries for 120 requests, where 74 are
-// allowed:
+// its entry has expired and the other router counts itself alone, while the disconnected one continues to
+// use its half of the fixed number. When a service then fails all requests, the two send 97 retries for
+// 120 requests, where 74 are allowed:
 //
 //	"vm":"router-1" "event":"repeat" "allowed":true "part":25 "routers":2
 //	"vm":"router-2" "event":"repeat" "allowed":true "part":50 "routers":1
