--- a/gateway/cold_test.go
+++ b/gateway/cold_test.go
@@ -49,9 +49,9 @@
 }
 
 // Guards against a cold engine that gets more than its maximum. It comes back without load while
-// others are busy, so all routers prefer it: 60 prompts in a second crash an engine whose maximum is 14.
-// Its lender, to which each prompt is announced, enforces the maximum; the other engine serves
-// the rest.
+// others are busy, so all routers prefer it: 60 prompts in a second crash an engine whose maximum
+// is 14. Its lender, to which each prompt is announced, enforces the maximum; the other engine
+// serves the rest.
 func TestColdEngineStaysWithinMaximum(t *testing.T) {
 	withFleet(t, func(f *fleet) {
 		f.putColdConfig("k1")
--- a/gateway/fleet_test.go
+++ b/gateway/fleet_test.go
@@ -230,9 +230,9 @@
 
 // Guards against requests to an upstream that was removed while a router was disconnected. One
 // of five upstreams drains and its entry is removed while the router has no connections for
-// 12 s; the upstream still serves for some seconds. A router that mistakes the loss of its own connections
-// for an outage of the store reads that the entry is missing ("upstream_missing"), but keeps
-// sending there for another 2.2 s.
+// 12 s; the upstream still serves for some seconds. A router that mistakes the loss of its own
+// connections for an outage of the store reads that the entry is missing ("upstream_missing"), but
+// keeps sending there for another 2.2 s.
 func TestUpstreamThatLeavesWhileARouterIsDisconnected(t *testing.T) {
 	withFleet(t, func(f *fleet) {
 		f.putConfig(0, "k1")
--- a/gateway/promptkeepers.go
+++ b/gateway/promptkeepers.go
@@ -55,15 +55,15 @@
 	}
 }
 
-// queueAnsweredForKeepers queues that a service answered a prompt, if this router owns the prompt.
+// queueAnsweredForKeepers queues an answer to a prompt for the keepers, if this router owns the prompt.
 func (p *promptGuard) queueAnsweredForKeepers(a link.PromptAnswered) {
 	if p.isOwner(a.Prompt) {
 		p.queueForKeepers(promptChange{prompt: a.Prompt, answered: &a})
 	}
 }
 
-// updateKeepers sends changes to the keepers until the context ends, and to a new keeper the evidence
-// on all prompts that this router owns.
+// updateKeepers sends changes to the keepers, and to each new keeper the evidence on all prompts that
+// this router owns, until the context ends.
 func (p *promptGuard) updateKeepers(ctx context.Context) {
 	synced := map[string]bool{} // the keepers that have received all owned evidence, by incarnation
 	check := time.NewTicker(keeperCheckInterval)
--- a/gateway/retrybudgets_test.go
+++ b/gateway/retrybudgets_test.go
@@ -17,7 +17,7 @@
 //	"vm":"router-1" "event":"repeat" "allowed":true "part":25 "routers":2
 //	"vm":"router-2" "event":"repeat" "allowed":true "part":50 "routers":1
 //
-// A router whose entry may not be visible to others must not use a share of the fixed number.
+// A router whose entry might not be visible to others must not use a share of the fixed number.
 func TestFixedRetryAllowanceIsIssuedOnce(t *testing.T) {
 	withFleet(t, func(f *fleet) {
 		f.putConfig(0, "k1")
@@ -41,8 +41,8 @@
 	})
 }
 
-// Guards against retries beyond the limit when two routers are restarted as planned, one after the
-// other, repeatedly, while a service fails all requests. In any ten seconds, all incarnations together
+// Guards against retries beyond the limit when two routers are repeatedly restarted as planned, one
+// after the other, while a service fails all requests. In any ten seconds, all incarnations together
 // must stay within the limit.
 func TestRollingRestartsKeepTheRetryLimit(t *testing.T) {
 	withFleet(t, func(f *fleet) {
