--- a/agent/agent.go
+++ b/agent/agent.go
@@ -135,8 +135,8 @@
 	return l, err
 }
 
-// initialize registers this incarnation before it reads the fences. If a recovery did not
-// see this incarnation, its fence was written before and is read here.
+// initialize registers this incarnation before it reads the fences. A recovery that did not
+// see this incarnation has therefore written its fence already, and the fence is read here.
 func (a *Agent) initialize(ctx context.Context) error {
 	if err := a.base.StartIncarnation(ctx); err != nil {
 		return err
--- a/agent/once.go
+++ b/agent/once.go
@@ -114,13 +114,13 @@
 	case !o.Complete:
 		return
 	}
-	answer, err := json.Marshal(rec.saved)
+	response, err := json.Marshal(rec.saved)
 	if err != nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), claimEndTimeout)
 	defer cancel()
-	if err := a.claims.End(ctx, id, c, state, answer); err != nil {
+	if err := a.claims.End(ctx, id, c, state, response); err != nil {
 		a.log.Warn().Str("id", id).Err(err).Msg("claim end not recorded")
 	}
 }
@@ -158,7 +158,7 @@
 // readBody reads the whole body and makes it readable again.
 func readBody(r *http.Request) ([]byte, error) {
 	var b bytes.Buffer
-	if _, err := b.ReadFrom(http.MaxBytesReader(nil, r.Body, maxAnswer)); err != nil {
+	if _, err := b.ReadFrom(http.MaxBytesReader(nil, r.Body, maxBufferedBody)); err != nil {
 		return nil, err
 	}
 	r.Body = &replayBody{bytes.NewReader(b.Bytes())}
--- a/agent/run.go
+++ b/agent/run.go
@@ -53,8 +53,8 @@
 	r.Write(w, work.ID)
 }
 
-// admit acquires what the request needs, in an order in which a refusal leaves nothing
-// behind: a place in the outbox, a slot, the witness's record.
+// admit acquires what the request needs and runs it. The order is a place in the outbox, a
+// slot, the witness's record, so that a refusal leaves nothing behind.
 func (t *run) admit() *contract.Refusal {
 	a := t.agent
 	a.witness.Trim(t.work.Reservation.Budget, t.work.Watermarks)
--- a/agent/upstream.go
+++ b/agent/upstream.go
@@ -20,8 +20,9 @@
 	// maxBody is the maximum size of a request body in bytes: ten times the text of a prompt of
 	// 200,000 tokens.
 	maxBody = 8 << 20
-	// maxAnswer is the maximum size in bytes of a response that is not streamed.
-	maxAnswer = 8 << 20
+	// maxBufferedBody is the maximum size in bytes of a body that is read into memory as a whole:
+	// that of a response that is not streamed, or of a request that is claimed.
+	maxBufferedBody = 8 << 20
 	// copyBufferSize is the size of the buffers that forward responses.
 	copyBufferSize = 32 << 10
 )
@@ -81,7 +82,7 @@
 	var m openai.Meter
 	to.start(resp.StatusCode, resp.Header)
 	if !strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
-		b, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+		b, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedBody))
 		if err != nil {
 			return m, err
 		}
--- a/contract/answer.go
+++ b/contract/answer.go
@@ -7,7 +7,7 @@
 	"strconv"
 )
 
-// RequestIDHeader carries the system's request id in every answer.
+// RequestIDHeader carries the system's request id in every response.
 const RequestIDHeader = "X-Request-Id"
 
 // ErrorBody is the JSON body of every refusal.
--- a/contract/work.go
+++ b/contract/work.go
@@ -75,7 +75,7 @@
 const (
 	// WorkHeader carries the Work of a request.
 	WorkHeader = "Arbutusmill-Work"
-	// OutcomeTrailer carries the Outcome after the body. An answer without it
+	// OutcomeTrailer carries the Outcome after the body. A response without it
 	// is truncated, however its connection ended.
 	OutcomeTrailer = "Arbutusmill-Outcome"
 	// FencedHeader names the fenced holder that made an agent refuse with Fenced.
@@ -88,11 +88,11 @@
 type Outcome struct {
 	// Used is the billed amount in tokens.
 	Used int64 `json:"used"`
-	// Complete reports whether the upstream's answer was forwarded completely.
+	// Complete reports whether the upstream's response was forwarded completely.
 	Complete bool `json:"whole"`
-	// Kind is set if the answer is not complete.
+	// Kind is set if the response is not complete.
 	Kind Kind `json:"kind,omitempty"`
-	// Replayed reports whether the answer is that of an earlier run; it costs nothing.
+	// Replayed reports whether the response is that of an earlier run; it costs nothing.
 	Replayed bool `json:"replayed,omitempty"`
 }
 
@@ -116,7 +116,7 @@
 	return w, err
 }
 
-// Billed returns the tokens to bill; a replayed answer was billed before.
+// Billed returns the tokens to bill; a replayed response was billed before.
 func (o Outcome) Billed() int64 {
 	if o.Replayed {
 		return 0
@@ -124,13 +124,13 @@
 	return o.Used
 }
 
-// SetTrailer writes the outcome to an answer's trailers.
+// SetTrailer writes the outcome to a response's trailers.
 func (o Outcome) SetTrailer(h http.Header) {
 	b, _ := json.Marshal(o) // cannot fail: only plain fields
 	h.Set(OutcomeTrailer, string(b))
 }
 
-// OutcomeOf parses the outcome in an answer's trailers; ok is false if it is
+// OutcomeOf parses the outcome in a response's trailers; ok is false if it is
 // missing or invalid.
 func OutcomeOf(trailer http.Header) (o Outcome, ok bool) {
 	v := trailer.Get(OutcomeTrailer)
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -43,7 +43,7 @@
 // Usage implements subcommands.Command.
 func (c *runCmd) Usage() string {
 	return fmt.Sprintf(`%s -config FILE
-Runs the %s of this VM. SIGTERM makes a planned stop: no request is cut off.
+Runs the %s of this VM. SIGTERM starts a planned stop, which interrupts no request.
 Example: arbutusmilld %s -config %s
 `, c.role, c.role, c.role, c.example)
 }
@@ -106,12 +106,12 @@
 func (*checkCmd) Name() string { return "check-config" }
 
 // Synopsis implements subcommands.Command.
-func (*checkCmd) Synopsis() string { return "check settings files and say what is wrong" }
+func (*checkCmd) Synopsis() string { return "check settings files and report errors" }
 
 // Usage implements subcommands.Command.
 func (*checkCmd) Usage() string {
 	return `check-config FILE...
-Checks settings files and names each wrong field. Exit status 2 if any is wrong.
+Checks settings files and reports each invalid field. Exit status 2 if any is invalid.
 Example: arbutusmilld check-config examples/brekke/*.yaml
 `
 }
--- a/daemon/gateway.go
+++ b/daemon/gateway.go
@@ -34,8 +34,8 @@
 // Usage implements subcommands.Command.
 func (*gatewayCmd) Usage() string {
 	return `gateway [-config FILE]
-Runs the router of this VM on the operators' platform. SIGTERM makes a planned stop: no
-request is cut off. Without -config the file is the one that ` + settingsVariable + ` names.
+Runs the router of this VM on the operators' platform. SIGTERM starts a planned stop, which
+interrupts no request. The default of -config is the value of ` + settingsVariable + `.
 Example: arbutusmilld gateway -config examples/hosted/gateway.yaml
 `
 }
--- a/daemon/lender.go
+++ b/daemon/lender.go
@@ -21,15 +21,15 @@
 
 // Synopsis implements subcommands.Command.
 func (*lenderCmd) Synopsis() string {
-	return "hold prepaid tokens for the routers, beside an upstream, until SIGTERM"
+	return "hold prepaid tokens for the routers, on the VM of an upstream, until SIGTERM"
 }
 
 // Usage implements subcommands.Command.
 func (*lenderCmd) Usage() string {
 	return `lender [-config FILE]
 Holds prepaid tokens for the routers on the operators' platform, on the VM of an upstream.
-SIGTERM gives unused tokens back. Without -config the file is the one that ` + settingsVariable + `
-names.
+SIGTERM starts a planned stop, which returns unused tokens. The default of -config is the value of
+` + settingsVariable + `.
 Example: arbutusmilld lender -config examples/hosted/lender.yaml
 `
 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -54,7 +54,7 @@
 	})
 }
 
-// An apply takes effect and its answer is lost. The retry must detect its own write, and
+// An apply takes effect and its response is lost. The retry must detect its own write, and
 // neither report a conflict nor create another generation.
 func TestLostAnswerOfAnApply(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
--- a/fleet/registry.go
+++ b/fleet/registry.go
@@ -20,7 +20,7 @@
 type Stored struct {
 	Generation int64 `json:"generation"`
 	// Op is the id of the apply that created this generation. A writer whose
-	// answer was lost finds its id here if its write took effect.
+	// response was lost finds its id here if its write took effect.
 	Op       string    `json:"op"`
 	Document *Document `json:"document"`
 }
@@ -54,7 +54,7 @@
 
 // Apply replaces the document if the stored generation is still expect, and
 // returns the new generation; otherwise the error wraps ErrGenerationMismatch. op
-// identifies this apply, so that a retry after a lost answer is not another change.
+// identifies this apply, so that a retry after a lost response is not another change.
 func (r Registry) Apply(ctx context.Context, doc *Document, expect int64, op string) (int64, error) {
 	if err := doc.Check(); err != nil {
 		return 0, err
--- a/hop/conntracker.go
+++ b/hop/conntracker.go
@@ -10,7 +10,7 @@
 // the server, so the request was certainly not run; afterwards it may have been.
 type ConnTracker struct{ got atomic.Bool }
 
-// Trace returns a context for the request to record.
+// Trace returns a context with which a request must be sent for t to record its connection.
 func (t *ConnTracker) Trace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { t.got.Store(true) },
--- a/link/link.go
+++ b/link/link.go
@@ -23,7 +23,7 @@
 
 var (
 	// ErrDown means that the other process could not be reached, or that the
-	// connection ended before the answer. The outcome of the call is unknown.
+	// connection ended before the response. The outcome of the call is unknown.
 	ErrDown = errs.New("link down")
 	// ErrUnauthorized means that the other process rejected our credentials.
 	ErrUnauthorized = errs.New("unauthorized")
@@ -53,7 +53,7 @@
 	methodPing  = "ping"
 )
 
-// maxMissedHeartbeats is the number of heartbeat intervals without an answer that ends a connection.
+// maxMissedHeartbeats is the number of heartbeat intervals without a response that ends a connection.
 const maxMissedHeartbeats = 3
 
 // Handler answers one method.
@@ -250,7 +250,7 @@
 	err    error
 }
 
-// Call sends one message and waits for the answer. After an error that wraps ErrDown the
+// Call sends one message and waits for the response. After an error that wraps ErrDown the
 // message may or may not have been handled.
 func (p *Pool) Call(ctx context.Context, addr, method string, params, result any) error {
 	conn, err := p.conn(ctx, addr)
@@ -334,7 +334,7 @@
 
 // heartbeat sends heartbeats until the connection ends. A device in between may drop the
 // state of a connection, so that neither data nor a reset arrives any more. Then a
-// heartbeat gets no answer, the connection is closed, and the next call opens a new one.
+// heartbeat gets no response, the connection is closed, and the next call opens a new one.
 func (p *Pool) heartbeat(conn *jsonrpc2.Conn) {
 	t := time.NewTicker(p.Heartbeat)
 	defer t.Stop()
--- a/link/messages.go
+++ b/link/messages.go
@@ -38,11 +38,12 @@
 	MethodAnnounce = "upstream.announce"
 	// MethodWithdraw withdraws an announcement: Withdrawal, Empty.
 	MethodWithdraw = "upstream.withdraw"
-	// MethodLimit reports the rate limit in an answer of the engine and returns the current
+	// MethodLimit reports the rate limit in a response of the engine and returns the current
 	// one: LimitReport, ratelimit.State.
 	MethodLimit = "upstream.limit"
-	// MethodRemotePrefill reports to the process on the VM of the engine preferred for a shared
-	// part of prompts that another engine prefills it: prefill.RemotePrefill, Empty.
+	// MethodRemotePrefill reports that a shared part of prompts is prefilled by another engine
+	// than its preferred one. It is sent to the process on the preferred engine's VM:
+	// prefill.RemotePrefill, Empty.
 	MethodRemotePrefill = "upstream.read_elsewhere"
 )
 
@@ -93,7 +94,7 @@
 	Service string        `json:"service"`
 }
 
-// LimitReport is the rate limit in an answer of one incarnation of an engine.
+// LimitReport is the rate limit in a response of one incarnation of an engine.
 type LimitReport struct {
 	// StartUnixMS is the start time of that incarnation; see directory.Incarnation.
 	StartUnixMS int64                `json:"born,omitempty"`
--- a/localfleet/steps.go
+++ b/localfleet/steps.go
@@ -82,7 +82,7 @@
 const topicCount = 9
 
 // sendTopics sends prompts on different topics through all routers, and returns how many ran on the
-// engine of the first data centre. prefix begins the names of the topics.
+// engine of the first data centre. The topics' names start with prefix.
 func (d *demo) sendTopics(ctx context.Context, prefix string) (atFirst int, err error) {
 	before := len(d.f.Engines[0].Requests())
 	for n := range topicCount {
--- a/openai/answer.go
+++ b/openai/answer.go
@@ -5,7 +5,7 @@
 	"encoding/json"
 )
 
-// Usage is the token usage that an engine reports for an answer.
+// Usage is the token usage that an engine reports for a response.
 type Usage struct {
 	PromptTokens     int64 `json:"prompt_tokens"`
 	CompletionTokens int64 `json:"completion_tokens"`
@@ -27,7 +27,7 @@
 	Content string `json:"content"`
 }
 
-// Chunk is one event of a stream, or a complete answer that is not streamed.
+// Chunk is one event of a stream, or a complete response that is not streamed.
 type Chunk struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -42,13 +42,13 @@
 	doneMark   = []byte("[DONE]")
 )
 
-// Meter counts the tokens of an answer as it is forwarded.
+// Meter counts the tokens of a response as it is forwarded.
 type Meter struct {
 	// Outputs counts the pieces of text; each is at least one token.
 	Outputs int64
 	// Usage is the usage that the engine reported, nil until then.
 	Usage *Usage
-	// Done reports whether the answer is complete.
+	// Done reports whether the response is complete.
 	Done bool
 }
 
@@ -67,19 +67,19 @@
 	if json.Unmarshal(data, &c) != nil {
 		return
 	}
-	m.chunk(c)
+	m.recordChunk(c)
 }
 
-// RecordBody records the body of an answer that is not streamed.
+// RecordBody records the body of a response that is not streamed.
 func (m *Meter) RecordBody(body []byte) {
 	var c Chunk
 	if json.Unmarshal(body, &c) == nil {
 		m.Done = true
-		m.chunk(c)
+		m.recordChunk(c)
 	}
 }
 
-func (m *Meter) chunk(c Chunk) {
+func (m *Meter) recordChunk(c Chunk) {
 	for _, ch := range c.Choices {
 		if ch.Text != "" || (ch.Delta != nil && ch.Delta.Content != "") || ch.Message != nil {
 			m.Outputs++
--- a/openai/openai_test.go
+++ b/openai/openai_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestBindSetsLimits(t *testing.T) {
+func TestSetLimits(t *testing.T) {
 	r, refusal := Parse(ChatPath, []byte(`{"model":"m","stream":true,"n":2,"max_completion_tokens":9,"seed":4,"messages":[{"role":"user","content":"hi"}]}`))
 	require.Nil(t, refusal)
 	require.NoError(t, r.SetLimits(64, contract.Urgent))
--- a/openai/request.go
+++ b/openai/request.go
@@ -1,5 +1,5 @@
 // Package openai parses and writes the parts of the published OpenAI API that the
-// system needs: the maximum cost of a request, and the usage that an answer reports.
+// system needs: the maximum cost of a request, and the usage that a response reports.
 package openai
 
 import (
@@ -26,8 +26,8 @@
 	maxChoices       = 8
 )
 
-// prefixBytes is the length of the prompt prefix that PrefixKey hashes, by which an
-// engine that probably has it cached is chosen.
+// prefixBytes is the length of the prompt prefix that PrefixKey hashes. The hash selects an
+// engine that probably has the prefix cached.
 const prefixBytes = 1024
 
 // Request is a validated request for a completion.
@@ -37,11 +37,11 @@
 	// PromptBound is an upper bound on the prompt's tokens.
 	PromptBound int64
 	// OutputLimit is the maximum number of output tokens: per choice as requested, 0
-	// for none, and after Bind over all choices.
+	// for none, and after SetLimits over all choices.
 	OutputLimit int64
 	// PrefixKey is a hash of the beginning of the conversation.
 	PrefixKey uint64
-	// Body is the body sent to the engine: after Bind, the caller's request with the
+	// Body is the body sent to the engine: after SetLimits, the caller's request with the
 	// output limit, the priority and the option for a usage chunk set.
 	Body []byte
 }
--- a/operator/budget.go
+++ b/operator/budget.go
@@ -25,10 +25,10 @@
 		name:     "budget",
 		synopsis: "show, create and top up prepaid budgets",
 		usage: `budget [flags] show|create|topup|release NAME
-  show     what was credited, settled, granted to whom, and forfeited
-  create   make an empty budget for -team
-  topup    credit -tokens; -id names the payment, and a repeated id counts once
-  release  give -tokens of the forfeited ones back; -id names the order
+  show     print the credited, settled and forfeited tokens, and the grants by holder
+  create   create an empty budget for -team
+  topup    credit -tokens; -id names the payment, and each id counts once
+  release  return -tokens of the forfeited ones; -id names the order
 Example: arbutusmill budget -tokens 1000000 -id invoice-118 topup pilots/2026
 `,
 		flags: func(f *flag.FlagSet) {
@@ -43,7 +43,7 @@
 
 func (b *budgetFlags) run(ctx context.Context, args []string) error {
 	if len(args) != 2 {
-		return usagef("want one of show, create, topup, release and a budget's name")
+		return usagef("expected one of show, create, topup, release and a budget's name")
 	}
 	name := args[1]
 	if !fleet.ValidName(name) {
@@ -77,7 +77,7 @@
 
 func (b *budgetFlags) topUp(ctx context.Context, name string) error {
 	if b.id == "" {
-		return usagef("-id: is missing; it makes a repeat after a lost answer harmless")
+		return usagef("-id: is missing; with it, a retry after a lost response has no further effect")
 	}
 	if b.tokens <= 0 {
 		return usagef("-tokens: must be positive")
@@ -91,13 +91,13 @@
 
 func (b *budgetFlags) release(ctx context.Context, name string) error {
 	if b.id == "" || b.tokens <= 0 {
-		return usagef("-id and a positive -tokens are needed")
+		return usagef("-id and a positive -tokens are required")
 	}
 	n, err := b.accounts().Release(ctx, name, b.id, b.tokens)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("budget %s: order %s gave %d forfeited tokens back\n", name, b.id, n)
+	fmt.Printf("budget %s: order %s returned %d forfeited tokens\n", name, b.id, n)
 	return nil
 }
 
--- a/operator/command.go
+++ b/operator/command.go
@@ -137,7 +137,7 @@
 
 func (s *storeFlags) registry() fleet.Registry { return fleet.Registry{Store: s.store()} }
 
-// withCommandTimeout bounds a whole command, since the store may be down for long.
+// withCommandTimeout bounds a whole command, since the store may be unavailable for a long time.
 func withCommandTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	const commandTimeout = 30 * time.Second
 	return context.WithTimeout(ctx, commandTimeout)
--- a/operator/config.go
+++ b/operator/config.go
@@ -26,13 +26,13 @@
 		synopsis: "replace the configuration",
 		usage: `apply [flags] -f FILE -expect GENERATION
 Replaces the configuration if its generation is still the expected one (0 for the
-first). When another operator came first, nothing is changed. -dry-run only checks.
+first). If another operator has changed it, nothing is changed. -dry-run only checks.
 Example: arbutusmill apply -f examples/brekke/fleet.yaml -expect 0
 `,
 		flags: func(f *flag.FlagSet) {
 			a.flags(f)
 			f.StringVar(&a.file, "f", "", "`file` with the whole configuration (YAML)")
-			f.Int64Var(&a.expect, "expect", -1, "`generation` that you saw")
+			f.Int64Var(&a.expect, "expect", -1, "current `generation` that the file replaces")
 			f.BoolVar(&a.dryRun, "dry-run", false, "check the file only")
 		},
 		run: a.run,
@@ -41,7 +41,7 @@
 
 func (a *applyFlags) run(ctx context.Context, args []string) error {
 	if a.file == "" || len(args) > 0 {
-		return usagef("-f FILE is needed, and nothing else")
+		return usagef("-f FILE is required, and no other arguments are taken")
 	}
 	b, err := os.ReadFile(a.file)
 	if err != nil {
@@ -56,7 +56,7 @@
 		return nil
 	}
 	if a.expect < 0 {
-		return usagef("-expect: the generation that you saw is needed (see preset list)")
+		return usagef("-expect: the current generation is required (see preset list)")
 	}
 	ctx, cancel := withCommandTimeout(ctx)
 	defer cancel()
@@ -72,10 +72,10 @@
 	t := &storeFlags{}
 	return &command{
 		name:     "preset",
-		synopsis: "list presets, or put one in force",
+		synopsis: "list presets, or activate one",
 		usage: `preset [flags] list|use NAME
-Exactly one preset is in force. Putting another one in force makes a new generation
-of the configuration.
+Exactly one preset is active. Activating another one creates a new generation of the
+configuration.
 Example: arbutusmill preset use peak
 `,
 		flags: t.flags,
@@ -100,7 +100,7 @@
 	case len(args) == 2 && args[0] == "use":
 		return usePreset(ctx, t, stored, args[1])
 	}
-	return usagef("want list, or use and a preset's name")
+	return usagef("expected list, or use and a preset's name")
 }
 
 func listPresets(s fleet.Stored) {
@@ -131,7 +131,7 @@
 	t := &storeFlags{}
 	return &command{
 		name:     "team",
-		synopsis: "list teams, or make a key for one",
+		synopsis: "list teams, or generate a key for one",
 		usage: `team [flags] list|key
   list  the teams, their budgets and the number of their keys
   key   print a new random key, once, and the hash to put into the configuration
@@ -149,7 +149,7 @@
 		return nil
 	}
 	if len(args) != 1 || args[0] != "list" {
-		return usagef("want list or key")
+		return usagef("expected list or key")
 	}
 	return withDocument(ctx, t, func(d *fleet.Document) {
 		for _, tm := range d.Teams {
@@ -170,7 +170,7 @@
 		flags: t.flags,
 		run: func(ctx context.Context, args []string) error {
 			if len(args) != 1 || args[0] != "list" {
-				return usagef("want list")
+				return usagef("expected list")
 			}
 			return withDocument(ctx, t, func(d *fleet.Document) {
 				for _, s := range d.Services {
--- a/operator/events_test.go
+++ b/operator/events_test.go
@@ -14,7 +14,8 @@
 var hostedPackages = []string{"gateway", "hosted", "lender", "prepaid"}
 
 // Guards against log events that are missing from docs/OPERATIONS.md, or are there under another
-// name: on-call readers look up log lines on that page.
+// name: on-call readers look up log lines on that page. Fifteen events were missing, and one was
+// listed under a name that no log line has.
 func TestOperatorsPageNamesAllEvents(t *testing.T) {
 	page, err := os.ReadFile("../docs/OPERATIONS.md")
 	require.NoError(t, err)
--- a/operator/explain.go
+++ b/operator/explain.go
@@ -26,22 +26,22 @@
 
 // Synopsis implements subcommands.Command.
 func (*explainCmd) Synopsis() string {
-	return "follow one request through the logs of gateways"
+	return "trace one request through the logs of gateways"
 }
 
 // Usage implements subcommands.Command.
 func (*explainCmd) Usage() string {
 	return `explain [-around 3s] ID LOG...
-Prints the lines of the request with that id, and between them what the same processes
-noted about their dependencies around that time. Clocks of VMs may disagree, so lines are
-put in order within a process only.
+Prints the log lines of the request with that id, together with the events that the same
+processes logged about their dependencies around that time. Clocks of VMs may disagree, so
+lines are sorted within each process only.
 Example: arbutusmill explain c2a96e36da0a37c3 router-1.log router-2.log
 `
 }
 
 // SetFlags implements subcommands.Command.
 func (c *explainCmd) SetFlags(f *flag.FlagSet) {
-	f.DurationVar(&c.around, "around", 3*time.Second, "how long before and after to look for events of dependencies")
+	f.DurationVar(&c.around, "around", 3*time.Second, "how long before and after the request's lines to include events of dependencies")
 }
 
 // Execute implements subcommands.Command.
@@ -75,9 +75,9 @@
 	text        string
 }
 
-// requestEvents are the events of single requests. All others may explain a request: a process
-// lost or regained a dependency, or changed its state of it. (A list of those would have to be
-// extended with each new event.)
+// requestEvents are the events of single requests. Any other event may explain what happened to a
+// request: the process lost or regained a dependency, or changed its recorded state of one. The other
+// events are not listed, since such a list would have to be extended with each new event.
 var requestEvents = map[string]bool{"request": true, "refused": true, "caller_connection_ended": true}
 
 // readLog returns the lines that contain a JSON object with an event. It skips others, such
@@ -124,8 +124,8 @@
 	return len(incarnations) > 0
 }
 
-// relatedLines returns the lines of one incarnation that belong to the request, and its events of
-// no request within around of one of times, sorted by time.
+// relatedLines returns, sorted by time, the lines of one incarnation that belong to the request, and
+// those that belong to no request and whose time differs from one of times by at most around.
 func relatedLines(lines []logLine, id, incarnation string, times []time.Time, around time.Duration) []logLine {
 	var out []logLine
 	for _, l := range lines {
--- a/operator/ledger.go
+++ b/operator/ledger.go
@@ -28,10 +28,10 @@
 		name:     "ledger",
 		synopsis: "list and sum charges, and compare them with the accounts",
 		usage: `ledger [flags]
-Sums the charges by budget, for one -team or all. -since takes only charges settled
-within that time; -list prints each of them. -verify compares the sums with what the
-accounts have settled: the accounts lag behind by what routers have not reported yet,
-and may never be ahead.
+Sums the charges by budget, for one -team or all. -since includes only charges settled
+within that time; -list prints each of them. -verify compares the sums with the settled
+totals of the accounts: these lag behind by what routers have not reported yet, and must
+never be ahead.
 Example: arbutusmill ledger -team pilots -since 24h -list
 `,
 		flags: func(f *flag.FlagSet) {
@@ -121,7 +121,7 @@
 }
 
 // compare returns "ok" if a billed total fits an account, else the difference. What is billed
-// beyond the settled total must lie in grants whose holders haven't reported yet.
+// beyond the settled total must be covered by grants whose holders haven't reported yet.
 func compare(a *account.Account, billed int64) string {
 	switch {
 	case billed > a.Credit():
--- a/operator/load.go
+++ b/operator/load.go
@@ -42,19 +42,20 @@
 	l := &loadFlags{}
 	return &command{
 		name:     "load",
-		synopsis: "send a bounded load of streamed questions to a router on this machine",
+		synopsis: "send a bounded load of streamed requests to a router on this machine",
 		usage: `load [flags]
-Sends -requests streamed questions at -rate a second, open loop, and prints the time to
-the first token, the time between tokens, and how many ended how. Loopback only.
+Sends -requests streamed requests at -rate per second, open loop, and prints the time to
+the first token, the time between tokens, and the number of requests by outcome. Loopback
+only.
 Example: arbutusmill load -url http://127.0.0.1:8080 -key am_... -rate 20 -requests 200
 `,
 		flags: func(f *flag.FlagSet) {
 			f.StringVar(&l.url, "url", "http://127.0.0.1:8080", "router's `URL` for callers")
 			f.StringVar(&l.key, "key", "", "team's `key`")
-			f.StringVar(&l.model, "model", "tides-1", "`model` to ask")
-			f.Float64Var(&l.rate, "rate", 10, "requests a second")
-			f.IntVar(&l.requests, "requests", 100, "requests in all")
-			f.StringVar(&l.prompt, "prompt", "When is low water tonight?", "`text` to ask; a number is added")
+			f.StringVar(&l.model, "model", "tides-1", "`model` to request")
+			f.Float64Var(&l.rate, "rate", 10, "requests per second")
+			f.IntVar(&l.requests, "requests", 100, "total number of requests")
+			f.StringVar(&l.prompt, "prompt", "When is low water tonight?", "`text` of the prompt; a number is appended")
 			f.IntVar(&l.tokens, "max-tokens", 64, "output limit of each request")
 		},
 		run: l.run,
--- a/operator/local.go
+++ b/operator/local.go
@@ -27,12 +27,13 @@
 	d := &demoFlags{}
 	return &command{
 		name:     "demo",
-		synopsis: "run a whole fleet on this machine and show its main job",
+		synopsis: "run a complete fleet on this machine and demonstrate its main functions",
 		usage: `demo [-log FILE] [-keep]
 Starts routers and lenders of three data centres on loopback, as the daemons run them, on
-stand-ins of the platform and of upstreams, and shows what they promise: prompts streamed and
-billed, a call that runs once, a budget that ends, a drained data centre, a router that is cut
-off, a loss of all processes. Exit status 0 only if all of it is as promised.
+stand-ins of the platform and of upstreams, and demonstrates their guarantees: prompts are
+streamed and billed, a call runs once, a budget is exhausted, a data centre is drained, a router
+is disconnected from the store, and all processes are killed. Exit status 0 only if every step
+passes.
 Example: arbutusmill demo -log demo.log
 `,
 		flags: func(f *flag.FlagSet) {
@@ -80,8 +81,8 @@
 		flags: func(f *flag.FlagSet) {
 			f.StringVar(&s.listen, "listen", "127.0.0.1:0", "loopback `address` to listen on")
 			f.StringVar(&s.vms, "vms", "", "`file` with the list of VMs (JSON), for the platform")
-			f.DurationVar(&s.engine.Step, "step", s.engine.Step, "time of an engine's step")
-			f.IntVar(&s.engine.Slots, "slots", s.engine.Slots, "requests in an engine's step")
+			f.DurationVar(&s.engine.Step, "step", s.engine.Step, "duration of one step of an engine")
+			f.IntVar(&s.engine.Slots, "slots", s.engine.Slots, "maximum number of requests in one step of an engine")
 			f.DurationVar(&s.engine.LoadLag, "load-lag", s.engine.LoadLag, "age of an engine's load report")
 			f.BoolVar(&s.engine.ChecksFencing, "fencing", s.engine.ChecksFencing, "engine refuses orders with an old fencing number")
 		},
@@ -91,7 +92,7 @@
 
 func (s *standinFlags) run(ctx context.Context, args []string) error {
 	if len(args) != 1 {
-		return usagef("want one of platform, engine, service")
+		return usagef("expected one of platform, engine, service")
 	}
 	h, err := s.handler(ctx, args[0])
 	if err != nil {
@@ -158,7 +159,7 @@
 `,
 		run: func(ctx context.Context, args []string) error {
 			if len(args) != 1 {
-				return usagef("want one admin address")
+				return usagef("expected one admin address")
 			}
 			return dump(ctx, args[0])
 		},
--- a/router/lost.go
+++ b/router/lost.go
@@ -69,11 +69,11 @@
 	}
 }
 
-// resolve settles one lost request if its outcome can be determined. If the agent has no
-// record of the request, it never began it and never will, unless the agent has restarted:
-// then the previous incarnation's record is lost. What that incarnation served is unknown,
-// and its charge may be in the ledger. The whole reservation then counts as used, so that
-// no token is spent twice, and this router does not bill the caller.
+// resolve settles one lost request if its outcome can be determined. An agent without a record
+// of the request never began it and never will, unless the agent has restarted and lost the
+// record of its previous incarnation. What that incarnation served is unknown, and its charge
+// may be in the ledger. The whole reservation then counts as used, so that no token is spent
+// twice, and this router does not bill the caller.
 func (r *Router) resolve(ctx context.Context, lost lostJob) (done, replied bool) {
 	ctx, cancel := context.WithTimeout(ctx, linkTimeout)
 	defer cancel()
--- a/router/recover.go
+++ b/router/recover.go
@@ -145,8 +145,8 @@
 		Int64("forfeited", res.Forfeited).Msg("recovered")
 }
 
-// markGoneAgents marks agents as gone whose VMs have been absent from the list for longer
-// than platform.list_lag, so that recovery does not wait for them forever.
+// markGoneAgents marks an agent as gone if its VM has been absent from the list for longer
+// than platform.list_lag, so that recovery does not wait for it forever.
 func (r *Router) markGoneAgents(ctx context.Context) {
 	incarnations, err := r.base.Incarnations.All(ctx)
 	if err != nil {
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -46,7 +46,7 @@
 )
 
 // Engine is a stand-in of a model engine with continuous batching, a prefix cache and
-// request priorities. The tokens it generates are numbered, so an answer shows its
+// request priorities. The tokens it generates are numbered, so a response shows its
 // length.
 type Engine struct {
 	opt EngineOptions
@@ -271,7 +271,7 @@
 		Choices: []openai.Choice{{Message: &openai.Message{Role: "assistant", Content: out}, FinishReason: &stop}}})
 }
 
-// submit queues a request. The length of its answer depends only on its text and
+// submit queues a request. The length of its response depends only on its text and
 // max_tokens.
 func (e *Engine) submit(r *http.Request, in engineRequest, text string, prompt int64) *sequence {
 	const minTokens, tokenRange = 8, 25
--- a/standin/service.go
+++ b/standin/service.go
@@ -21,7 +21,7 @@
 // ServiceFault is a failure to inject.
 type ServiceFault struct {
 	// BreakAfterEffect is the number of next calls that take effect and then
-	// break the connection without an answer.
+	// break the connection without a response.
 	BreakAfterEffect int `json:"break_after_effect"`
 	// ErrorAfterEffect is the number of next calls that take effect and then
 	// answer 500.
@@ -64,7 +64,7 @@
 	return mux
 }
 
-// echo is the answer to a call.
+// echo is the response to a call.
 type echo struct {
 	Method string `json:"method"`
 	Path   string `json:"path"`
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -12,7 +12,7 @@
 	"github.com/arbutusmill/arbutusmill/vm"
 )
 
-// LoadHeader carries an upstream's load in the answers of its agent.
+// LoadHeader carries an upstream's load in the responses of its agent.
 const LoadHeader = "Arbutusmill-Load"
 
 // Load is an upstream's load as last reported by its agent.
--- a/vm/view.go
+++ b/vm/view.go
@@ -15,7 +15,7 @@
 type View struct {
 	mu      sync.Mutex
 	listed  map[string]VM
-	leaving map[string]time.Time // when the VM itself reported it, whatever the list says
+	leaving map[string]time.Time // time of the VM's own report, which overrides the list
 	updated time.Time
 
 	routers []VM
