--- a/fleet/registry.go
+++ b/fleet/registry.go
@@ -87,13 +87,13 @@
 
 // Follow updates current to each newer stored document. It uses a watch and, in case
 // the watch stops delivering events, a read per interval. It returns when the context
-// ends. refused, if not nil, is called with the error of each failed read or watch and
+// ends. onError, if not nil, is called with the error of each failed read or watch and
 // each invalid document.
-func (r Registry) Follow(ctx context.Context, current *Current, interval time.Duration, refused func(error)) {
+func (r Registry) Follow(ctx context.Context, current *Current, interval time.Duration, onError func(error)) {
 	pause := backoff.New(followPauseMin, followPauseMax)
 	for ctx.Err() == nil {
-		if err := r.followOnce(ctx, current, interval); err != nil && refused != nil && ctx.Err() == nil {
-			refused(err)
+		if err := r.followOnce(ctx, current, interval); err != nil && onError != nil && ctx.Err() == nil {
+			onError(err)
 		}
 		_ = pause.Wait(ctx)
 	}
--- a/link/link.go
+++ b/link/link.go
@@ -272,17 +272,17 @@
 		p.mu.Unlock()
 		return nil, Error.Wrap(ErrDown)
 	}
-	d := p.conns[addr]
-	if d == nil {
+	pc := p.conns[addr]
+	if pc == nil {
 		dialing, cancel := context.WithTimeout(context.Background(), p.DialTimeout)
-		d = &peerConn{ready: make(chan struct{}), cancel: cancel}
-		p.conns[addr] = d
-		go p.dial(dialing, addr, d)
+		pc = &peerConn{ready: make(chan struct{}), cancel: cancel}
+		p.conns[addr] = pc
+		go p.dial(dialing, addr, pc)
 	}
 	p.mu.Unlock()
 	select {
-	case <-d.ready:
-		return d.conn, d.err
+	case <-pc.ready:
+		return pc.conn, pc.err
 	case <-ctx.Done():
 		return nil, Error.Wrap(errors.Join(ErrDown, ctx.Err()))
 	}
@@ -290,18 +290,18 @@
 
 // dial opens the connection, and removes it from the pool when it ends. A connection that is
 // opened while the pool closes is closed here.
-func (p *Pool) dial(ctx context.Context, addr string, d *peerConn) {
-	d.conn, d.err = p.connect(ctx, addr)
-	d.cancel()
-	close(d.ready)
-	if d.err == nil && p.isClosed() {
-		_ = d.conn.Close()
-	} else if d.err == nil {
-		p.heartbeat(d.conn)
+func (p *Pool) dial(ctx context.Context, addr string, pc *peerConn) {
+	pc.conn, pc.err = p.connect(ctx, addr)
+	pc.cancel()
+	close(pc.ready)
+	if pc.err == nil && p.isClosed() {
+		_ = pc.conn.Close()
+	} else if pc.err == nil {
+		p.heartbeat(pc.conn)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.conns[addr] == d {
+	if p.conns[addr] == pc {
 		delete(p.conns, addr)
 	}
 }
@@ -359,14 +359,14 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	for _, d := range p.conns {
+	for _, pc := range p.conns {
 		select {
-		case <-d.ready:
-			if d.conn != nil {
-				_ = d.conn.Close()
+		case <-pc.ready:
+			if pc.conn != nil {
+				_ = pc.conn.Close()
 			}
 		default:
-			d.cancel()
+			pc.cancel()
 		}
 	}
 }
--- a/localfleet/fleet.go
+++ b/localfleet/fleet.go
@@ -80,8 +80,8 @@
 // vm is one VM with the process on it.
 type vm struct {
 	name string
-	// callers is the address of a router's listener for callers, "" for a lender; ready that of its
-	// readiness listener, "" for a lender; admin that of the process's admin listener.
+	// callers and ready are the addresses of a router's listeners for callers and for readiness
+	// checks, "" for a lender; admin is the address of the process's admin listener.
 	callers, ready, admin string
 	// start creates the process of a new incarnation and returns the incarnation's name.
 	start func(hosted.Network) (p process, incarnation string)
--- a/router/budgets.go
+++ b/router/budgets.go
@@ -82,13 +82,13 @@
 
 // otherLenders returns the nearest other routers, without the primary lenders.
 func (r *Router) otherLenders(budget string) []string {
-	asked := map[string]bool{r.base.Settings.VM: true}
+	excluded := map[string]bool{r.base.Settings.VM: true}
 	for _, id := range r.primaryLenders(budget) {
-		asked[id] = true
+		excluded[id] = true
 	}
 	var out []string
 	for _, m := range r.topology.SortByDistance(budget, r.base.View.Routers()) {
-		if !asked[m.ID] && len(out) < maxOtherLenders {
+		if !excluded[m.ID] && len(out) < maxOtherLenders {
 			out = append(out, m.ID)
 		}
 	}
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -105,7 +105,7 @@
 	writeJSON(w, out)
 }
 
-// items reads one key, or a range whose end is that of a prefix.
+// items reads one key, or the keys from in.Key to the end of a prefix.
 func (p *Platform) items(r *http.Request, in etcd.RangeRequest) ([]store.Item, error) {
 	if len(in.RangeEnd) == 0 {
 		it, err := p.Store.Get(r.Context(), string(in.Key))
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -145,9 +145,9 @@
 		s.fails = 0
 		return
 	}
-	pause := min(maxPenalty, minPenalty<<min(s.fails, 5))
+	penalty := min(maxPenalty, minPenalty<<min(s.fails, 5))
 	s.fails++
-	s.avoidUntil = c.now().Add(pause)
+	s.avoidUntil = c.now().Add(penalty)
 }
 
 // Report records the load reported by an agent.
