--- a/fleet/registry.go
+++ b/fleet/registry.go
@@ -20,7 +20,7 @@
 type Stored struct {
 	Generation int64 `json:"generation"`
 	// Op is the id of the apply that created this generation. A writer whose
-	// answer was lost finds its id here if its write took effect.
+	// response was lost finds its id here if its write took effect.
 	Op       string    `json:"op"`
 	Document *Document `json:"document"`
 }
@@ -54,7 +54,7 @@
 
 // Apply replaces the document if the stored generation is still expect, and
 // returns the new generation; otherwise the error wraps ErrGenerationMismatch. op
-// identifies this apply, so that a retry after a lost answer is not another change.
+// identifies this apply, so that a retry after a lost response is not another change.
 func (r Registry) Apply(ctx context.Context, doc *Document, expect int64, op string) (int64, error) {
 	if err := doc.Check(); err != nil {
 		return 0, err
@@ -87,13 +87,13 @@
 
 // Follow updates current to each newer stored document. It uses a watch and, in case
 // the watch stops delivering events, a read per interval. It returns when the context
-// ends. refused, if not nil, is called with the error of each failed read or watch and
+// ends. onError, if not nil, is called with the error of each failed read or watch and
 // each invalid document.
-func (r Registry) Follow(ctx context.Context, current *Current, interval time.Duration, refused func(error)) {
+func (r Registry) Follow(ctx context.Context, current *Current, interval time.Duration, onError func(error)) {
 	pause := backoff.New(followPauseMin, followPauseMax)
 	for ctx.Err() == nil {
-		if err := r.followOnce(ctx, current, interval); err != nil && refused != nil && ctx.Err() == nil {
-			refused(err)
+		if err := r.followOnce(ctx, current, interval); err != nil && onError != nil && ctx.Err() == nil {
+			onError(err)
 		}
 		_ = pause.Wait(ctx)
 	}
--- a/link/link.go
+++ b/link/link.go
@@ -23,7 +23,7 @@
 
 var (
 	// ErrDown means that the other process could not be reached, or that the
-	// connection ended before the answer. The outcome of the call is unknown.
+	// connection ended before the response. The outcome of the call is unknown.
 	ErrDown = errs.New("link down")
 	// ErrUnauthorized means that the other process rejected our credentials.
 	ErrUnauthorized = errs.New("unauthorized")
@@ -53,7 +53,7 @@
 	methodPing  = "ping"
 )
 
-// maxMissedHeartbeats is the number of heartbeat intervals without an answer that ends a connection.
+// maxMissedHeartbeats is the number of heartbeat intervals without a response that ends a connection.
 const maxMissedHeartbeats = 3
 
 // Handler answers one method.
@@ -250,7 +250,7 @@
 	err    error
 }
 
-// Call sends one message and waits for the answer. After an error that wraps ErrDown the
+// Call sends one message and waits for the response. After an error that wraps ErrDown the
 // message may or may not have been handled.
 func (p *Pool) Call(ctx context.Context, addr, method string, params, result any) error {
 	conn, err := p.conn(ctx, addr)
@@ -272,17 +272,17 @@
 		p.mu.Unlock()
 		return nil, Error.Wrap(ErrDown)
 	}
-	d := p.conns[addr]
-	if d == nil {
+	pc := p.conns[addr]
+	if pc == nil {
 		dialing, cancel := context.WithTimeout(context.Background(), p.DialTimeout)
-		d = &peerConn{ready: make(chan struct{}), cancel: cancel}
-		p.conns[addr] = d
-		go p.dial(dialing, addr, d)
+		pc = &peerConn{ready: make(chan struct{}), cancel: cancel}
+		p.conns[addr] = pc
+		go p.dial(dialing, addr, pc)
 	}
 	p.mu.Unlock()
 	select {
-	case <-d.ready:
-		return d.conn, d.err
+	case <-pc.ready:
+		return pc.conn, pc.err
 	case <-ctx.Done():
 		return nil, Error.Wrap(errors.Join(ErrDown, ctx.Err()))
 	}
@@ -290,18 +290,18 @@
 
 // dial opens the connection, and removes it from the pool when it ends. A connection that is
 // opened while the pool closes is closed here.
-func (p *Pool) dial(ctx context.Context, addr string, d *peerConn) {
-	d.conn, d.err = p.connect(ctx, addr)
-	d.cancel()
-	close(d.ready)
-	if d.err == nil && p.isClosed() {
-		_ = d.conn.Close()
-	} else if d.err == nil {
-		p.heartbeat(d.conn)
+func (p *Pool) dial(ctx context.Context, addr string, pc *peerConn) {
+	pc.conn, pc.err = p.connect(ctx, addr)
+	pc.cancel()
+	close(pc.ready)
+	if pc.err == nil && p.isClosed() {
+		_ = pc.conn.Close()
+	} else if pc.err == nil {
+		p.heartbeat(pc.conn)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.conns[addr] == d {
+	if p.conns[addr] == pc {
 		delete(p.conns, addr)
 	}
 }
@@ -334,7 +334,7 @@
 
 // heartbeat sends heartbeats until the connection ends. A device in between may drop the
 // state of a connection, so that neither data nor a reset arrives any more. Then a
-// heartbeat gets no answer, the connection is closed, and the next call opens a new one.
+// heartbeat gets no response, the connection is closed, and the next call opens a new one.
 func (p *Pool) heartbeat(conn *jsonrpc2.Conn) {
 	t := time.NewTicker(p.Heartbeat)
 	defer t.Stop()
@@ -359,14 +359,14 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	for _, d := range p.conns {
+	for _, pc := range p.conns {
 		select {
-		case <-d.ready:
-			if d.conn != nil {
-				_ = d.conn.Close()
+		case <-pc.ready:
+			if pc.conn != nil {
+				_ = pc.conn.Close()
 			}
 		default:
-			d.cancel()
+			pc.cancel()
 		}
 	}
 }
