--- a/coord/grant/horizon.go
+++ b/coord/grant/horizon.go
@@ -140,6 +140,6 @@
 	return int64(demand*p.Horizon.Seconds()*(1-p.Slack)) + largestRecent
 }
 
-// Spare implements Policy. Each lot is for one request: a larger one would stay open as long
+// LotSize implements Policy. Each lot is for one request: a larger one would stay open as long
 // as its longest request, with its tokens unavailable to all other requests.
-func (HorizonPolicy) Spare(float64, int64) int64 { return 0 }
+func (HorizonPolicy) LotSize(float64, int64) int64 { return 0 }
--- a/coord/grant/plan.go
+++ b/coord/grant/plan.go
@@ -371,7 +371,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	b := h.budgetLocked(budget)
-	return h.policy.Spare(b.currentDemand(now), b.largestRecent)
+	return h.policy.LotSize(b.currentDemand(now), b.largestRecent)
 }
 
 // ReturnAll makes the next sync of each page give back all available tokens. It is
--- a/coord/grant/policy.go
+++ b/coord/grant/policy.go
@@ -49,9 +49,9 @@
 	// LowWater is the available amount of a budget below which the holder should
 	// sync the page ahead of need.
 	LowWater(budget string, demand float64, largestRecent int64) int64
-	// Spare returns the preferred size of a borrowed lot, given the borrower's
+	// LotSize returns the preferred size of a borrowed lot, given the borrower's
 	// demand. It matters only if it exceeds the request's need.
-	Spare(demand float64, largestRecent int64) int64
+	LotSize(demand float64, largestRecent int64) int64
 }
 
 // DemandPolicy spreads all unspent tokens over the holders by recent demand, with
@@ -150,8 +150,8 @@
 	return max(largestRecent, int64(p.LowSeconds*demand))
 }
 
-// Spare implements Policy.
-func (p DemandPolicy) Spare(demand float64, largestRecent int64) int64 {
+// LotSize implements Policy.
+func (p DemandPolicy) LotSize(demand float64, largestRecent int64) int64 {
 	return max(largestRecent, int64(p.LotSeconds*demand))
 }
 
@@ -170,8 +170,8 @@
 // LowWater implements Policy.
 func (EvenPolicy) LowWater(string, float64, int64) int64 { return 0 }
 
-// Spare implements Policy.
-func (EvenPolicy) Spare(float64, int64) int64 { return 0 }
+// LotSize implements Policy.
+func (EvenPolicy) LotSize(float64, int64) int64 { return 0 }
 
 // RequestPolicy is a baseline: it takes what requests wait for and gives the rest
 // back, with store writes for every request.
@@ -186,5 +186,5 @@
 // LowWater implements Policy.
 func (RequestPolicy) LowWater(string, float64, int64) int64 { return 0 }
 
-// Spare implements Policy.
-func (RequestPolicy) Spare(float64, int64) int64 { return 0 }
+// LotSize implements Policy.
+func (RequestPolicy) LotSize(float64, int64) int64 { return 0 }
--- a/coord/internal/lab/experiment.go
+++ b/coord/internal/lab/experiment.go
@@ -22,17 +22,17 @@
 	// UsedMax the share of them that it uses.
 	ReservedMin, ReservedMax int64
 	UsedMin, UsedMax         float64
-	// Favour is the demand policy of the deployment.
-	Favour grant.DemandPolicy
+	// Policy is the demand policy of the deployment.
+	Policy grant.DemandPolicy
 }
 
 // Deployments returns the two deployments that the policies are compared on.
 func Deployments() []Deployment {
 	return []Deployment{
 		{Name: "brekke", DCs: [3]string{"bergen", "alesund", "floro"}, Rate: 10,
-			ReservedMin: 300, ReservedMax: 900, UsedMin: 0.1, UsedMax: 0.5, Favour: grant.FavourAvailability()},
+			ReservedMin: 300, ReservedMax: 900, UsedMin: 0.1, UsedMax: 0.5, Policy: grant.FavourAvailability()},
 		{Name: "lakeshore", DCs: [3]string{"cleveland", "detroit", "milwaukee"}, Rate: 10,
-			ReservedMin: 200, ReservedMax: 4000, UsedMin: 0.3, UsedMax: 0.9, Favour: grant.FavourExactness()},
+			ReservedMin: 200, ReservedMax: 4000, UsedMin: 0.3, UsedMax: 0.9, Policy: grant.FavourExactness()},
 	}
 }
 
@@ -74,8 +74,8 @@
 	return []PolicyUnderTest{
 		{Name: "store write a request", Policy: func(Deployment) grant.Policy { return grant.RequestPolicy{} }},
 		{Name: "even split", Policy: func(Deployment) grant.Policy { return grant.EvenPolicy{N: holders} }},
-		{Name: "demand, no transfer", Policy: func(d Deployment) grant.Policy { return d.Favour }},
-		{Name: "full", Transfers: true, Policy: func(d Deployment) grant.Policy { return d.Favour }},
+		{Name: "demand, no transfer", Policy: func(d Deployment) grant.Policy { return d.Policy }},
+		{Name: "full", Transfers: true, Policy: func(d Deployment) grant.Policy { return d.Policy }},
 	}
 }
 
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -49,8 +49,8 @@
 	l.g.Log.Warn().Stringer("upstream", incarnation).Err(err).Msg("upstream_limit_unreadable")
 }
 
-// Limited implements pool.Limits.
-func (l limits) Limited(r *serving.Request, c pool.LimitedChoice) {
+// ReportLimited implements pool.Limits.
+func (l limits) ReportLimited(r *serving.Request, c pool.LimitedChoice) {
 	chosen := ""
 	if c.Chosen != nil {
 		chosen = c.Chosen.String()
--- a/gateway/recall.go
+++ b/gateway/recall.go
@@ -63,8 +63,8 @@
 	return out
 }
 
-// TrackSend implements serving.PromptGuard. It doesn't track requests without parts: they are short.
-func (p *promptGuard) TrackSend(ctx context.Context, r *serving.Request) (tracked context.Context, began, done func()) {
+// TrackAttempt implements serving.PromptGuard. It doesn't track requests without parts: they are short.
+func (p *promptGuard) TrackAttempt(ctx context.Context, r *serving.Request) (tracked context.Context, began, done func()) {
 	if len(r.Parts) == 0 {
 		return ctx, func() {}, func() {}
 	}
--- a/pool/choose.go
+++ b/pool/choose.go
@@ -176,7 +176,7 @@
 func (c *candidates) reportLimited(chosen *directory.Incarnation) {
 	if c.limited.Limited > 0 {
 		c.limited.Chosen = chosen
-		c.pool.Limits.Limited(c.r, c.limited)
+		c.pool.Limits.ReportLimited(c.r, c.limited)
 	}
 }
 
--- a/pool/limit.go
+++ b/pool/limit.go
@@ -24,8 +24,8 @@
 	// Unparsable is called for each limit that cannot be parsed; again is set if the previous one
 	// failed in the same way. The limit stated before stays active.
 	Unparsable(incarnation directory.Incarnation, err error, again bool)
-	// Limited is called for each choice in which limits excluded upstreams.
-	Limited(r *serving.Request, c LimitedChoice)
+	// ReportLimited is called for each choice in which limits excluded upstreams.
+	ReportLimited(r *serving.Request, c LimitedChoice)
 }
 
 // LimitSource is the source of a limit.
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -337,14 +337,14 @@
 
 // State is the state of one upstream, for debug dumps.
 type State struct {
-	Upstream     string  `json:"upstream"`
-	Running      int     `json:"running"`
-	Unread       int64   `json:"unread_tokens"`
-	Cached       int64   `json:"cached_tokens"`
-	Fails        int     `json:"fails_in_a_row"`
-	FailureShare float64 `json:"failure_share"`
-	Slowness     float64 `json:"slowness"`
-	StallProne   bool    `json:"left_to_short_prompts"`
+	Upstream       string  `json:"upstream"`
+	Running        int     `json:"running"`
+	PendingPrefill int64   `json:"unread_tokens"`
+	Cached         int64   `json:"cached_tokens"`
+	Fails          int     `json:"fails_in_a_row"`
+	FailureShare   float64 `json:"failure_share"`
+	Slowness       float64 `json:"slowness"`
+	StallProne     bool    `json:"left_to_short_prompts"`
 	// Limit is the requests per second that it accepts from all routers together, 0 if it states none.
 	Limit float64 `json:"limit_per_second,omitempty"`
 }
@@ -356,7 +356,7 @@
 	now := p.Now()
 	out := make([]State, 0, len(p.states))
 	for incarnation, s := range p.states {
-		out = append(out, State{Upstream: incarnation.String(), Running: s.running, Unread: s.pendingPrefill,
+		out = append(out, State{Upstream: incarnation.String(), Running: s.running, PendingPrefill: s.pendingPrefill,
 			Cached: s.cache.Tokens(), Fails: s.fails, FailureShare: s.failureShare(now),
 			Slowness: s.slowness, StallProne: s.stallProne, Limit: s.limiter.State().PerSecond})
 	}
--- a/serving/path.go
+++ b/serving/path.go
@@ -87,10 +87,10 @@
 	ConnectionBroken(ctx context.Context, r *Request, attempts []Attempt)
 	// RecordAnswer is called when a request was answered.
 	RecordAnswer(r *Request)
-	// TrackSend is called for each attempt. The returned context is canceled with the cause ErrRecalled
+	// TrackAttempt is called for each attempt. The returned context is canceled with the cause ErrRecalled
 	// if the request's prompt is found to crash upstreams, unless began was called before, with
 	// the first chunk of the answer. done is called when the attempt has ended.
-	TrackSend(ctx context.Context, r *Request) (tracked context.Context, began, done func())
+	TrackAttempt(ctx context.Context, r *Request) (tracked context.Context, began, done func())
 }
 
 // ErrRecalled is the cause of a canceled attempt whose prompt was found to crash upstreams.
@@ -148,7 +148,7 @@
 	if d.PromptGuard == nil || out.Began() {
 		return d.Upstreams.Send(ctx, r, t, out)
 	}
-	ctx, began, done := d.PromptGuard.TrackSend(ctx, r)
+	ctx, began, done := d.PromptGuard.TrackAttempt(ctx, r)
 	defer done()
 	event := t.Event
 	t.Event = func(now time.Time) {
