--- a/agent/once.go
+++ b/agent/once.go
@@ -39,13 +39,13 @@
 
 // ClaimState has the numbers of claims by result, for debug dumps.
 type ClaimState struct {
-	Taken       int64 `json:"taken"`
-	Found       int64 `json:"found_taken"`
-	Unavailable int64 `json:"unavailable"`
+	Acquired       int64 `json:"taken"`
+	AlreadyClaimed int64 `json:"found_taken"`
+	Unavailable    int64 `json:"unavailable"`
 }
 
 func (c *claimCounts) state() ClaimState {
-	return ClaimState{Taken: c.acquired.Load(), Found: c.existing.Load(), Unavailable: c.unavailable.Load()}
+	return ClaimState{Acquired: c.acquired.Load(), AlreadyClaimed: c.existing.Load(), Unavailable: c.unavailable.Load()}
 }
 
 // savedResponse is a response as stored in a claim.
@@ -111,16 +111,16 @@
 	switch {
 	case o.Kind == contract.NoUpstream:
 		state = claim.Withdrawn
-	case !o.Whole:
+	case !o.Complete:
 		return
 	}
-	answer, err := json.Marshal(rec.saved)
+	response, err := json.Marshal(rec.saved)
 	if err != nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), claimEndTimeout)
 	defer cancel()
-	if err := a.claims.End(ctx, id, c, state, answer); err != nil {
+	if err := a.claims.End(ctx, id, c, state, response); err != nil {
 		a.log.Warn().Str("id", id).Err(err).Msg("claim end not recorded")
 	}
 }
@@ -141,7 +141,7 @@
 	if err := s.write(saved.Body); err != nil {
 		return t.finish(contract.Outcome{Replayed: true, Kind: contract.UpstreamFailed}, nil)
 	}
-	return t.finish(contract.Outcome{Replayed: true, Whole: true}, nil)
+	return t.finish(contract.Outcome{Replayed: true, Complete: true}, nil)
 }
 
 func (t *run) finishRefused(k contract.Kind, message string) *contract.Refusal {
@@ -158,7 +158,7 @@
 // readBody reads the whole body and makes it readable again.
 func readBody(r *http.Request) ([]byte, error) {
 	var b bytes.Buffer
-	if _, err := b.ReadFrom(http.MaxBytesReader(nil, r.Body, maxAnswer)); err != nil {
+	if _, err := b.ReadFrom(http.MaxBytesReader(nil, r.Body, maxBufferedBody)); err != nil {
 		return nil, err
 	}
 	r.Body = &replayBody{bytes.NewReader(b.Bytes())}
--- a/agent/upstream.go
+++ b/agent/upstream.go
@@ -20,8 +20,9 @@
 	// maxBody is the maximum size of a request body in bytes: ten times the text of a prompt of
 	// 200,000 tokens.
 	maxBody = 8 << 20
-	// maxAnswer is the maximum size in bytes of a response that is not streamed.
-	maxAnswer = 8 << 20
+	// maxBufferedBody is the maximum size in bytes of a body that is read into memory as a whole:
+	// that of a response that is not streamed, or of a request that is claimed.
+	maxBufferedBody = 8 << 20
 	// copyBufferSize is the size of the buffers that forward responses.
 	copyBufferSize = 32 << 10
 )
@@ -44,7 +45,7 @@
 	}
 	hop.CopyHeaders(req.Header, r.Header)
 	req.ContentLength = r.ContentLength
-	tracker := &hop.Sent{}
+	tracker := &hop.ConnTracker{}
 	req = req.WithContext(tracker.Trace(ctx))
 	resp, err := u.client.Do(req)
 	if err != nil && !tracker.Connected() {
@@ -81,11 +82,11 @@
 	var m openai.Meter
 	to.start(resp.StatusCode, resp.Header)
 	if !strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
-		b, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+		b, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedBody))
 		if err != nil {
 			return m, err
 		}
-		m.Whole(b)
+		m.RecordBody(b)
 		return m, to.write(b)
 	}
 	lines := bufio.NewReaderSize(resp.Body, copyBufferSize)
@@ -94,7 +95,7 @@
 		if err != nil {
 			return m, err
 		}
-		m.Line(line)
+		m.RecordLine(line)
 		if m.Outputs > limit {
 			return m, errOutputLimit
 		}
@@ -106,7 +107,7 @@
 }
 
 // errOutputLimit means that an engine ignored the output limit.
-var errOutputLimit = errors.New("engine exceeded the output limit")
+var errOutputLimit = errors.New("engine passed the output limit")
 
 func readLine(r *bufio.Reader) ([]byte, error) {
 	line, err := r.ReadSlice('\n')
--- a/coord/grant/acquirer.go
+++ b/coord/grant/acquirer.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// obtainAndReserve obtains the shortfall and reserves, and repeats it if another request took
+// obtainAndReserve obtains the shortfall and reserves, and retries if another request took
 // the obtained tokens.
 func (q *Acquirer) obtainAndReserve(ctx context.Context, g Granter, budget string, n, shortfall int64) (Reservation, error) {
 	for try := 1; ; try++ {
@@ -76,7 +76,7 @@
 // was fetched for it.
 const maxFetches = 4
 
-// fetch calls the granters in order until the own row has need tokens available or one
+// fetch calls the granters in order until the holder's own row has need tokens available or one
 // succeeds.
 func (q *Acquirer) fetch(ctx context.Context, budget string, need int64) error {
 	lastErr := Error.Wrap(ErrInsufficientTokens)
--- a/coord/grant/plan.go
+++ b/coord/grant/plan.go
@@ -134,7 +134,7 @@
 // budget anyway.
 func (h *Holder) planBudgetLocked(now time.Time, t Timing, a *account.Account, b *localBudget, written bool) (commit, error) {
 	row := a.Rows[h.id]
-	// Guards against a holder that was taken for dead, had its row recovered and
+	// Guards against a holder that was presumed dead, had its row recovered and
 	// then resumed: its row is gone, and further spending would be overspend. Only
 	// this holder or a recovery removes the row.
 	if row == nil && b.removalPending {
@@ -144,12 +144,12 @@
 		h.fenced = true
 		return commit{}, Error.Wrap(ErrFenced)
 	}
-	join := row == nil
-	if join && (written || h.minimalRows && h.policy.Decide(h.view(now, a, b)).Take <= 0) {
+	newRow := row == nil
+	if newRow && (written || h.minimalRows && h.policy.Decide(h.view(now, a, b)).Take <= 0) {
 		waits := len(b.waitingAmounts) > 0
 		return commit{budget: b, view: h.view(now, a, b), insufficient: waits, exhausted: waits && h.unspentLocked(a) < b.smallestWaiting()}, nil
 	}
-	if join {
+	if newRow {
 		a.AddHolder(h.id)
 		row = a.Rows[h.id]
 	}
@@ -178,7 +178,7 @@
 	if b.idle() && (unused || h.stopping) || d.RemoveRow && b.ownRowIdle() {
 		c.rowRemoved = h.removeRowLocked(a, b)
 	}
-	c.needsWrite = join || took > 0 || returned || due || c.rowRemoved
+	c.needsWrite = newRow || took > 0 || returned || due || c.rowRemoved
 	return c, nil
 }
 
@@ -222,7 +222,7 @@
 	if err := a.Report(h.id, h.reportLocked(b.lastUse, b)); err != nil {
 		return false
 	}
-	return a.Fold(h.id)
+	return a.RemoveRow(h.id)
 }
 
 func (h *Holder) view(now time.Time, a *account.Account, b *localBudget) View {
@@ -287,8 +287,8 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var keys []string
-	for key, books := range h.pages {
-		for _, b := range books {
+	for key, budgets := range h.pages {
+		for _, b := range budgets {
 			if h.dueLocked(now, b) {
 				keys = append(keys, key)
 				break
@@ -359,7 +359,7 @@
 	return shortage{shortfall: n - b.spendable(), exhausted: now.Before(b.exhaustedUntil), absent: b.absent, insufficient: b.insufficient}
 }
 
-// ownShortfall returns how many of n tokens the own row does not have available.
+// ownShortfall returns how many of n tokens the holder's own row does not have available.
 func (h *Holder) ownShortfall(budget string, n int64) int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -371,7 +371,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	b := h.budgetLocked(budget)
-	return h.policy.Spare(b.currentDemand(now), b.largestRecent)
+	return h.policy.LotSize(b.currentDemand(now), b.largestRecent)
 }
 
 // ReturnAll makes the next sync of each page give back all available tokens. It is
--- a/coord/member/member_test.go
+++ b/coord/member/member_test.go
@@ -107,14 +107,14 @@
 		for _, g := range groups {
 			g.Lost(store.ErrUnknown)
 			g.Reset(nil)
-			require.Len(t, g.Members(), 2, "they may live")
+			require.Len(t, g.Members(), 2, "they may be alive")
 		}
 		for _, it := range items {
 			require.NoError(t, s.Delete(ctx, it.Key, it.Revision))
 		}
 		synctest.Wait()
 		for _, g := range groups {
-			require.Len(t, g.Members(), 2, "they may live")
+			require.Len(t, g.Members(), 2, "they may be alive")
 		}
 		time.Sleep(500 * time.Millisecond)
 		for _, g := range groups {
@@ -159,11 +159,11 @@
 	return store.Item{Key: "m/" + vm + "/1", Value: []byte(value), Revision: at, Created: at}
 }
 
-// Guards against a lost connection that is taken for an outage of the store: a router loses the
+// Guards against a lost connection that is treated as an outage of the store: a router loses the
 // store and the other members for some seconds, and a lender's VM is taken away meanwhile. The
 // router must drop that lender after it reconnects: the entries of the other lenders are unchanged,
-// so no leases ran out. Otherwise its requests wait for that lender's tokens for 10 s.
-func TestMemberThatLeftDuringACut(t *testing.T) {
+// so no leases expired. Otherwise its requests wait for that lender's tokens for 10 s.
+func TestMemberThatLeftDuringAPartition(t *testing.T) {
 	g := newTestGroup(memstore.New(), "r1", "router")
 	g.Reset([]store.Item{listedMember("l1", 3), listedMember("l2", 4), listedMember("l3", 5)})
 	g.Lost(store.ErrUnknown)
@@ -174,7 +174,7 @@
 	require.Equal(t, "l1:1", address)
 }
 
-// Guards against lapsed members that are dropped one by one: all leases ran out while the store was
+// Guards against lapsed members that are dropped one by one: all leases expired while the store was
 // unreachable, and the store removes the entries one after the other after the first read. The
 // members must stay in the view.
 func TestMembersThatLapseAfterTheFirstRead(t *testing.T) {
@@ -232,12 +232,12 @@
 			items = append(items, store.Item{Key: "m/" + id, Value: []byte(value), Revision: store.Revision(i + 1)})
 		}
 		g.Reset(items)
-		b.Run(fmt.Sprint("kept ", n), func(b *testing.B) {
+		b.Run(fmt.Sprint("cached ", n), func(b *testing.B) {
 			for b.Loop() {
 				g.Rank("page", "lender")
 			}
 		})
-		b.Run(fmt.Sprint("anew ", n), func(b *testing.B) {
+		b.Run(fmt.Sprint("recomputed ", n), func(b *testing.B) {
 			for b.Loop() {
 				g.rankLocked("page", "lender")
 			}
--- a/coord/relay/relay_test.go
+++ b/coord/relay/relay_test.go
@@ -38,12 +38,12 @@
 // Guards against followers that stay with a relay which stops answering without a connection
 // reset: they must receive changes from the other relay within 1.5 s, without a reported loss of
 // the store.
-func TestSilentRelayIsAbandoned(t *testing.T) {
+func TestUnresponsiveRelayIsAbandoned(t *testing.T) {
 	withCluster(t, 2, 2, func(tc *testCluster) {
 		time.Sleep(5 * time.Second)
 		tc.put("a", "1")
 		for _, conns := range tc.hubConns {
-			conns[0].silent.Store(true)
+			conns[0].unresponsive.Store(true)
 		}
 		tc.put("a", "2")
 		time.Sleep(1500 * time.Millisecond)
@@ -58,14 +58,14 @@
 // Guards against late changes when both relays of a data centre lose power at once and a key
 // changes in that moment. Followers must receive the change from the store itself within the 2 s in
 // which changes must take effect: only the first relay may take the whole time of a waiting poll.
-func TestTwoSilentRelays(t *testing.T) {
+func TestTwoUnresponsiveRelays(t *testing.T) {
 	withCluster(t, 2, 2, func(tc *testCluster) {
 		time.Sleep(5 * time.Second)
 		tc.put("a", "1")
 		time.Sleep(watchDelay)
 		for _, conns := range tc.hubConns {
-			conns[0].silent.Store(true)
-			conns[1].silent.Store(true)
+			conns[0].unresponsive.Store(true)
+			conns[1].unresponsive.Store(true)
 		}
 		tc.put("a", "2")
 		time.Sleep(1900 * time.Millisecond)
@@ -79,7 +79,7 @@
 func TestRelayThatLostTheStoreSilently(t *testing.T) {
 	withCluster(t, 2, 2, func(tc *testCluster) {
 		time.Sleep(5 * time.Second)
-		tc.storeConns[0].silent.Store(true)
+		tc.storeConns[0].unresponsive.Store(true)
 		tc.put("a", "1")
 		time.Sleep(2 * time.Second)
 		tc.requireConverged()
@@ -91,7 +91,7 @@
 func TestFollowerWithoutTheStore(t *testing.T) {
 	withCluster(t, 1, 1, func(tc *testCluster) {
 		time.Sleep(5 * time.Second)
-		tc.storeConns[1].cut.Store(true)
+		tc.storeConns[1].disconnected.Store(true)
 		tc.put("a", "1")
 		time.Sleep(watchDelay)
 		tc.requireConverged()
@@ -104,13 +104,13 @@
 func TestRelaysWithoutTheStore(t *testing.T) {
 	withCluster(t, 2, 1, func(tc *testCluster) {
 		time.Sleep(5 * time.Second)
-		tc.storeConns[0].cut.Store(true)
-		tc.storeConns[1].cut.Store(true)
+		tc.storeConns[0].disconnected.Store(true)
+		tc.storeConns[1].disconnected.Store(true)
 		tc.put("a", "1")
 		time.Sleep(2 * time.Second)
 		tc.requireConverged()
-		tc.storeConns[0].cut.Store(false)
-		tc.storeConns[1].cut.Store(false)
+		tc.storeConns[0].disconnected.Store(false)
+		tc.storeConns[1].disconnected.Store(false)
 		time.Sleep(20 * time.Second)
 		before := tc.store.Calls().Watches
 		time.Sleep(20 * time.Second)
@@ -130,7 +130,7 @@
 		tc.put("a", "1")
 		time.Sleep(watchDelay)
 		for _, conn := range tc.storeConns {
-			conn.cut.Store(true)
+			conn.disconnected.Store(true)
 		}
 		time.Sleep(8 * time.Second)
 		for i, c := range tc.copies {
@@ -142,7 +142,7 @@
 		tc.put("a", "2")
 		before := tc.store.Calls().Watches
 		for _, conn := range tc.storeConns[:2] {
-			conn.cut.Store(false)
+			conn.disconnected.Store(false)
 		}
 		time.Sleep(1500 * time.Millisecond)
 		tc.requireConverged()
@@ -168,9 +168,9 @@
 	require.Equal(t, 1, c.losses, "a compacted history is not an outage")
 }
 
-// Guards against a compacted history that is taken for an outage: the store compacts changes that
-// were not read yet. Followers must get the keys with the relay's next read of the store, without a
-// reported loss: the missing keys were removed.
+// Guards against a compacted history that is treated as an outage: the store compacts changes that
+// were not read yet. Followers must get the keys with the relay's next read of the store and drop
+// the missing ones, which were removed. At most one loss may be reported.
 func TestCompactedHistory(t *testing.T) {
 	withCluster(t, 1, 2, func(tc *testCluster) {
 		tc.put("a", "1")
@@ -227,32 +227,32 @@
 			{Name: "lost/", Store: conn, StaleAfter: 1600 * time.Millisecond},
 			{Name: keys, Store: s, StaleAfter: 1600 * time.Millisecond}}}
 		wg.Go(func() { h.Run(ctx) })
-		var asked atomic.Int64
+		var polls atomic.Int64
 		lost, other := newCopy(), newCopy()
 		f := &Follower{Store: "s", Readers: map[string]mirror.Reader{"lost/": lost, keys: other}, Report: nopReporter{}, Now: time.Now,
 			Sources: func() []Source {
 				return []Source{{Name: "own", Follow: func(ctx context.Context, r Request) (Reply, error) {
-					asked.Add(1)
+					polls.Add(1)
 					return h.Follow(ctx, r)
 				}}}
 			}}
 		wg.Go(func() { f.Run(ctx) })
 		time.Sleep(5 * time.Second)
-		conn.cut.Store(true)
+		conn.disconnected.Store(true)
 		time.Sleep(5 * time.Second)
-		before := asked.Load()
+		before := polls.Load()
 		for n := range 5 {
 			_, err := s.CompareAndSwap(ctx, fmt.Sprint(keys, n), 0, []byte("v"), 0)
 			require.NoError(t, err)
 			time.Sleep(2 * time.Second)
 			require.Len(t, other.values(), n+1)
 		}
-		require.Less(t, asked.Load()-before, int64(40))
+		require.Less(t, polls.Load()-before, int64(40))
 		_, losses := lost.lossState()
 		require.Equal(t, 1, losses)
 		_, losses = other.lossState()
 		require.Zero(t, losses)
-		conn.cut.Store(false)
+		conn.disconnected.Store(false)
 		time.Sleep(2 * time.Second)
 		stillLost, _ := lost.lossState()
 		require.False(t, stillLost)
@@ -262,17 +262,17 @@
 // A hub rejects requests that it cannot serve, each with its own error.
 func TestHubRefuses(t *testing.T) {
 	h := &Hub{Store: "s", Prefixes: []Prefix{{Name: keys, Store: memstore.New(), StaleAfter: time.Second}}, MaxFollowers: 1, Now: time.Now}
-	ask := func(store, prefix string) error {
+	follow := func(store, prefix string) error {
 		_, err := h.Follow(t.Context(), Request{Store: store, Positions: []Position{{Prefix: prefix}}})
 		return err
 	}
-	require.ErrorIs(t, ask("another fleet's", keys), ErrOtherStore)
-	require.ErrorIs(t, ask("s", "not/followed/"), ErrUnknownPrefix)
+	require.ErrorIs(t, follow("another fleet's", keys), ErrOtherStore)
+	require.ErrorIs(t, follow("s", "not/followed/"), ErrUnknownPrefix)
 	h.waiting = 1
-	require.ErrorIs(t, ask("s", keys), ErrTooManyFollowers)
+	require.ErrorIs(t, follow("s", keys), ErrTooManyFollowers)
 	h.waiting = 0
 	h.Stop()
-	require.ErrorIs(t, ask("s", keys), ErrStopping)
+	require.ErrorIs(t, follow("s", keys), ErrStopping)
 }
 
 // Guards against load on the store from idle relays: a hub without requests must stop following
@@ -296,7 +296,7 @@
 
 // A fleet of hundreds of processes must use one relay for each hundred, all processes the same
 // relays, with the followers spread over them.
-func TestOrder(t *testing.T) {
+func TestRankRelays(t *testing.T) {
 	var candidates []string
 	for n := range 160 {
 		candidates = append(candidates, fmt.Sprint("vm-", n))
@@ -337,13 +337,13 @@
 			case "compact":
 				step = func(tc *testCluster) { tc.store.Compact() }
 			case "store":
-				step = func(tc *testCluster) { tc.storeConns[i%len(tc.storeConns)].cut.Store(on) }
+				step = func(tc *testCluster) { tc.storeConns[i%len(tc.storeConns)].disconnected.Store(on) }
 			case "silence":
-				step = func(tc *testCluster) { tc.storeConns[i%len(tc.storeConns)].silent.Store(on) }
+				step = func(tc *testCluster) { tc.storeConns[i%len(tc.storeConns)].unresponsive.Store(on) }
 			case "relay":
-				step = func(tc *testCluster) { tc.hubConns[i%followers][i%relays].cut.Store(on) }
+				step = func(tc *testCluster) { tc.hubConns[i%followers][i%relays].disconnected.Store(on) }
 			case "silent relay":
-				step = func(tc *testCluster) { tc.hubConns[i%followers][i%relays].silent.Store(on) }
+				step = func(tc *testCluster) { tc.hubConns[i%followers][i%relays].unresponsive.Store(on) }
 			}
 			steps = append(steps, step, func(*testCluster) { time.Sleep(pause) })
 		}
@@ -352,13 +352,13 @@
 				step(tc)
 			}
 			for _, conn := range tc.storeConns {
-				conn.cut.Store(false)
-				conn.silent.Store(false)
+				conn.disconnected.Store(false)
+				conn.unresponsive.Store(false)
 			}
 			for _, conns := range tc.hubConns {
 				for _, conn := range conns {
-					conn.cut.Store(false)
-					conn.silent.Store(false)
+					conn.disconnected.Store(false)
+					conn.unresponsive.Store(false)
 				}
 			}
 			time.Sleep(15 * time.Second)
--- a/coord/settlement/exposure.go
+++ b/coord/settlement/exposure.go
@@ -25,28 +25,28 @@
 // limits are unknown.
 type Exposure struct {
 	Holder   *grant.Holder
-	Register *BorrowerRegistry
+	Registry *BorrowerRegistry
 	// Notify sends limits to a witness and returns nil once the witness has accepted them.
 	Notify func(ctx context.Context, witness string, notice Notice) error
 	// Timeout bounds one message. Messages to the other witnesses continue after the first reply.
 	Timeout time.Duration
-	// Lookahead is how far in advance limits are raised: they cover the expected lending of this time.
+	// Lookahead is how far in advance limits are raised: they cover the lending expected in this time.
 	Lookahead time.Duration
-	// Now is the clock.
+	// Now returns the current time.
 	Now func() time.Time
 
 	mu        sync.Mutex
 	term      int64
 	witnesses []string
-	// notified are the witnesses that know all limits of this term.
+	// notified are the witnesses that have received all limits of this term.
 	notified map[string]bool
-	// pending are the tokens of lots that wait for a raise, and exposing the raises that they wait
-	// for, by budget and borrower.
+	// pending are the tokens of lots that wait for a raise, by budget and borrower; raises
+	// merges the concurrent raises of one budget and borrower.
 	pending map[lotKey]int64
 	raises  singleflight.Group
 }
 
-// lotKey identifies the lots that one borrower requests from one budget.
+// lotKey identifies the lots of one budget that one borrower requests.
 type lotKey struct{ budget, borrower string }
 
 var _ grant.Exposer = (*Exposure)(nil)
@@ -62,7 +62,7 @@
 // list is written first: if the lender dies before it notifies the new witnesses, they have no
 // limits, and all that it held counts as used.
 func (e *Exposure) Appoint(ctx context.Context, witnesses ...string) error {
-	term, err := e.Register.appoint(ctx, witnesses)
+	term, err := e.Registry.appoint(ctx, witnesses)
 	if err != nil {
 		return err
 	}
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -32,8 +32,8 @@
 				return Upstream{}, errors.New("cannot be read")
 			}
 			u := Upstream{Incarnation: Incarnation{ID: it.Key[2:]}, Address: it.Key, Service: "s", Leaving: strings.HasPrefix(string(it.Value), "draining")}
-			_, born, _ := strings.Cut(string(it.Value), "@")
-			u.StartUnixMS, _ = strconv.ParseInt(born, 10, 64) // 0 is unknown
+			_, startUnixMS, _ := strings.Cut(string(it.Value), "@")
+			u.StartUnixMS, _ = strconv.ParseInt(startUnixMS, 10, 64) // 0 is unknown
 			return u, nil
 		}}
 }
@@ -162,7 +162,8 @@
 	d.Changed(store.Event{Item: store.Item{Key: "u/old", Value: []byte("ready"), Revision: 12, Created: 5}})
 	require.ElementsMatch(t, []string{"new", "other"}, ids(d), "a late write of the previous incarnation has no effect")
 
-	// Another writer's entry names the address of a living upstream: the first request there shows it.
+	// Another writer's entry has the address of a live upstream; it is rejected after the first
+	// request sent there.
 	d.Changed(store.Event{Item: created("false", 14)})
 	require.ElementsMatch(t, []string{"new", "false"}, ids(d))
 	d.Reject(Incarnation{ID: "false"})
@@ -218,10 +219,10 @@
 	require.ElementsMatch(t, []string{"a", "b", "made-up"}, ids(d))
 }
 
-// Guards against treating a partition of one router as an outage of the store. The router is cut
-// off from the store for 12 s while an upstream starts to drain and removes its entry. The router
-// took its partition for an outage in which leases expire, kept the upstream for 2200 ms and sent
-// it requests until 3.1 s after the partition. But the entries of all other upstreams were
+// Guards against treating a partition of one router as an outage of the store. The router is
+// disconnected from the store for 12 s while an upstream starts to drain and removes its entry. The
+// router took its partition for an outage in which leases expire, kept the upstream for 2200 ms and
+// sent it requests until 3.1 s after the partition. But the entries of all other upstreams were
 // unchanged, so no lease had expired.
 func TestUpstreamRemovedDuringAPartition(t *testing.T) {
 	now := time.Unix(1000, 0)
@@ -233,7 +234,7 @@
 	require.ElementsMatch(t, []string{"b", "c", "d"}, ids(d))
 	now = now.Add(time.Second)
 	d.Changed(store.Event{Item: store.Item{Key: "u/b", Revision: 2}, Deleted: true})
-	require.ElementsMatch(t, []string{"c", "d"}, ids(d), "nor was there an outage for upstreams removed after the partition")
+	require.ElementsMatch(t, []string{"c", "d"}, ids(d), "an upstream removed after the partition is dropped at once, too")
 }
 
 // created returns an entry created at one revision and last written at another.
--- a/fleet/registry.go
+++ b/fleet/registry.go
@@ -13,14 +13,14 @@
 // DocumentKey is the store key of the configuration.
 const DocumentKey = "arbutusmill/config"
 
-// ErrGeneration means that the document changed since the operator read it.
-var ErrGeneration = errs.New("changed by another writer")
+// ErrGenerationMismatch means that the document changed since the operator read it.
+var ErrGenerationMismatch = errs.New("changed by another writer")
 
 // Stored is the value under DocumentKey.
 type Stored struct {
 	Generation int64 `json:"generation"`
 	// Op is the id of the apply that created this generation. A writer whose
-	// answer was lost finds its id here if its write took effect.
+	// response was lost finds its id here if its write took effect.
 	Op       string    `json:"op"`
 	Document *Document `json:"document"`
 }
@@ -53,8 +53,8 @@
 }
 
 // Apply replaces the document if the stored generation is still expect, and
-// returns the new generation; otherwise the error wraps ErrGeneration. op
-// identifies this apply, so that a retry after a lost answer is not another change.
+// returns the new generation; otherwise the error wraps ErrGenerationMismatch. op
+// identifies this apply, so that a retry after a lost response is not another change.
 func (r Registry) Apply(ctx context.Context, doc *Document, expect int64, op string) (int64, error) {
 	if err := doc.Check(); err != nil {
 		return 0, err
@@ -70,7 +70,7 @@
 			return old.Value, nil
 		}
 		if have.Generation != expect {
-			return nil, Error.New("generation is %d, not %d: %w", have.Generation, expect, ErrGeneration)
+			return nil, Error.New("generation is %d, not %d: %w", have.Generation, expect, ErrGenerationMismatch)
 		}
 		generation = expect + 1
 		b, err := json.Marshal(Stored{Generation: generation, Op: op, Document: doc})
@@ -87,13 +87,13 @@
 
 // Follow updates current to each newer stored document. It uses a watch and, in case
 // the watch stops delivering events, a read per interval. It returns when the context
-// ends. refused, if not nil, is called with the error of each failed read or watch and
+// ends. onError, if not nil, is called with the error of each failed read or watch and
 // each invalid document.
-func (r Registry) Follow(ctx context.Context, current *Current, interval time.Duration, refused func(error)) {
+func (r Registry) Follow(ctx context.Context, current *Current, interval time.Duration, onError func(error)) {
 	pause := backoff.New(followPauseMin, followPauseMax)
 	for ctx.Err() == nil {
-		if err := r.followOnce(ctx, current, interval); err != nil && refused != nil && ctx.Err() == nil {
-			refused(err)
+		if err := r.followOnce(ctx, current, interval); err != nil && onError != nil && ctx.Err() == nil {
+			onError(err)
 		}
 		_ = pause.Wait(ctx)
 	}
@@ -132,6 +132,6 @@
 	if err != nil || s.Generation == 0 {
 		return err
 	}
-	current.Raise(NewSnapshot(s.Generation, s.Document))
+	current.UpdateIfNewer(NewSnapshot(s.Generation, s.Document))
 	return nil
 }
--- a/gateway/announce.go
+++ b/gateway/announce.go
@@ -69,12 +69,12 @@
 
 // withdraw implements pool.Pool's Withdraw. It does not wait for the lender.
 func (c *lenderClient) withdraw(address string, announcement prefill.Announcement, reply prefill.AnnounceReply) {
-	c.enqueue(lenderMessage{address: address, method: link.MethodWithdraw, body: link.Withdrawal{Announcement: announcement, Told: reply}})
+	c.enqueue(lenderMessage{address: address, method: link.MethodWithdraw, body: link.Withdrawal{Announcement: announcement, Reply: reply}})
 }
 
 // reportRemotePrefill implements pool.Pool's ReportRemotePrefill. It does not wait for the lender.
 func (c *lenderClient) reportRemotePrefill(address string, remote prefill.RemotePrefill) {
-	c.enqueue(lenderMessage{address: address, method: link.MethodReadElsewhere, body: remote})
+	c.enqueue(lenderMessage{address: address, method: link.MethodRemotePrefill, body: remote})
 }
 
 func (c *lenderClient) enqueue(m lenderMessage) {
--- a/gateway/cold_test.go
+++ b/gateway/cold_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// coldMaxPerSecond is the maximum of requests in any second to a cold engine of putColdConfig:
-// 6.6 a second, half as many more, and five.
+// coldMaxPerSecond is the maximum number of requests in any second to a cold engine of
+// putColdConfig: 6.6 a second, times an overshoot of 1.5, plus a slack of 5.
 const coldMaxPerSecond = 14
 
 // putColdConfig writes a configuration whose engines are cold for three seconds after a start.
@@ -48,10 +48,10 @@
 	return served
 }
 
-// Guards against a cold engine that gets more than its maximum. It returns idle while others are
-// busy, so all routers prefer it: 60 prompts in a second crash an engine whose maximum is 14.
-// Its lender, to which each prompt is announced, enforces the maximum; the other engine serves
-// the rest.
+// Guards against a cold engine that gets more than its maximum. It comes back without load while
+// others are busy, so all routers prefer it: 60 prompts in a second crash an engine whose maximum
+// is 14. Its lender, to which each prompt is announced, enforces the maximum; the other engine
+// serves the rest.
 func TestColdEngineStaysWithinMaximum(t *testing.T) {
 	withFleet(t, func(f *fleet) {
 		f.putColdConfig("k1")
@@ -68,14 +68,14 @@
 		for range 3 {
 			require.Equal(t, 60, f.flood(4, 60))
 		}
-		require.LessOrEqual(t, cold.MostInASecond(), coldMaxPerSecond)
-		require.NotEmpty(t, cold.Seen())
-		require.NotEmpty(t, warm.Seen())
+		require.LessOrEqual(t, cold.MaxPerSecond(), coldMaxPerSecond)
+		require.NotEmpty(t, cold.Requests())
+		require.NotEmpty(t, warm.Requests())
 	})
 }
 
 // Guards against cold engines without a lender that get more than their maximum when no other
-// engine is available. Three routers share each engine's maximum; callers beyond it are refused
+// engine is available. Three routers share each engine's maximum; requests beyond it are refused
 // at once.
 func TestColdEnginesWithoutLenders(t *testing.T) {
 	withFleet(t, func(f *fleet) {
@@ -94,15 +94,15 @@
 		f.settle()
 		require.NotZero(t, f.flood(6, 200))
 		for _, u := range cold {
-			require.LessOrEqual(t, u.MostInASecond(), coldMaxPerSecond)
-			require.NotEmpty(t, u.Seen())
+			require.LessOrEqual(t, u.MaxPerSecond(), coldMaxPerSecond)
+			require.NotEmpty(t, u.Requests())
 		}
 	})
 }
 
 // Guards against an overloaded cold engine whose lender cannot be reached. The routers send it
-// nothing while it is cold, since others may have admissions for its whole maximum, and send to
-// it again once it is warm.
+// nothing while it is cold, since its lender may have admitted other routers' requests up to its
+// maximum, and send to it again once it is warm.
 func TestColdEngineWithUnreachableLender(t *testing.T) {
 	withFleet(t, func(f *fleet) {
 		f.putColdConfig("k1")
@@ -115,11 +115,11 @@
 		f.registerCold("i-2", "model", 3*time.Second)
 		f.settle()
 		require.Equal(t, 20, f.flood(1, 20))
-		require.Empty(t, cold.Seen())
+		require.Empty(t, cold.Requests())
 		f.register("i-2", "model", "ready")
 		f.settle()
 		require.Equal(t, 20, f.flood(1, 20))
-		require.NotEmpty(t, cold.Seen())
+		require.NotEmpty(t, cold.Requests())
 	})
 }
 
@@ -134,19 +134,19 @@
 		for vm := 1; vm <= 4; vm++ {
 			f.startVM(vm)
 		}
-		require.NoError(t, f.store.Empty("bergen"))
+		require.NoError(t, f.store.OrderDrain("bergen"))
 		time.Sleep(3 * time.Second)
 		f.flood(4, 60)
-		require.Empty(t, back.Seen())
-		require.NoError(t, f.store.EndEmptying("bergen"))
+		require.Empty(t, back.Requests())
+		require.NoError(t, f.store.EndDrain("bergen"))
 		time.Sleep(400 * time.Millisecond)
 		for range 3 {
 			require.Equal(t, 60, f.flood(4, 60))
 		}
-		require.NotEmpty(t, back.Seen())
-		require.LessOrEqual(t, back.MostInASecond(), coldMaxPerSecond)
+		require.NotEmpty(t, back.Requests())
+		require.LessOrEqual(t, back.MaxPerSecond(), coldMaxPerSecond)
 		time.Sleep(3 * time.Second)
 		f.flood(4, 200)
-		require.Greater(t, back.MostInASecond(), coldMaxPerSecond, "it is warm by now")
+		require.Greater(t, back.MaxPerSecond(), coldMaxPerSecond, "it is warm by now")
 	})
 }
--- a/gateway/fleet_test.go
+++ b/gateway/fleet_test.go
@@ -20,13 +20,13 @@
 		f.upstream("i-1", "plain", 0)
 		f.upstream("i-2", "plain", 0)
 		f.start()
-		f.store.SetDeaf(true)
+		f.store.SetWatchesStalled(true)
 		f.settle()
 		f.putConfig(0, "k1")
 		f.register("i-1", "plain", "draining")
 		f.store.Compact()
 		time.Sleep(time.Second)
-		f.store.SetDeaf(false)
+		f.store.SetWatchesStalled(false)
 		time.Sleep(3 * time.Second)
 		req := level("r")
 		req.key = "k2"
@@ -51,7 +51,7 @@
 			require.Equal(t, 200, f.send(chat("usual")).status)
 			time.Sleep(400 * time.Millisecond)
 		}
-		f.store.SetSilent(true)
+		f.store.SetUnresponsive(true)
 		for range 20 {
 			time.Sleep(400 * time.Millisecond)
 			require.Equal(t, 200, f.send(level("r")).status)
@@ -127,7 +127,7 @@
 			spend(6)
 			time.Sleep(time.Second)
 		}
-		runs := len(u.Seen())
+		runs := len(u.Requests())
 		require.LessOrEqual(t, runs*(prompt+output), prepaid)
 		require.Greater(t, (runs+1)*(prompt+60), prepaid)
 		resp := f.send(chat("last"))
@@ -151,7 +151,7 @@
 
 // Guards against interrupted requests when SIGTERM arrives while a stream runs and callers hold
 // connections. The router becomes unready at once, the stream completes, and requests that still
-// arrive are served, each with the close of its connection announced.
+// arrive are served; each response announces that the connection closes.
 func TestPlannedStopInterruptsNothing(t *testing.T) {
 	withFleet(t, func(f *fleet) {
 		f.putConfig(1_000_000, "k1")
@@ -180,8 +180,8 @@
 	})
 }
 
-// Each request logs one line with what determined its outcome, and one line for each connection
-// that broke while serving it.
+// Each request has one log line with the reasons for its outcome, and one for each connection that
+// broke while serving it.
 func TestLogLineOfARequest(t *testing.T) {
 	withFleet(t, func(f *fleet) {
 		f.putConfig(1_000_000, "k1")
@@ -224,15 +224,15 @@
 		req.ctx, req.body = ctx, strings.Repeat("x", 5000)
 		f.send(req)
 		time.Sleep(100 * time.Millisecond)
-		require.True(t, u.Seen()[0].Left)
+		require.True(t, u.Requests()[0].CallerGone)
 	})
 }
 
 // Guards against requests to an upstream that was removed while a router was disconnected. One
 // of five upstreams drains and its entry is removed while the router has no connections for
-// 12 s; it still serves for some seconds. A router that mistakes the loss of its own connections
-// for an outage of the store reads that the entry is missing ("upstream_missing"), but keeps
-// sending there for another 2.2 s.
+// 12 s; the upstream still serves for some seconds. A router that mistakes the loss of its own
+// connections for an outage of the store reads that the entry is missing ("upstream_missing"), but
+// keeps sending there for another 2.2 s.
 func TestUpstreamThatLeavesWhileARouterIsDisconnected(t *testing.T) {
 	withFleet(t, func(f *fleet) {
 		f.putConfig(0, "k1")
@@ -249,17 +249,17 @@
 		time.Sleep(7 * time.Second)
 		f.reconnect(1)
 		time.Sleep(1500 * time.Millisecond) // more than the longest backoff between two attempts to reach the store
-		before := len(left.Seen())
+		before := len(left.Requests())
 		for range 40 {
 			require.Equal(t, 200, f.send(level("r")).status)
 		}
-		require.Len(t, left.Seen(), before)
+		require.Len(t, left.Requests(), before)
 	})
 }
 
-// Guards against changes that a router applies late after the store accepted calls but answered
-// none, for outages that end anywhere between two attempts of the router. It applies them within
-// 2.6 s of the end: one unanswered call and the backoff after it.
+// Guards against changes that a router applies late after an outage in which the store accepts
+// calls but answers none. The outage may end anywhere between two attempts of the router, which
+// applies the changes within 2.6 s of the end: one unanswered call and the backoff after it.
 func TestChangesDuringStoreOutage(t *testing.T) {
 	for n := range 8 {
 		withFleet(t, func(f *fleet) {
@@ -267,11 +267,11 @@
 			f.upstream("i-1", "plain", 0)
 			f.upstream("i-2", "plain", 0)
 			f.start()
-			f.store.SetSilent(true)
+			f.store.SetUnresponsive(true)
 			time.Sleep(5*time.Second + time.Duration(n)*330*time.Millisecond)
 			f.putConfig(0, "k1")
 			f.register("i-1", "plain", "draining")
-			f.store.SetSilent(false)
+			f.store.SetUnresponsive(false)
 			time.Sleep(2600 * time.Millisecond)
 			req := level("r")
 			req.key = "k2"
@@ -283,9 +283,8 @@
 	}
 }
 
-// Guards against a log line that holds only the refusal when the tokens of a request cannot be
-// had: it must list the processes that were queried for them, the time that each took, and its
-// answer.
+// Guards against a log line that holds only the refusal when there are no tokens for a request: it
+// must list the processes that were queried for them, how long each query took, and the reply.
 func TestRefusalLogLineListsQueriedLenders(t *testing.T) {
 	withFleet(t, func(f *fleet) {
 		f.putConfig(1500, "k1")
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -75,7 +75,7 @@
 	disconnected sync.Map
 	// linkRate is the capacity of the routers' links in bytes/s; 0 means unlimited.
 	linkRate   int
-	storeConns sync.Map // VMs by their net.Conn to the store
+	storeConns sync.Map // numbers of the VMs by their net.Conn to the store
 }
 
 // disconnectFromStore closes a VM's connections to the store and refuses new ones.
@@ -84,8 +84,8 @@
 	f.closeStoreConns(vm)
 }
 
-// disconnect closes a VM's connections to the store and refuses all new ones that it opens,
-// which looks like its death to all other processes.
+// disconnect closes a VM's connections to the store, and refuses all connections that it opens
+// from then on. To all other processes this looks like the VM's death.
 func (f *fleet) disconnect(vm int) {
 	f.disconnected.Store(vm, true)
 	f.closeStoreConns(vm)
@@ -216,7 +216,7 @@
 // retries: an incarnation that is younger than their window may not.
 func (f *fleet) start() {
 	f.startVM(1)
-	time.Sleep(time.Duration(f.settings(1).Repeats.Window) + time.Second)
+	time.Sleep(time.Duration(f.settings(1).Retries.Window) + time.Second)
 	f.settle()
 }
 
@@ -267,7 +267,7 @@
 	for _, stop := range f.stopFuncs {
 		stop()
 	}
-	f.store.SetSilent(false)
+	f.store.SetUnresponsive(false)
 	f.store.Compact() // ends pending calls
 }
 
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -30,7 +30,7 @@
 // Report implements pool.Limits.
 func (l limits) Report(address string, startUnixMS int64, limit ratelimit.NamedLimit, onReply func(ratelimit.State)) {
 	var reply ratelimit.State
-	l.g.lenders.enqueue(lenderMessage{address: address, method: link.MethodLimit, body: link.LimitNamed{Born: startUnixMS, Word: limit},
+	l.g.lenders.enqueue(lenderMessage{address: address, method: link.MethodLimit, body: link.LimitReport{StartUnixMS: startUnixMS, Limit: limit},
 		reply: &reply, onReply: func() { onReply(reply) }})
 }
 
@@ -49,8 +49,8 @@
 	l.g.Log.Warn().Stringer("upstream", incarnation).Err(err).Msg("upstream_limit_unreadable")
 }
 
-// Limited implements pool.Limits.
-func (l limits) Limited(r *serving.Request, c pool.LimitedChoice) {
+// ReportLimited implements pool.Limits.
+func (l limits) ReportLimited(r *serving.Request, c pool.LimitedChoice) {
 	chosen := ""
 	if c.Chosen != nil {
 		chosen = c.Chosen.String()
--- a/gateway/repeats_test.go
+++ b/gateway/retrybudgets_test.go
@@ -10,14 +10,14 @@
 )
 
 // Guards against retries beyond the limit while a router is disconnected from the store. After two minutes
-// its entry has expired and the other router counts itself alone, while the disconnected one goes on with
-// its half. When a service then fails all requests, the two send 97 retries for 120 requests, where 74 are
-// allowed:
+// its entry has expired and the other router counts itself alone, while the disconnected one continues to
+// use its half of the fixed number. When a service then fails all requests, the two send 97 retries for
+// 120 requests, where 74 are allowed:
 //
 //	"vm":"router-1" "event":"repeat" "allowed":true "part":25 "routers":2
 //	"vm":"router-2" "event":"repeat" "allowed":true "part":50 "routers":1
 //
-// A router whose entry may not be visible to others must not use a share of the fixed number.
+// A router whose entry might not be visible to others must not use a share of the fixed number.
 func TestFixedRetryAllowanceIsIssuedOnce(t *testing.T) {
 	withFleet(t, func(f *fleet) {
 		f.putConfig(0, "k1")
@@ -36,13 +36,13 @@
 			req.vm = 1 + i%2
 			require.Equal(t, 500, f.send(req).status)
 		}
-		retries := len(ups[0].Seen()) + len(ups[1].Seen()) - requests
+		retries := len(ups[0].Requests()) + len(ups[1].Requests()) - requests
 		require.LessOrEqual(t, float64(retries), 0.2*requests+50)
 	})
 }
 
-// Guards against retries beyond the limit when two routers are restarted as planned, one after the
-// other, repeatedly, while a service fails all requests. In any ten seconds, all incarnations together
+// Guards against retries beyond the limit when two routers are repeatedly restarted as planned, one
+// after the other, while a service fails all requests. In any ten seconds, all incarnations together
 // must stay within the limit.
 func TestRollingRestartsKeepTheRetryLimit(t *testing.T) {
 	withFleet(t, func(f *fleet) {
--- a/lender/upstream_test.go
+++ b/lender/upstream_test.go
@@ -13,21 +13,21 @@
 // change moves budgets; two in a row, or the upstream's own report, do.
 func TestPrimaryWhileTheUpstreamServes(t *testing.T) {
 	serves := platform.Report{State: "ready"}
-	leaves := platform.Report{State: "draining", Leaving: true}
-	silent := errors.New("no answer")
+	leaving := platform.Report{State: "draining", Leaving: true}
+	noAnswer := errors.New("no answer")
 	for _, c := range []struct {
 		name    string
 		reports []platform.Report
 		errs    []error
 		primary bool
 	}{
-		{"not before the first answer", []platform.Report{{}}, []error{silent}, false},
+		{"not before the first answer", []platform.Report{{}}, []error{noAnswer}, false},
 		{"serves", []platform.Report{serves}, []error{nil}, true},
-		{"leaves", []platform.Report{serves, leaves}, []error{nil, nil}, false},
-		{"one answer lost", []platform.Report{serves, {}}, []error{nil, silent}, true},
-		{"two answers lost", []platform.Report{serves, {}, {}}, []error{nil, silent, silent}, false},
-		{"lost, answered, lost", []platform.Report{serves, {}, serves, {}}, []error{nil, silent, nil, silent}, true},
-		{"back again", []platform.Report{serves, {}, {}, serves}, []error{nil, silent, silent, nil}, true},
+		{"leaves", []platform.Report{serves, leaving}, []error{nil, nil}, false},
+		{"one answer lost", []platform.Report{serves, {}}, []error{nil, noAnswer}, true},
+		{"two answers lost", []platform.Report{serves, {}, {}}, []error{nil, noAnswer, noAnswer}, false},
+		{"lost, answered, lost", []platform.Report{serves, {}, serves, {}}, []error{nil, noAnswer, nil, noAnswer}, true},
+		{"back again", []platform.Report{serves, {}, {}, serves}, []error{nil, noAnswer, noAnswer, nil}, true},
 		{"a plain service that does not report", []platform.Report{{}}, []error{platform.ErrNoReport}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -46,9 +46,9 @@
 func TestRestartBetweenTwoPolls(t *testing.T) {
 	m := &upstreamMonitor{}
 	serves := func(startedAt int64) observation {
-		return m.observe(platform.Report{State: "ready", Born: startedAt}, nil)
+		return m.observe(platform.Report{State: "ready", StartUnixMS: startedAt}, nil)
 	}
-	require.Equal(t, observation{report: platform.Report{State: "ready", Born: 1}, eligible: true, changed: true, reason: "state ready"}, serves(1))
+	require.Equal(t, observation{report: platform.Report{State: "ready", StartUnixMS: 1}, eligible: true, changed: true, reason: "state ready"}, serves(1))
 	require.False(t, serves(1).restarted)
 	again := serves(2)
 	require.True(t, again.restarted)
--- a/link/messages.go
+++ b/link/messages.go
@@ -21,9 +21,9 @@
 	MethodBorrowed = "budget.borrowed"
 	// MethodLimits sends a lender's exposure limits to a witness: settlement.Notice, Empty.
 	MethodLimits = "budget.limits"
-	// MethodTestify asks a witness for a dead lender's exposure limits: LimitsRequest,
+	// MethodWitnessLimits asks a witness for a dead lender's exposure limits: LimitsRequest,
 	// settlement.WitnessAnswer.
-	MethodTestify = "budget.testify"
+	MethodWitnessLimits = "budget.testify"
 	// MethodWatermarks asks for the durable watermarks of rows: WatermarkRequest,
 	// WatermarkReply.
 	MethodWatermarks = "budget.watermarks"
@@ -38,20 +38,22 @@
 	MethodAnnounce = "upstream.announce"
 	// MethodWithdraw withdraws an announcement: Withdrawal, Empty.
 	MethodWithdraw = "upstream.withdraw"
-	// MethodLimit reports the rate limit in an answer of the engine and returns the current
-	// one: LimitNamed, ratelimit.State.
+	// MethodLimit reports the rate limit in a response of the engine and returns the current
+	// one: LimitReport, ratelimit.State.
 	MethodLimit = "upstream.limit"
-	// MethodReadElsewhere reports to the process on the VM of the engine preferred for a shared
-	// part of prompts that another engine prefills it: prefill.RemotePrefill, Empty.
-	MethodReadElsewhere = "upstream.read_elsewhere"
+	// MethodRemotePrefill reports that a shared part of prompts is prefilled by another engine
+	// than its preferred one. It is sent to the process on the preferred engine's VM:
+	// prefill.RemotePrefill, Empty.
+	MethodRemotePrefill = "upstream.read_elsewhere"
 )
 
-// Methods of routers for prompts that end upstreams. One router decides for each prompt.
+// Methods of routers for prompts that crash upstreams. One router, the owner, decides for each
+// prompt.
 const (
-	// MethodPromptEnded reports to the deciding router that an upstream ended:
+	// MethodPromptEnded reports to the prompt's owner that an upstream crashed:
 	// poison.Evidence; the reply is all evidence on the prompt, poison.Evidence.
 	MethodPromptEnded = "prompt.ended"
-	// MethodPromptTry asks the deciding router whether the prompt may be sent: PromptTry,
+	// MethodPromptTry asks the prompt's owner whether the prompt may be sent: PromptTry,
 	// PromptTryReply.
 	MethodPromptTry = "prompt.try"
 	// MethodPromptKnown sends the evidence on a prompt to any router: poison.Evidence, Empty.
@@ -60,7 +62,7 @@
 	// it: PromptAnswered, Empty.
 	MethodPromptCleared = "prompt.cleared"
 	// MethodPromptList asks any router, or a process on an upstream's VM that stores them, for
-	// the prompts under which upstreams ended: Empty, []poison.Evidence.
+	// the prompts under which upstreams crashed: Empty, []poison.Evidence.
 	MethodPromptList = "prompt.list"
 	// MethodPromptKeep stores the routers' evidence on prompts at a process on an upstream's VM:
 	// PromptKeep; the reply is all evidence there on these prompts, []poison.Evidence.
@@ -92,11 +94,11 @@
 	Service string        `json:"service"`
 }
 
-// LimitNamed is the rate limit in an answer of one incarnation of an engine.
-type LimitNamed struct {
-	// Born is the start time of that incarnation; see directory.Incarnation.
-	Born int64                `json:"born,omitempty"`
-	Word ratelimit.NamedLimit `json:"word"`
+// LimitReport is the rate limit in a response of one incarnation of an engine.
+type LimitReport struct {
+	// StartUnixMS is the start time of that incarnation; see directory.Incarnation.
+	StartUnixMS int64                `json:"born,omitempty"`
+	Limit       ratelimit.NamedLimit `json:"word"`
 }
 
 // MethodFollow requests the store's changes from a relay: relay.Request, relay.Reply.
@@ -105,7 +107,7 @@
 // Withdrawal withdraws an announcement; it holds the announcement and the reply to it.
 type Withdrawal struct {
 	Announcement prefill.Announcement  `json:"announcement"`
-	Told         prefill.AnnounceReply `json:"told"`
+	Reply        prefill.AnnounceReply `json:"told"`
 }
 
 // Methods of routers and agents.
@@ -133,7 +135,7 @@
 type LendRequest struct {
 	Borrower string `json:"borrower"`
 	Budget   string `json:"budget"`
-	// ID identifies the request, so that a repeat has no further effect.
+	// ID identifies the request, so that a retry has no further effect.
 	ID string `json:"id"`
 	// Need is the tokens that the current request lacks, Want the tokens that would be useful.
 	Need int64 `json:"need"`
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -24,8 +24,8 @@
 	Slots int
 	// Running is the number of this router's requests there that have not ended.
 	Running int
-	// PendingPrefill is the pending prefill: the prompt tokens of this router's requests there
-	// whose first event has not arrived, without those probably cached.
+	// PendingPrefill is the number of prompt tokens of this router's requests there whose first
+	// event has not arrived, without those probably cached.
 	PendingPrefill int64
 	// Reply is its lender's reply to the announcement of the request's prompt; nil if there
 	// is none. It overrides PendingPrefill and Cached, which are this router's own estimates.
@@ -49,7 +49,7 @@
 type Rates struct {
 	// PrefillPerMs is the prefill rate in tokens per millisecond.
 	PrefillPerMs float64
-	// FetchPerMs is the rate at which engines transfer cached tokens, per
+	// FetchPerMs is the rate at which engines transfer cached tokens, in tokens per
 	// millisecond.
 	FetchPerMs float64
 	// Routers is the number of routers that send to the same upstreams.
@@ -121,7 +121,7 @@
 func sharedTokens(parts []prefill.Part) int64 { return prefill.TokensOf(Shared(parts)) }
 
 // Choose returns the upstream with the lowest estimated cost, or false when there is
-// none. Avoided upstreams are used only when no other is left, closed ones never. tie
+// none. Avoided upstreams are used only when no other is left, excluded ones never. tie
 // returns the index in [0, n) at which to start, which decides between equal costs.
 func Choose(r *serving.Request, ups []Upstream, rates Rates, tie func(n int) int) (Choice, bool) {
 	usable := usableIndexes(ups)
@@ -168,23 +168,23 @@
 
 // averageLoad is the average load of the usable upstreams from this router's requests.
 type averageLoad struct {
-	running float64
-	unread  float64
+	running        float64
+	pendingPrefill float64
 }
 
 func averageOf(ups []Upstream, usable []int) averageLoad {
 	var l averageLoad
 	for _, i := range usable {
 		l.running += float64(ups[i].Running)
-		l.unread += float64(ups[i].PendingPrefill)
+		l.pendingPrefill += float64(ups[i].PendingPrefill)
 	}
 	n := float64(len(usable))
-	return averageLoad{running: l.running / n, unread: l.unread / n}
+	return averageLoad{running: l.running / n, pendingPrefill: l.pendingPrefill / n}
 }
 
 // otherRouters returns the number of other routers. Each is assumed to have the same load
-// as this one, spread evenly: the own requests at one upstream are no estimate of what
-// the others have there.
+// as this one, spread evenly: this router's requests at one upstream are no estimate of
+// theirs.
 func (r Rates) otherRouters() float64 { return float64(max(0, r.Routers-1)) }
 
 // streams estimates the number of requests of all routers that run at an upstream.
@@ -208,7 +208,7 @@
 	if u.Reply != nil {
 		return float64(u.Reply.Backlog)
 	}
-	return float64(u.PendingPrefill) + avg.unread*rates.otherRouters()
+	return float64(u.PendingPrefill) + avg.pendingPrefill*rates.otherRouters()
 }
 
 // reportedBacklog returns the backlog for Choice.Backlog.
@@ -230,14 +230,14 @@
 		i := usable[(start+k)%len(usable)]
 		u := ups[i]
 		cached := cachedTokens(r, ups, i, i == preferred)
-		unread := max(0, r.Prompt-cached)
+		pendingPrefill := max(0, r.Prompt-cached)
 		from := -1
-		waitTokens := float64(unread)
+		waitTokens := float64(pendingPrefill)
 		var fetched int64
 		if more := sourceTokens - cached; i != source && more >= MinFetchTokens {
 			from, fetched = source, sourceTokens
 			waitTokens += float64(more) * (rates.PrefillPerMs/rates.FetchPerMs - 1)
-			unread -= more
+			pendingPrefill -= more
 		}
 		if i != preferred {
 			waitTokens += duplicateWeight * float64(max(0, sharedTokens(r.Parts)-max(cached, fetched)))
@@ -246,7 +246,7 @@
 		c := baseCost(u, avg, rates) + time.Duration(waitTokens/rates.PrefillPerMs*float64(time.Millisecond))
 		c += sep.cost(r, u, avg.streams(u, rates))
 		if best.Index < 0 || c < best.Cost {
-			best = Choice{Index: i, FetchFrom: from, Fetched: fetched, PrefillTokens: unread, Cost: c, Backlog: u.reportedBacklog(), Preferred: preferred}
+			best = Choice{Index: i, FetchFrom: from, Fetched: fetched, PrefillTokens: pendingPrefill, Cost: c, Backlog: u.reportedBacklog(), Preferred: preferred}
 		}
 	}
 	return best
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -41,10 +41,10 @@
 }
 
 // pickUntil picks until the upstream is chosen, ending all other requests successfully; it
-// reports false if it is not chosen within 100 tries.
+// reports false if it is not chosen within 100 attempts.
 func pickUntil(t *testing.T, p *Pool, now time.Time, id string) (serving.Target, bool) {
-	const tries = 100
-	for range tries {
+	const maxPicks = 100
+	for range maxPicks {
 		target, ok := p.Pick(plainRequest(now), nil)
 		require.True(t, ok)
 		if target.Incarnation.ID == id {
@@ -114,11 +114,11 @@
 }
 
 // restart starts a new incarnation of the upstream at the same address.
-func restart(p *Pool, id string, born int64) {
+func restart(p *Pool, id string, startUnixMS int64) {
 	p.Directory.Decode = func(it store.Item) (directory.Upstream, error) {
-		return directory.Upstream{Incarnation: directory.Incarnation{ID: it.Key, StartUnixMS: born}, Address: it.Key, Service: "s", Slots: 6}, nil
+		return directory.Upstream{Incarnation: directory.Incarnation{ID: it.Key, StartUnixMS: startUnixMS}, Address: it.Key, Service: "s", Slots: 6}, nil
 	}
-	p.Directory.Changed(store.Event{Item: store.Item{Key: id, Revision: store.Revision(born)}})
+	p.Directory.Changed(store.Event{Item: store.Item{Key: id, Revision: store.Revision(startUnixMS)}})
 }
 
 // An engine with failures, a long backlog and a full cache restarts under its id. None of this
@@ -198,9 +198,9 @@
 	}
 }
 
-// An engine's data centre is emptied while its lender is asked, which takes tens of milliseconds.
+// An engine's data centre is drained while its lender is asked, which takes tens of milliseconds.
 // The prompt must go to the other engine.
-func TestDatacentreEmptiedDuringAnnouncement(t *testing.T) {
+func TestDatacentreDrainedDuringAnnouncement(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := poolOf(&now)
 	p.Directory.Decode = func(it store.Item) (directory.Upstream, error) {
@@ -226,7 +226,7 @@
 // The preferred engine of a shared part is busy, so another engine prefills it and the preferred
 // engine's lender is informed. The next router's prompt goes to the other engine or, while that one is
 // busy, to the preferred one, which fetches the part. Without this record the part was
-// prefilled again; such parts were half of the shared tokens prefilled again on busy days.
+// prefilled again; half of the shared tokens that were prefilled again on busy days were such parts.
 func TestPartsPrefilledElsewhereAreFetched(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := poolOf(&now)
--- a/prepaid/peers.go
+++ b/prepaid/peers.go
@@ -58,7 +58,7 @@
 func (b *Budgets) Methods() map[string]link.Handler {
 	m := b.endpoint.Methods()
 	m[link.MethodLimits] = link.Handle(b.applyWitnessNotice)
-	m[link.MethodTestify] = link.Handle(b.answerLimits)
+	m[link.MethodWitnessLimits] = link.Handle(b.answerLimits)
 	lend := m[link.MethodLend]
 	m[link.MethodLend] = func(ctx context.Context, params json.RawMessage) (any, error) {
 		if b.members.Withdrawn() {
@@ -69,7 +69,7 @@
 		var in link.LendRequest
 		if json.Unmarshal(params, &in) == nil { // otherwise lend returns the error
 			b.lendRequests.record(b.layout.Key(in.Budget))
-			b.limits.Note(in.Budget, in.Version, in.Limit)
+			b.limits.Record(in.Budget, in.Version, in.Limit)
 			if err := b.ensureAdmitted(ctx, in.Borrower); err != nil {
 				return nil, err
 			}
--- a/router/lost.go
+++ b/router/lost.go
@@ -69,11 +69,11 @@
 	}
 }
 
-// resolve settles one lost request if its outcome can be determined. If the agent has no
-// record of the request, it never began it and never will, unless the agent has restarted:
-// then the previous incarnation's record is lost. What that incarnation served is unknown,
-// and its charge may be in the ledger. The whole reservation then counts as used, so that
-// no token is spent twice, and this router does not bill the caller.
+// resolve settles one lost request if its outcome can be determined. An agent without a record
+// of the request never began it and never will, unless the agent has restarted and lost the
+// record of its previous incarnation. What that incarnation served is unknown, and its charge
+// may be in the ledger. The whole reservation then counts as used, so that no token is spent
+// twice, and this router does not bill the caller.
 func (r *Router) resolve(ctx context.Context, lost lostJob) (done, replied bool) {
 	ctx, cancel := context.WithTimeout(ctx, linkTimeout)
 	defer cancel()
@@ -96,7 +96,7 @@
 // agentStateLost reports whether an incarnation of the agent may have ended, and lost its
 // state, since the request began.
 func (r *Router) agentStateLost(ctx context.Context, lost lostJob) bool {
-	incarnations, err := r.base.Lives.All(ctx)
+	incarnations, err := r.base.Incarnations.All(ctx)
 	if err != nil {
 		return true
 	}
@@ -113,7 +113,7 @@
 	if _, listed := r.base.View.Get(lost.agent.ID); listed {
 		return false
 	}
-	incarnations, err := r.base.Lives.All(ctx)
+	incarnations, err := r.base.Incarnations.All(ctx)
 	if err != nil {
 		return false
 	}
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -12,7 +12,7 @@
 	"github.com/arbutusmill/arbutusmill/vm"
 )
 
-// LoadHeader carries an upstream's load in the answers of its agent.
+// LoadHeader carries an upstream's load in the responses of its agent.
 const LoadHeader = "Arbutusmill-Load"
 
 // Load is an upstream's load as last reported by its agent.
@@ -145,9 +145,9 @@
 		s.fails = 0
 		return
 	}
-	pause := min(maxPenalty, minPenalty<<min(s.fails, 5))
+	penalty := min(maxPenalty, minPenalty<<min(s.fails, 5))
 	s.fails++
-	s.avoidUntil = c.now().Add(pause)
+	s.avoidUntil = c.now().Add(penalty)
 }
 
 // Report records the load reported by an agent.
