--- a/coord/settlement/exposure.go
+++ b/coord/settlement/exposure.go
@@ -25,7 +25,7 @@
 // limits are unknown.
 type Exposure struct {
 	Holder   *grant.Holder
-	Register *BorrowerRegistry
+	Registry *BorrowerRegistry
 	// Notify sends limits to a witness and returns nil once the witness has accepted them.
 	Notify func(ctx context.Context, witness string, notice Notice) error
 	// Timeout bounds one message. Messages to the other witnesses continue after the first reply.
@@ -38,7 +38,7 @@
 	mu        sync.Mutex
 	term      int64
 	witnesses []string
-	// notified are the witnesses that know all limits of this term.
+	// notified are the witnesses that have received all limits of this term.
 	notified map[string]bool
 	// pending are the tokens of lots that wait for a raise, and exposing the raises that they wait
 	// for, by budget and borrower.
@@ -62,7 +62,7 @@
 // list is written first: if the lender dies before it notifies the new witnesses, they have no
 // limits, and all that it held counts as used.
 func (e *Exposure) Appoint(ctx context.Context, witnesses ...string) error {
-	term, err := e.Register.appoint(ctx, witnesses)
+	term, err := e.Registry.appoint(ctx, witnesses)
 	if err != nil {
 		return err
 	}
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -48,7 +48,7 @@
 	// the number of entries that are missing and that survived the loss.
 	UpstreamMissing(u Upstream, live bool, missing, kept int)
 	// UpstreamGone is called when an upstream is no longer treated as live.
-	UpstreamGone(u Upstream, why string)
+	UpstreamGone(u Upstream, reason string)
 	// DirectoryLost is called when the watch of the entries fails, DirectoryRead when all of them
 	// were read again.
 	DirectoryLost(err error)
@@ -78,9 +78,9 @@
 	undrainedAt map[string]time.Time
 	// outage reports whether the store failed since the last Reset.
 	outage bool
-	// lapses decides whether entries that are missing after an outage have expired.
-	lapses lapse.Detector
-	read   bool
+	// lapseDetector decides whether entries that are missing after an outage have expired.
+	lapseDetector lapse.Detector
+	read          bool
 }
 
 type entry struct {
@@ -107,7 +107,7 @@
 	defer d.mu.Unlock()
 	now := d.Now()
 	if d.outage {
-		d.lapses.StartGrace(now, missingGrace)
+		d.lapseDetector.StartGrace(now, missingGrace)
 	}
 	d.outage, d.read = false, true
 	old := d.entries
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -103,10 +103,10 @@
 	g.Base = hosted.New(hosted.Parts{
 		Methods: g.promptMethods(),
 		Role:    prepaid.RoleRouter, VM: s.VM, Datacentre: s.Datacentre, Link: s.Listen.Link,
-		Store: s.Store, Budgets: s.Budgets, Limits: prepaid.Configured{Catalog: &g.catalog},
-		Readers: map[string]mirror.Reader{platform.OperatorPrefix: g.operatorReader, platform.UpstreamPrefix: g.directory},
-		Relays:  s.Limits.LinkMbps == 0 || s.Limits.LinkMbps >= minRelayMbps,
-		Network: meteredNetwork(network, meter), Log: observe.NewJSONLogger(log, s.Log.Level, s.VM), LogDropped: dropped,
+		Store: s.Store, Budgets: s.Budgets, Limits: prepaid.ConfiguredLimits{Catalog: &g.catalog},
+		Readers:  map[string]mirror.Reader{platform.OperatorPrefix: g.operatorReader, platform.UpstreamPrefix: g.directory},
+		CanRelay: s.Limits.LinkMbps == 0 || s.Limits.LinkMbps >= minRelayMbps,
+		Network:  meteredNetwork(network, meter), Log: observe.NewJSONLogger(log, s.Log.Level, s.VM), LogDropped: dropped,
 	})
 	g.metrics = newMetrics(g)
 	g.prompts = newPromptGuard(g)
@@ -132,7 +132,7 @@
 		Upstreams:   &upstreams{Pool: g.pool, transport: newTransport(g.Network, s.Upstreams)},
 		Budgets:     g.Budgets,
 		RetryBudget: g.retryBudgets,
-		Poison:      g.prompts,
+		PromptGuard: g.prompts,
 		Now:         time.Now,
 	}
 	g.Admin.Dump = g.dump
@@ -174,7 +174,7 @@
 
 // retryRule returns the limit on retries from the current settings.
 func (g *Gateway) retryRule() retrybudget.Rule {
-	s := g.current.Load().Repeats
+	s := g.current.Load().Retries
 	return retrybudget.Rule{Ratio: s.Ratio, Extra: s.Extra, Window: time.Duration(s.Window)}
 }
 
@@ -224,16 +224,16 @@
 	}
 	ctx, cancel := context.WithCancel(context.WithoutCancel(stop))
 	defer cancel()
-	duties := process.NewDuties(ctx)
+	tasks := process.NewTaskGroup(ctx)
 	g.Log.Info().Str("datacentre", g.settings.Datacentre).Str("callers", g.settings.Listen.Callers).Msg("started")
 	callers := g.callerServer()
-	g.startServers(duties, listeners, callers)
-	g.startTasks(duties)
+	g.startServers(tasks, listeners, callers)
+	g.startTasks(tasks)
 	<-stop.Done()
 	g.shutdown(ctx, callers)
 	cancel()
 	g.Links.Close()
-	duties.Wait()
+	tasks.Wait()
 	g.Budgets.Wait()
 	return nil
 }
@@ -242,22 +242,22 @@
 
 func (g *Gateway) listen() (l listeners, err error) {
 	s := g.settings.Listen
-	err = g.Network.ListenAll([]hosted.Listening{
-		{Field: "listen.callers", Address: s.Callers, Into: &l.callers},
-		{Field: "listen.ready", Address: s.Ready, Into: &l.ready},
-		{Field: "listen.admin", Address: s.Admin, Into: &l.admin},
-		{Field: "listen.link", Address: s.Link, Into: &l.link},
+	err = g.Network.ListenAll([]hosted.ListenAddress{
+		{Setting: "listen.callers", Address: s.Callers, Listener: &l.callers},
+		{Setting: "listen.ready", Address: s.Ready, Listener: &l.ready},
+		{Setting: "listen.admin", Address: s.Admin, Listener: &l.admin},
+		{Setting: "listen.link", Address: s.Link, Listener: &l.link},
 	})
 	return l, err
 }
 
 // startServers starts the servers on the listeners.
-func (g *Gateway) startServers(d *process.Duties, l listeners, callers *http.Server) {
-	d.Serve(callers, callerListener{l.callers, g.callerLimits}, nil)
+func (g *Gateway) startServers(tasks *process.TaskGroup, l listeners, callers *http.Server) {
+	tasks.Serve(callers, callerListener{l.callers, g.callerLimits}, nil)
 	ready := http.NewServeMux()
 	ready.HandleFunc("GET "+platform.ReadyPath, g.serveReady)
-	d.Serve(&http.Server{Handler: ready, ReadHeaderTimeout: headerTimeout}, l.ready, nil)
-	g.Serve(d, l.admin, l.link)
+	tasks.Serve(&http.Server{Handler: ready, ReadHeaderTimeout: headerTimeout}, l.ready, nil)
+	g.Serve(tasks, l.admin, l.link)
 }
 
 func (g *Gateway) serveReady(w http.ResponseWriter, _ *http.Request) {
@@ -269,13 +269,13 @@
 }
 
 // startTasks starts the background tasks.
-func (g *Gateway) startTasks(d *process.Duties) {
-	d.Go(g.lenders.run)
-	g.prompts.start(d)
-	g.Start(d)
-	d.Every(lagPeriod, func(context.Context) { g.lag.Tick(time.Now()) })
-	d.Every(expireInterval, func(context.Context) { g.directory.Expire() })
-	d.Every(pruneInterval, func(context.Context) { g.pool.Prune() })
+func (g *Gateway) startTasks(tasks *process.TaskGroup) {
+	tasks.Go(g.lenders.run)
+	g.prompts.start(tasks)
+	g.Start(tasks)
+	tasks.Every(lagPeriod, func(context.Context) { g.lag.Tick(time.Now()) })
+	tasks.Every(expireInterval, func(context.Context) { g.directory.Expire() })
+	tasks.Every(pruneInterval, func(context.Context) { g.pool.Prune() })
 }
 
 // shutdown stops the gateway within the grace period: it waits for the notice period, shuts the
--- a/prepaid/exposure.go
+++ b/prepaid/exposure.go
@@ -32,7 +32,7 @@
 
 // newExposure returns the manager of this lender's exposure limits.
 func (b *Budgets) newExposure() *settlement.Exposure {
-	return &settlement.Exposure{Holder: b.holder, Register: b.registry, Notify: b.notifyWitness,
+	return &settlement.Exposure{Holder: b.holder, Registry: b.registry, Notify: b.notifyWitness,
 		Timeout: witnessTimeout, Lookahead: exposureLookahead, Now: time.Now}
 }
 
@@ -57,7 +57,7 @@
 	if o.ongoing() {
 		return link.Error.Wrap(link.ErrDown)
 	}
-	err := b.endpoint.Tell(ctx, witness, notice)
+	err := b.endpoint.SendLimits(ctx, witness, notice)
 	b.recordOutage(o, "witness", witness, err, link.ErrDown)
 	return err
 }
